--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,6 +1,6 @@
 """A toy AJP server: answers each POST with its body in capitals, after the work that it pretends to do.
 
-    python examples/toy_server.py [HOST:PORT]
+python examples/toy_server.py [HOST:PORT]
 """
 
 from __future__ import annotations
--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -22,8 +22,9 @@
 
 async def serve(conf: config.Config, extra: deployment.Deployment, log: JsonLog) -> None:
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: log(
-        "error", text=context.get("message"), error=repr(context.get("exception"))))
+    loop.set_exception_handler(
+        lambda _, context: log("error", text=context.get("message"), error=repr(context.get("exception")))
+    )
     app, ended = App(conf, extra, log), asyncio.Event()
 
     def leave(ago: float) -> None:
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -1,17 +1,17 @@
 """The API's resources as plain functions of a request; no socket here.
 
-    GET /v1/state                           what the service is doing
-    GET /v1/counts                          answers by tenant, class and verdict
-    GET, POST /v1/tenants                   list, create
-    GET, PUT, PATCH, DELETE /v1/tenants/N   show, replace, change, remove
-    GET, PUT /v1/shares                     all shares at once
-    GET, POST /v1/upstreams                 list, create
-    GET, PUT, DELETE /v1/upstreams/N        show, replace, remove
-    GET /v1/dependencies                    what composed runs know of theirs
-    GET /v1/storm                           retries, who amplifies, what callers are told
-    GET /v1/members                         the fleet as this process sees it
-    GET /v1/locality                        zones, their trust, and where work goes
-    GET /v1/fleet                           this process's subset of members, and its share of their limit
+GET /v1/state                           what the service is doing
+GET /v1/counts                          answers by tenant, class and verdict
+GET, POST /v1/tenants                   list, create
+GET, PUT, PATCH, DELETE /v1/tenants/N   show, replace, change, remove
+GET, PUT /v1/shares                     all shares at once
+GET, POST /v1/upstreams                 list, create
+GET, PUT, DELETE /v1/upstreams/N        show, replace, remove
+GET /v1/dependencies                    what composed runs know of theirs
+GET /v1/storm                           retries, who amplifies, what callers are told
+GET /v1/members                         the fleet as this process sees it
+GET /v1/locality                        zones, their trust, and where work goes
+GET /v1/fleet                           this process's subset of members, and its share of their limit
 """
 
 from __future__ import annotations
@@ -48,27 +48,43 @@
 
 
 class Api:
-    def __init__(self, service: Service, registry: Registry, token: str,
-                 composer: Composer | None = None,
-                 damper: Callable[[], Damper | None] = lambda: None, gossip: Gossip | None = None,
-                 nearby: Nearby | None = None, evenly: Evenly | None = None) -> None:
+    def __init__(
+        self,
+        service: Service,
+        registry: Registry,
+        token: str,
+        composer: Composer | None = None,
+        damper: Callable[[], Damper | None] = lambda: None,
+        gossip: Gossip | None = None,
+        nearby: Nearby | None = None,
+        evenly: Evenly | None = None,
+    ) -> None:
         self.service, self.registry, self.token = service, registry, token.encode()
         self.composer, self.damper, self.gossip = composer, damper, gossip
         self.nearby, self.evenly = nearby, evenly
         self.routes: dict[str, dict[str, Callable[..., Reply]]] = {
-            "state": {"GET": self.state}, "counts": {"GET": self.counts},
-            "dependencies": {"GET": self.dependencies}, "storm": {"GET": self.storm},
-            "members": {"GET": self.members}, "locality": {"GET": self.locality},
+            "state": {"GET": self.state},
+            "counts": {"GET": self.counts},
+            "dependencies": {"GET": self.dependencies},
+            "storm": {"GET": self.storm},
+            "members": {"GET": self.members},
+            "locality": {"GET": self.locality},
             "fleet": {"GET": self.fleet},
             "shares": {"GET": self.shares, "PUT": self.put_shares},
             "tenants": {"GET": self.tenants, "POST": self.post_tenant},
             "upstreams": {"GET": self.upstreams, "POST": self.post_upstream},
-            "tenants/": {"GET": self.tenant, "PUT": self.put_tenant, "PATCH": self.patch_tenant,
-                         "DELETE": self.delete_tenant},
-            "upstreams/": {"GET": self.upstream, "PUT": self.put_upstream, "DELETE": self.delete_upstream}}
-
-    def handle(self, method: str, target: str, headers: Mapping[bytes, bytes],
-               body: bytes) -> tuple[int, bytes, dict[str, str]]:
+            "tenants/": {
+                "GET": self.tenant,
+                "PUT": self.put_tenant,
+                "PATCH": self.patch_tenant,
+                "DELETE": self.delete_tenant,
+            },
+            "upstreams/": {"GET": self.upstream, "PUT": self.put_upstream, "DELETE": self.delete_upstream},
+        }
+
+    def handle(
+        self, method: str, target: str, headers: Mapping[bytes, bytes], body: bytes
+    ) -> tuple[int, bytes, dict[str, str]]:
         """Status, JSON and further fields of the answer."""
         try:
             self._authorise(headers)
@@ -112,9 +128,15 @@
     def state(self) -> Reply:
         s = self.service
         return 200, {
-            "healthy": s.healthy, "draining": s.drain_at is not None, "hint": s.hint, "keys": len(s.keys),
-            "requests": Counter(r.state.value for r in s.requests.values()), "gauges": s.gauge_values,
-            "tenants": len(self.registry.tenants), "upstreams": len(self.registry.upstreams)}
+            "healthy": s.healthy,
+            "draining": s.drain_at is not None,
+            "hint": s.hint,
+            "keys": len(s.keys),
+            "requests": Counter(r.state.value for r in s.requests.values()),
+            "gauges": s.gauge_values,
+            "tenants": len(self.registry.tenants),
+            "upstreams": len(self.registry.upstreams),
+        }
 
     def counts(self) -> Reply:
         out: dict[str, dict[str, dict[str, int]]] = {}
@@ -191,9 +213,18 @@
             raise Problem(404, f"no such upstream: {name}")
         u, runs = self.registry.upstreams[name], self.registry.runs
         under_way = {} if runs is None else runs.open_runs(name)
-        return {"name": u.name, "members": [  # secrets only go in
-            {"host": m.host, "weight": m.weight, "has_secret": bool(m.secret),
-             "open": under_way.get(m.host, 0)} for m in u.members]}
+        return {
+            "name": u.name,
+            "members": [  # secrets only go in
+                {
+                    "host": m.host,
+                    "weight": m.weight,
+                    "has_secret": bool(m.secret),
+                    "open": under_way.get(m.host, 0),
+                }
+                for m in u.members
+            ],
+        }
 
     def upstreams(self) -> Reply:
         return 200, [self._upstream(name) for name in self.registry.upstreams]
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -28,11 +28,13 @@
 class Registry:
     """Owns the tenants and upstreams; with ``path`` changes outlive the process."""
 
-    def __init__(self, deployment: Deployment, service: Service, runs: Upstreams | None,
-                 path: Path | None) -> None:
+    def __init__(
+        self, deployment: Deployment, service: Service, runs: Upstreams | None, path: Path | None
+    ) -> None:
         self.service, self.runs, self.path = service, runs, path
         tenants = deployment.tenants or tuple(
-            TenantConf(t.name, t.share, t.quota) for t in service.settings.tenants)
+            TenantConf(t.name, t.share, t.quota) for t in service.settings.tenants
+        )
         self.tenants = {t.name: t for t in tenants}
         self.upstreams = {u.name: u for u in deployment.upstreams}
         self.forget: Callable[[str], None] = lambda tenant: None  # told of a tenant that is gone
@@ -66,8 +68,10 @@
 
     def set_shares(self, shares: dict[str, float]) -> None:
         """Several shares at once, as they must add up to no more than 1 at every moment."""
-        self._change([replace(t, share=shares.get(t.name, t.share)) for t in self.tenants.values()],
-                     [*self.upstreams.values()])
+        self._change(
+            [replace(t, share=shares.get(t.name, t.share)) for t in self.tenants.values()],
+            [*self.upstreams.values()],
+        )
 
     @staticmethod
     def _others(known: dict[str, Named], name: str) -> list[Named]:
@@ -98,8 +102,10 @@
             self._save(self.path)
 
     def _save(self, path: Path) -> None:
-        state: dict[str, Any] = {"tenants": [asdict(t) for t in self.tenants.values()],
-                                 "upstreams": [asdict(u) for u in self.upstreams.values()]}
+        state: dict[str, Any] = {
+            "tenants": [asdict(t) for t in self.tenants.values()],
+            "upstreams": [asdict(u) for u in self.upstreams.values()],
+        }
         draft = path.with_name(path.name + ".new")
         with open(os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:  # has secrets
             file.write(orjson.dumps(state, option=orjson.OPT_INDENT_2))
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -24,8 +24,11 @@
                     return
                 self.rests()
                 status, body, fields = self.api.handle(
-                    request.method.decode("latin-1"), request.target.decode("latin-1"), request.headers,
-                    request.body)
+                    request.method.decode("latin-1"),
+                    request.target.decode("latin-1"),
+                    request.headers,
+                    request.body,
+                )
                 self._write(status, body, fields, request.keep_alive)
         except Malformed as error:
             self._write(error.status, b'{"error":"malformed request"}', {}, False)
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -64,8 +64,7 @@
 class App:
     """Owns the listeners, links and tasks; ``close`` gives all of them back."""
 
-    def __init__(self, conf: Config, deployment: Deployment, log: Log,
-                 clock: Clock | None = None) -> None:
+    def __init__(self, conf: Config, deployment: Deployment, log: Log, clock: Clock | None = None) -> None:
         self.conf, self.deployment, self.log = conf, deployment, log
         if deployment.plans is not None:
             check_plans(deployment.plans, conf)
@@ -77,8 +76,9 @@
             settings = replace(settings, over_quota_worth=0.0)
         key_room = int(conf.memory_mb * KEYS_SHARE * 1024 * 1024)
         clock = clock or Clock()
-        self.service = Service(settings, conf.gauges, conf.seed, clock, log, key_room=key_room,
-                               ahead=clock.ahead)
+        self.service = Service(
+            settings, conf.gauges, conf.seed, clock, log, key_room=key_room, ahead=clock.ahead
+        )
         self.service.hosted = hosted
         self.listeners: list[Listener] = []
         self.fronts: dict[str, Listener] = {}  # those of the clients
@@ -129,27 +129,57 @@
             service.pool_up(False, 0.0)
         self.ticker = Ticker(service, loop)
         if conf.listen_fd is not None and conf.shared_folder is not None:
-            self.succession = Succession(Path(conf.shared_folder), conf.name, service, self.log, self.fronts,
-                                         lambda: self._open_fronts(most), self.announcer, self.index)
+            self.succession = Succession(
+                Path(conf.shared_folder),
+                conf.name,
+                service,
+                self.log,
+                self.fronts,
+                lambda: self._open_fronts(most),
+                self.announcer,
+                self.index,
+            )
             self.beginning = loop.create_task(self.succession.begin())
         else:
             await self._open_fronts(most)
         if conf.control:
-            await self._listen("control", Listener(
-                conf.control, lambda owner: ControlConnection(owner, service, self.ready),
-                lambda: ADMIN_IDLE, operators))
+            await self._listen(
+                "control",
+                Listener(
+                    conf.control,
+                    lambda owner: ControlConnection(owner, service, self.ready),
+                    lambda: ADMIN_IDLE,
+                    operators,
+                ),
+            )
         if self.deployment.member is not None:
             await self._join(self.deployment.member)
         if (admin := self.deployment.admin) is not None:
-            registry = Registry(self.deployment, service, self.upstreams,
-                                Path(admin.state) if admin.state else None)
+            registry = Registry(
+                self.deployment, service, self.upstreams, Path(admin.state) if admin.state else None
+            )
             if self.composer is not None:
                 registry.forget = self.composer.desk.last_good.forget
-            api = Api(service, registry, admin.token, self.composer, lambda: self.damper, self.gossip,
-                      self.nearby, self.evenly)
-            await self._listen("admin", Listener(
-                admin.listen, lambda owner: AdminConnection(owner, api), lambda: ADMIN_IDLE,
-                administration, shared=self.succession is not None))
+            api = Api(
+                service,
+                registry,
+                admin.token,
+                self.composer,
+                lambda: self.damper,
+                self.gossip,
+                self.nearby,
+                self.evenly,
+            )
+            await self._listen(
+                "admin",
+                Listener(
+                    admin.listen,
+                    lambda owner: AdminConnection(owner, api),
+                    lambda: ADMIN_IDLE,
+                    administration,
+                    shared=self.succession is not None,
+                ),
+            )
 
     def _watch_storms(self, conf: StormSettings) -> None:
         """Tries that come again are told from new work, and who is refused is told when to come back."""
@@ -180,15 +210,27 @@
         if locality is not None:
             from saltcart.net.nearby import Nearby
 
-            self.nearby = Nearby(locality, known[locality.upstream], self.gossip,
-                                 upstreams.by_name[locality.upstream], seed + 1, self.log,
-                                 {c.name: c.worth for c in self.service.settings.classes})
+            self.nearby = Nearby(
+                locality,
+                known[locality.upstream],
+                self.gossip,
+                upstreams.by_name[locality.upstream],
+                seed + 1,
+                self.log,
+                {c.name: c.worth for c in self.service.settings.classes},
+            )
             self.service.figures.append(self.nearby.locality.figures)
         if fleet is not None:
             from saltcart.net.evenly import Evenly
 
-            self.evenly = Evenly(fleet, known[fleet.upstream], self.gossip,
-                                 upstreams.by_name[fleet.upstream], seed + 2, self.log)
+            self.evenly = Evenly(
+                fleet,
+                known[fleet.upstream],
+                self.gossip,
+                upstreams.by_name[fleet.upstream],
+                seed + 2,
+                self.log,
+            )
             self.service.figures.append(self.evenly.together.figures)
 
     def _compose(self, plans: Plans, upstreams: Upstreams) -> None:
@@ -197,8 +239,16 @@
 
         service = self.service
         service.runs = self.composer = Composer(
-            plans, service.settings.classes, upstreams, service, self.log, self.conf.seed, service.clock,
-            service.held, service.usable)
+            plans,
+            service.settings.classes,
+            upstreams,
+            service,
+            self.log,
+            self.conf.seed,
+            service.clock,
+            service.held,
+            service.usable,
+        )
         service.composed = frozenset(self.composer.desk.plans)
         service.figures.append(self.composer.figures)
 
@@ -207,14 +257,22 @@
         service, shared = self.service, self.succession is not None
         ajp_most = most // 3 if self.deployment.ajp is not None else 0
         http = Listener(
-            self.conf.listen, lambda owner: HttpConnection(owner, service), lambda: service.idle_after,
-            most - ajp_most, self.conf.listen_fd)
+            self.conf.listen,
+            lambda owner: HttpConnection(owner, service),
+            lambda: service.idle_after,
+            most - ajp_most,
+            self.conf.listen_fd,
+        )
         await self._listen("http", http)
         if (ajp := self.deployment.ajp) is not None:
             secret = ajp.secret.encode()
             front = Listener(
-                ajp.listen, lambda owner: AjpConnection(owner, service, secret),
-                lambda: service.idle_after, ajp_most, shared=shared)
+                ajp.listen,
+                lambda owner: AjpConnection(owner, service, secret),
+                lambda: service.idle_after,
+                ajp_most,
+                shared=shared,
+            )
             await self._listen("ajp", front)
             self.fronts["ajp"] = front
         self.fronts["http"] = http
@@ -249,8 +307,11 @@
 
         What else differs needs a restart.  Checked as a whole first: what can't be followed changes nothing.
         """
-        parts = (("pool", self.pool, conf.pool), ("index", self.index, conf.index),
-                 ("announce", self.announcer, conf.announce))
+        parts = (
+            ("pool", self.pool, conf.pool),
+            ("index", self.index, conf.index),
+            ("announce", self.announcer, conf.announce),
+        )
         for name, part, peer in parts:
             if (part is None) != (peer is None):
                 raise ConfigError(f"config: field {name} can't come or go while the program runs")
--- a/saltcart/budget/compose.py
+++ b/saltcart/budget/compose.py
@@ -25,8 +25,9 @@
 
 def answers(run: Run) -> dict[str, Any]:
     """The replies so far by dependency; null for what was left out."""
-    return {name: None if mark is Mark.LEFT_OUT else readable(body)
-            for name, (mark, body) in run.replies.items()}
+    return {
+        name: None if mark is Mark.LEFT_OUT else readable(body) for name, (mark, body) in run.replies.items()
+    }
 
 
 def to_send(run: Run, call: Call) -> bytes:
--- a/saltcart/budget/dependency.py
+++ b/saltcart/budget/dependency.py
@@ -77,7 +77,15 @@
     def state(self, now: float) -> dict[str, float | str]:
         """What operators are shown; times in milliseconds, -1 where it can't be told."""
         need = self.need(now)
-        shown = {name: round(value * 1000, 1) if value != float("inf") else -1.0
-                 for name, value in need._asdict().items()}
-        return {**shown, "circuit": self.breaker.state.value, "limit": int(self.limit.value),
-                "used": self.limit.used, "waiting": len(self.waiting), **self.counts}
+        shown = {
+            name: round(value * 1000, 1) if value != float("inf") else -1.0
+            for name, value in need._asdict().items()
+        }
+        return {
+            **shown,
+            "circuit": self.breaker.state.value,
+            "limit": int(self.limit.value),
+            "used": self.limit.used,
+            "waiting": len(self.waiting),
+            **self.counts,
+        }
--- a/saltcart/budget/desk.py
+++ b/saltcart/budget/desk.py
@@ -49,8 +49,9 @@
 
     # ---- what the host tells ------------------------------------------------------------------
 
-    def start(self, now: float, ident: bytes, klass: str, tenant: str, body: bytes, aim_at: float,
-              due_at: float) -> list[Order]:
+    def start(
+        self, now: float, ident: bytes, klass: str, tenant: str, body: bytes, aim_at: float, due_at: float
+    ) -> list[Order]:
         """A run begins; ``aim_at``: an answer by then is worth most, ``due_at``: by then it must be there."""
         run = self.runs[ident] = Run(ident, self.plans[klass], tenant, body, now, min(aim_at, due_at), due_at)
         self._go_on(now, run)
@@ -149,8 +150,10 @@
     def _begin_stage(self, now: float, run: Run, limits: Limits) -> None:
         calls = optional_last(run.plan.stage[run.stage].call)
         run.stage += 1
-        run.parts = [Part(run, c, limits.required if c.required else limits.optional,
-                          compose.to_send(run, c)) for c in calls]
+        run.parts = [
+            Part(run, c, limits.required if c.required else limits.optional, compose.to_send(run, c))
+            for c in calls
+        ]
         run.starting = True
         for part in run.parts:
             if run.over:
@@ -176,8 +179,15 @@
         self.earns.ended(self.worth.get(run.plan.klass, 0.0) * (1 - lost), now - run.started)
         self._end(now, run, Outcome.OK, compose.answer(run), left, remembered)
 
-    def _end(self, now: float, run: Run, outcome: Outcome, body: bytes = b"", left: tuple[str, ...] = (),
-             remembered: tuple[str, ...] = ()) -> None:
+    def _end(
+        self,
+        now: float,
+        run: Run,
+        outcome: Outcome,
+        body: bytes = b"",
+        left: tuple[str, ...] = (),
+        remembered: tuple[str, ...] = (),
+    ) -> None:
         """The one place where a run is forgotten."""
         if run.over:
             return
@@ -221,8 +231,17 @@
         part.mark, part.sent = Mark.OUT, part.sent + 1
         part.attempts.append(attempt)
         self.attempts[attempt.ident] = attempt
-        self.orders.append(Send(attempt.ident, part.run.ident, dependency.spec.name, part.run.tenant,
-                                part.body, room, part.call.write))
+        self.orders.append(
+            Send(
+                attempt.ident,
+                part.run.ident,
+                dependency.spec.name,
+                part.run.tenant,
+                part.body,
+                room,
+                part.call.write,
+            )
+        )
         if part.sent == 1:
             self._at(part.until, self._expire, part)
         if not part.call.write and not part.beside:
@@ -267,8 +286,12 @@
             return  # another attempt is under way
         dependency = self.dependencies[attempt.dependency]
         part.dependency = attempt.dependency
-        if (call.repeat or never) and part.sent < MOST_TRIES and self.judge.again(now, part, dependency) and (
-                not self.judge.guarded or (dependency.free(now) and dependency.allowance.take())):
+        if (
+            (call.repeat or never)
+            and part.sent < MOST_TRIES
+            and self.judge.again(now, part, dependency)
+            and (not self.judge.guarded or (dependency.free(now) and dependency.allowance.take()))
+        ):
             self._send(now, part, dependency, further=True)
         else:
             self._elsewhere(now, part)
--- a/saltcart/budget/guards.py
+++ b/saltcart/budget/guards.py
@@ -84,8 +84,11 @@
             elif self.passed >= self.PROBES:
                 self.state, self.wait = Circuit.CLOSED, self.FIRST
                 self.good = self.bad = 0.0
-        elif self.state is Circuit.CLOSED and self.bad >= self.LEAST and (
-                self.bad >= self.SHARE * (self.good + self.bad)):
+        elif (
+            self.state is Circuit.CLOSED
+            and self.bad >= self.LEAST
+            and (self.bad >= self.SHARE * (self.good + self.bad))
+        ):
             self._open(now)
 
     def _open(self, now: float) -> None:
--- a/saltcart/budget/judge.py
+++ b/saltcart/budget/judge.py
@@ -29,8 +29,12 @@
 
     guarded = True  # limits, breakers and allowances hold
 
-    def __init__(self, look: Callable[[str], Dependency], rng: random.Random,
-                 late: Callable[[str], bool] = lambda klass: False) -> None:
+    def __init__(
+        self,
+        look: Callable[[str], Dependency],
+        rng: random.Random,
+        late: Callable[[str], bool] = lambda klass: False,
+    ) -> None:
         self.look, self.rng, self.late = look, rng, late
 
     def _need(self, now: float, stage: Stage) -> Need:
@@ -40,7 +44,7 @@
         """Limits for the stage that is about to begin; None where what must be called can't fit any more."""
         reserve = run.plan.reserve_ms / 1000
         horizon = run.aim_at - reserve
-        stages = run.plan.stage[run.stage:]
+        stages = run.plan.stage[run.stage :]
         needs = [self._need(now, stage) for stage in stages]
         shares = split(horizon - now, needs[0], needs[1:])
         if shares is None and self.late(run.plan.klass):  # late is worth something
@@ -68,8 +72,9 @@
             return False
         return dependency.need(now).lucky <= room or self.rng.random() < PROBES
 
-    def beside_at(self, now: float, part: Part, dependency: Dependency,
-                  other: Dependency | None) -> float | None:
+    def beside_at(
+        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+    ) -> float | None:
         """When a second attempt should begin beside one sent now: past what nearly all calls take.
 
         Where another dependency can stand in, it is left the time that it needs.
--- a/saltcart/budget/plan.py
+++ b/saltcart/budget/plan.py
@@ -129,8 +129,9 @@
             if at.fallback not in by_name:
                 raise PlanError(f"dependency[{n}].fallback: no such dependency: {at.fallback}")
             if at.fallback in passed:
-                raise PlanError(f"dependency[{n}].fallback: goes in a circle: "
-                                f"{' to '.join([*passed, at.fallback])}")
+                raise PlanError(
+                    f"dependency[{n}].fallback: goes in a circle: {' to '.join([*passed, at.fallback])}"
+                )
             passed.append(at.fallback)
             at = by_name[at.fallback]
 
--- a/saltcart/budget/run.py
+++ b/saltcart/budget/run.py
@@ -31,8 +31,9 @@
 
     __slots__ = ("begun", "dependency", "fair", "further", "ident", "part", "probe", "slow_at")
 
-    def __init__(self, ident: bytes, part: Part, dependency: str, begun: float, further: bool,
-                 fair: bool) -> None:
+    def __init__(
+        self, ident: bytes, part: Part, dependency: str, begun: float, further: bool, fair: bool
+    ) -> None:
         self.ident, self.part, self.dependency, self.begun = ident, part, dependency, begun
         self.further, self.fair, self.probe = further, fair, False
         self.slow_at = inf  # when a second attempt begins beside it, if there is one to make
@@ -45,8 +46,19 @@
 class Part:
     """One call of the stage under way."""
 
-    __slots__ = ("attempts", "beside", "body", "call", "dependency", "mark", "passed", "reply", "run", "sent",
-                 "until")
+    __slots__ = (
+        "attempts",
+        "beside",
+        "body",
+        "call",
+        "dependency",
+        "mark",
+        "passed",
+        "reply",
+        "run",
+        "sent",
+        "until",
+    )
 
     def __init__(self, run: Run, call: Call, until: float, body: bytes) -> None:
         self.run, self.call, self.until = run, call, until
@@ -61,11 +73,24 @@
 class Run:
     """A request whose answer is being composed.  Times are those of the clock that the desk is given."""
 
-    __slots__ = ("aim_at", "body", "due_at", "ident", "over", "parts", "plan", "replies", "stage", "started",
-                 "starting", "tenant")
-
-    def __init__(self, ident: bytes, plan: Plan, tenant: str, body: bytes, now: float, aim_at: float,
-                 due_at: float) -> None:
+    __slots__ = (
+        "aim_at",
+        "body",
+        "due_at",
+        "ident",
+        "over",
+        "parts",
+        "plan",
+        "replies",
+        "stage",
+        "started",
+        "starting",
+        "tenant",
+    )
+
+    def __init__(
+        self, ident: bytes, plan: Plan, tenant: str, body: bytes, now: float, aim_at: float, due_at: float
+    ) -> None:
         self.ident, self.plan, self.tenant, self.body = ident, plan, tenant, body
         self.started, self.aim_at, self.due_at = now, aim_at, due_at
         self.stage, self.parts = 0, list[Part]()
--- a/saltcart/budget/sketch.py
+++ b/saltcart/budget/sketch.py
@@ -18,11 +18,25 @@
 class Quantiles:
     """Quantiles at fixed ``levels`` of values in seconds, each value halved in weight every ``half_life``."""
 
-    __slots__ = ("cached", "curve", "cut", "ended", "error", "first", "fresh", "half_life", "levels",
-                 "log_ratio", "since", "size", "total")
-
-    def __init__(self, levels: tuple[float, ...] = (0.1, 0.5, 0.95), half_life: float = 8.0,
-                 error: float = 0.05) -> None:
+    __slots__ = (
+        "cached",
+        "curve",
+        "cut",
+        "ended",
+        "error",
+        "first",
+        "fresh",
+        "half_life",
+        "levels",
+        "log_ratio",
+        "since",
+        "size",
+        "total",
+    )
+
+    def __init__(
+        self, levels: tuple[float, ...] = (0.1, 0.5, 0.95), half_life: float = 8.0, error: float = 0.05
+    ) -> None:
         self.levels, self.half_life, self.error = levels, half_life, error
         self.log_ratio = log((1 + error) / (1 - error))
         self.size = int(log(HIGH / LOW) / self.log_ratio) + 2
@@ -82,8 +96,10 @@
             left -= ended + self.cut[at]
             if left <= 1e-12 * self.total:
                 break
-        first, *rest = (next((value for value, alive in self.curve if 1 - alive >= level - 1e-12), inf)
-                        for level in self.levels)
+        first, *rest = (
+            next((value for value, alive in self.curve if 1 - alive >= level - 1e-12), inf)
+            for level in self.levels
+        )
         return (min(first, longest), *rest)
 
     def _value(self, at: int) -> float:
--- a/saltcart/cli.py
+++ b/saltcart/cli.py
@@ -28,8 +28,12 @@
 
 @cli.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--config", "platform", type=click.Path(path_type=Path),
-              help="The platform's JSON object: plans are held against its classes.")
+@click.option(
+    "--config",
+    "platform",
+    type=click.Path(path_type=Path),
+    help="The platform's JSON object: plans are held against its classes.",
+)
 def check(file: Path, platform: Path | None) -> None:
     """Check a deployment FILE; ends with 2 and one line where something is wrong with it."""
     try:
@@ -44,8 +48,9 @@
         click.echo(f"saltcart: {error}", err=True)
         sys.exit(2)
     plans = () if extra.plans is None else extra.plans.plan
-    click.echo(f"{file}: good: {len(extra.tenants)} tenants, {len(extra.upstreams)} upstreams, "
-               f"{len(plans)} plans")
+    click.echo(
+        f"{file}: good: {len(extra.tenants)} tenants, {len(extra.upstreams)} upstreams, {len(plans)} plans"
+    )
 
 
 @cli.command("import", context_settings={"ignore_unknown_options": True})
@@ -78,8 +83,9 @@
 @click.option("--sockets", is_flag=True, help="Through the real program, on loopback and in real time.")
 @click.option("--nodes", type=click.IntRange(6, 5000), help="One size of the fleet alone.")
 @click.option("--plot", type=click.Path(path_type=Path, dir_okay=False), help="Write a plot to this file.")
-def run_experiment(name: str, quick: bool, seed: int, sockets: bool, nodes: int | None,
-                   plot: Path | None) -> None:
+def run_experiment(
+    name: str, quick: bool, seed: int, sockets: bool, nodes: int | None, plot: Path | None
+) -> None:
     """Run the experiment NAME; its last line is one JSON object."""
     from saltcart.lab import report
     from saltcart.lab.experiments import EXPERIMENTS, Choice
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -59,7 +59,8 @@
                 f = Fields({**f.raw, key: environment[f"BALANCER_{key.upper()}"]}, "config")
         pool, announce, index, control = (
             None if f.raw.get(key) is None else place(f, key)
-            for key in ("pool", "announce", "index", "control"))
+            for key in ("pool", "announce", "index", "control")
+        )
         fd = environment.get("BALANCER_LISTEN_FD") or ""
         if fd and not fd.isdecimal():
             raise WireError("BALANCER_LISTEN_FD is not a descriptor")
@@ -71,11 +72,21 @@
         if not HEXADECIMAL.match(seed):
             raise WireError(f"config: field seed is not hexadecimal: {seed}")
         return Config(
-            environment.get("BALANCER_NAME") or f.text("name"), place(f, "listen"), pool, announce, index,
-            control, listen_fd, environment.get("TMPDIR") or None, int(seed, 16),
+            environment.get("BALANCER_NAME") or f.text("name"),
+            place(f, "listen"),
+            pool,
+            announce,
+            index,
+            control,
+            listen_fd,
+            environment.get("TMPDIR") or None,
+            int(seed, 16),
             f.number("stop_ms", 5000.0) / 1000,
-            limits.integer("sockets", 1024, low=64), limits.number("memory_mb", 192.0, low=1),
-            read_settings(wire), tuple(g if g in GAUGES else None for g in names))
+            limits.integer("sockets", 1024, low=64),
+            limits.number("memory_mb", 192.0, low=1),
+            read_settings(wire),
+            tuple(g if g in GAUGES else None for g in names),
+        )
     except WireError as error:
         raise ConfigError(str(error)) from None
 
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -24,11 +24,27 @@
 class Request:
     """One request from its reading to the end of its run."""
 
-    __slots__ = ("ask", "call_at", "call_body", "call_number", "came", "due", "entry", "key", "notice",
-                 "number", "reply", "spec", "state", "stopped", "tried")
-
-    def __init__(self, number: int, ask: Ask, spec: i.ClassSpec, now: float, due: float,
-                 reply: Reply) -> None:
+    __slots__ = (
+        "ask",
+        "call_at",
+        "call_body",
+        "call_number",
+        "came",
+        "due",
+        "entry",
+        "key",
+        "notice",
+        "number",
+        "reply",
+        "spec",
+        "state",
+        "stopped",
+        "tried",
+    )
+
+    def __init__(
+        self, number: int, ask: Ask, spec: i.ClassSpec, now: float, due: float, reply: Reply
+    ) -> None:
         self.number, self.ask, self.spec, self.due = number, ask, spec, due
         # By this its key is looked up: no sender whose clock is ahead puts a try past a window.
         self.came = min(now, ask.received)
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -35,9 +35,17 @@
 class Service:
     """One server's requests, keys, timers, health and drain."""
 
-    def __init__(self, settings: i.Settings, gauge_names: tuple[str | None, ...], seed: int,
-                 clock: Callable[[], float], log: Log, *, key_room: int = 1 << 24,
-                 ahead: Callable[[], float] = lambda: 0.0) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        gauge_names: tuple[str | None, ...],
+        seed: int,
+        clock: Callable[[], float],
+        log: Log,
+        *,
+        key_room: int = 1 << 24,
+        ahead: Callable[[], float] = lambda: 0.0,
+    ) -> None:
         """``clock`` runs on evenly; ``ahead`` is how far it is before the Unix clock that peers write by.
 
         ``key_room``: bytes that keys with their results may take.
@@ -76,10 +84,21 @@
         self.counts = Counter[tuple[str, str, str]]()  # by tenant, class and verdict
         self.relayed = Counter[str]()  # runs handed over, by class
         self.actions: dict[type, Callable[..., None]] = {
-            i.Run: self._run, i.Stop: self._stop, i.TurnAway: self._turn_away, i.Fail: self._fail,
-            i.Call: self._call, i.SkipCall: self._skip, i.Keep: self._keep, i.Release: self._release,
-            i.Share: self._share, i.Health: self._health, i.Advise: self._advise,
-            i.IdleClose: self._idle_close, i.Wake: self._wake, i.Note: self._note}
+            i.Run: self._run,
+            i.Stop: self._stop,
+            i.TurnAway: self._turn_away,
+            i.Fail: self._fail,
+            i.Call: self._call,
+            i.SkipCall: self._skip,
+            i.Keep: self._keep,
+            i.Release: self._release,
+            i.Share: self._share,
+            i.Health: self._health,
+            i.Advise: self._advise,
+            i.IdleClose: self._idle_close,
+            i.Wake: self._wake,
+            i.Note: self._note,
+        }
 
     # ---- time ---------------------------------------------------------------------------------
 
@@ -130,8 +149,12 @@
             self.keys.note(entry, ask.ident)
         new = key is not None and entry is None
         doubted = new and self.repeats.doubted(r.came)
-        if self.controller is None or self.repeats.heir is not None or now >= self.stop_at - STOP_MARGIN or (
-                doubted or (new and self.keys.full())):
+        if (
+            self.controller is None
+            or self.repeats.heir is not None
+            or now >= self.stop_at - STOP_MARGIN
+            or (doubted or (new and self.keys.full()))
+        ):
             # Once all is answered before the stop nothing more is taken: nobody would answer it.
             self._answer(r, self._not_taken(entry, doubted))
             return r.number
@@ -141,10 +164,24 @@
         self.timers.at(r.due + self.settings.answer_slack / 2, self._overdue, r.number)
         patience = None if ask.budget is None else max(1e-3, due - now)
         standing = ask.standing if self.storms is None else self._watch(self.storms, r, entry is None)
-        self._feed(i.Arrived(
-            r.number, k, ask.size_kb, standing, unread, patience, tenant, ask.cost, ask.subject, False,
-            spec.effect is not i.Effect.SAFE, ask.caller, None if entry is None else entry.holder,
-            r.tried is not None and r.tried.kept))
+        self._feed(
+            i.Arrived(
+                r.number,
+                k,
+                ask.size_kb,
+                standing,
+                unread,
+                patience,
+                tenant,
+                ask.cost,
+                ask.subject,
+                False,
+                spec.effect is not i.Effect.SAFE,
+                ask.caller,
+                None if entry is None else entry.holder,
+                r.tried is not None and r.tried.kept,
+            )
+        )
         return r.number
 
     @staticmethod
@@ -283,8 +320,15 @@
             if r.state not in OFF_POOL:
                 self.run_ended(r.ask.ident, i.Outcome.ERROR, 0.0, b"")
 
-    def run_ended(self, ident: bytes, outcome: i.Outcome, took: float, result: bytes,
-                  left_out: tuple[str, ...] = (), remembered: tuple[str, ...] = ()) -> None:
+    def run_ended(
+        self,
+        ident: bytes,
+        outcome: i.Outcome,
+        took: float,
+        result: bytes,
+        left_out: tuple[str, ...] = (),
+        remembered: tuple[str, ...] = (),
+    ) -> None:
         r = self.by_ident.get(ident)
         if r is None or r.state in OFF_POOL:
             return
@@ -391,9 +435,15 @@
             r.state = State.RUNNING
             self.relayed[r.ask.klass] += 1
             due = min(r.due, self.stop_at - STOP_MARGIN)
-            self.runs.spawn(r.ask.ident, r.ask.klass, r.ask.account, r.ask.body,
-                            r.spec.effect is not i.Effect.SAFE, due - self.now,
-                            r.ask.received + r.spec.aim - self.now)
+            self.runs.spawn(
+                r.ask.ident,
+                r.ask.klass,
+                r.ask.account,
+                r.ask.body,
+                r.spec.effect is not i.Effect.SAFE,
+                due - self.now,
+                r.ask.received + r.spec.aim - self.now,
+            )
 
     def _stop(self, a: i.Stop) -> None:
         r = self.requests.get(a.id)
--- a/saltcart/core/timers.py
+++ b/saltcart/core/timers.py
@@ -32,6 +32,6 @@
             try:
                 call(*args)
             except BaseException:
-                for entry in due[n + 1:]:  # one that fails must not take the others with it
+                for entry in due[n + 1 :]:  # one that fails must not take the others with it
                     heapq.heappush(self.heap, entry)
                 raise
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -101,11 +101,20 @@
     f = only(Fields(raw, where), "name", "members")
     members = []
     for n, item in enumerate(f.array("members")):
-        m = only(Fields(item, f"{where}.members[{n}]"), "host", "weight", "secret", "zone", "region",
-                 "capacity")
+        m = only(
+            Fields(item, f"{where}.members[{n}]"), "host", "weight", "secret", "zone", "region", "capacity"
+        )
         weight = m.number("weight", 1.0, low=0.001, high=1000)
-        members.append(MemberConf(place(m, "host"), weight, m.text("secret", ""), m.text("zone", ""),
-                                  m.text("region", ""), m.number("capacity", 0.0)))
+        members.append(
+            MemberConf(
+                place(m, "host"),
+                weight,
+                m.text("secret", ""),
+                m.text("zone", ""),
+                m.text("region", ""),
+                m.number("capacity", 0.0),
+            )
+        )
     if not members:
         raise WireError(f"{where}: field members is empty")
     if len({m.host for m in members}) != len(members):
@@ -133,8 +142,9 @@
         raise WireError("tenants: the shares add up to more than 1")
 
 
-def check_locality(locality: LocalitySettings, member: MemberSettings | None,
-                   upstreams: tuple[UpstreamConf, ...]) -> None:
+def check_locality(
+    locality: LocalitySettings, member: MemberSettings | None, upstreams: tuple[UpstreamConf, ...]
+) -> None:
     """What has to hold of zones, members and upstreams together; ``WireError`` says what does not."""
     if member is None:
         raise WireError("locality: zones are agreed on through [member], which is not there or off")
@@ -152,8 +162,12 @@
             raise WireError(f"upstream {upstream.name}: zone {m.zone} is in two regions")
 
 
-def check_fleet(fleet: FleetSettings, member: MemberSettings | None, upstreams: tuple[UpstreamConf, ...],
-                locality: LocalitySettings | None) -> None:
+def check_fleet(
+    fleet: FleetSettings,
+    member: MemberSettings | None,
+    upstreams: tuple[UpstreamConf, ...],
+    locality: LocalitySettings | None,
+) -> None:
     """The same of members that are shared out."""
     if member is None:
         raise WireError("fleet: members are shared out through [member], which is not there or off")
@@ -165,8 +179,18 @@
 
 def read(raw: Any) -> Deployment:
     try:
-        f = only(Fields(raw, "deployment"), "ajp", "admin", "upstream", "tenant", "storm", "member",
-                 "locality", "fleet", *PLANS)
+        f = only(
+            Fields(raw, "deployment"),
+            "ajp",
+            "admin",
+            "upstream",
+            "tenant",
+            "storm",
+            "member",
+            "locality",
+            "fleet",
+            *PLANS,
+        )
         ajp = admin = None
         if "ajp" in f.raw:
             a = only(f.part("ajp"), "enabled", "listen", "secret")
@@ -216,8 +240,17 @@
             fleet = read_fleet(f.part("fleet").raw)
             check_fleet(fleet, member, upstreams, locality)
             fleet = fleet if fleet.enabled else None
-        return Deployment(ajp, admin, upstreams, tenants, plans,
-                          storm if storm is not None and storm.enabled else None, member, locality, fleet)
+        return Deployment(
+            ajp,
+            admin,
+            upstreams,
+            tenants,
+            plans,
+            storm if storm is not None and storm.enabled else None,
+            member,
+            locality,
+            fleet,
+        )
     except WireError as error:
         raise ConfigError(str(error)) from None
 
--- a/saltcart/drill.py
+++ b/saltcart/drill.py
@@ -15,8 +15,14 @@
 from saltcart.settings import Fields, WireError, read_settings
 
 OUTCOMES = {
-    0: i.Outcome.OK, 5: i.Outcome.ERROR, 11: i.Outcome.REJECTED, 104: i.Outcome.BROKEN,
-    110: i.Outcome.TIMEOUT, 111: i.Outcome.UNREACHABLE, 114: i.Outcome.MOOT, 125: i.Outcome.CANCELLED,
+    0: i.Outcome.OK,
+    5: i.Outcome.ERROR,
+    11: i.Outcome.REJECTED,
+    104: i.Outcome.BROKEN,
+    110: i.Outcome.TIMEOUT,
+    111: i.Outcome.UNREACHABLE,
+    114: i.Outcome.MOOT,
+    125: i.Outcome.CANCELLED,
 }
 HINT_VALID, RETRY, WRITE = 1, 2, 4
 
@@ -48,11 +54,20 @@
             flags = f.integer("flags", 0)
             hint = f.number("sizeHint", None)
             return i.Arrived(
-                f.integer("msgId"), self.klass[name], f.number("sizeKb"), f.number("place", 0.0),
-                f.number("unreadFor", 0.0), f.number("left", None) or None, tenant,
-                hint if flags & HINT_VALID else None, f.text("targetKey", None),
-                bool(flags & RETRY), bool(flags & WRITE), f.integer("author", 0),
-                f.integer("sameAs", None) or None)
+                f.integer("msgId"),
+                self.klass[name],
+                f.number("sizeKb"),
+                f.number("place", 0.0),
+                f.number("unreadFor", 0.0),
+                f.number("left", None) or None,
+                tenant,
+                hint if flags & HINT_VALID else None,
+                f.text("targetKey", None),
+                bool(flags & RETRY),
+                bool(flags & WRITE),
+                f.integer("author", 0),
+                f.integer("sameAs", None) or None,
+            )
         if verb == "ring":
             values = f.array("serverStats", [])
             named: dict[str, float] = {}
--- a/saltcart/fleet/instance.py
+++ b/saltcart/fleet/instance.py
@@ -49,6 +49,7 @@
 
     def present(self) -> Sequence[str]:
         """The names of those present, sorted."""
+
     def post(self, topic: str, data: bytes) -> None: ...
     def give(self, name: str, topic: str, data: bytes) -> None: ...
 
@@ -60,8 +61,16 @@
 class Together:
     """``members``: the upstream's hosts and what each can do, requests a second; 0 for no limit."""
 
-    def __init__(self, conf: FleetSettings, members: Mapping[str, float], name: str, rng: random.Random,
-                 fleet: Fleet, load: Callable[[str], float], now: float) -> None:
+    def __init__(
+        self,
+        conf: FleetSettings,
+        members: Mapping[str, float],
+        name: str,
+        rng: random.Random,
+        fleet: Fleet,
+        load: Callable[[str], float],
+        now: float,
+    ) -> None:
         self.conf, self.members, self.name, self.rng = conf, members, name, rng
         self.fleet, self.load = fleet, load
         self.classes = min(conf.classes, max(1, len(members)))
@@ -151,13 +160,17 @@
         peers = [n for n in present if self.class_of(INSTANCES, n) == own]
         if not peers or peers[0] == self.name:
             self.reports[self.name] = now, told
-            self.reports = {n: (at, t) for n, (at, t) in self.reports.items()
-                            if now - at <= self.conf.stale and self.class_of(INSTANCES, n) == own}
+            self.reports = {
+                n: (at, t)
+                for n, (at, t) in self.reports.items()
+                if now - at <= self.conf.stale and self.class_of(INSTANCES, n) == own
+            }
             loads = Counter[int]()
             for _, one in self.reports.values():
                 loads.update(one.loads)
-            total = Sum(round(sum(t.demand for _, t in self.reports.values()), 3), len(self.reports),
-                        dict(loads))
+            total = Sum(
+                round(sum(t.demand for _, t in self.reports.values()), 3), len(self.reports), dict(loads)
+            )
             self.fleet.post(f"{SUM}{own}", _encoder.encode(total))
         else:
             self.fleet.give(peers[0], REPORT, _encoder.encode(told))
@@ -210,14 +223,26 @@
     # ---- what is shown ------------------------------------------------------------------------
 
     def figures(self) -> list[tuple[str, int]]:
-        return [("fleet.class", self.own), ("fleet.subset", len(self.subset)),
-                ("fleet.clients", self.clients()), ("fleet.refused", self.refused),
-                ("fleet.reconnected", self.reconnected)]
+        return [
+            ("fleet.class", self.own),
+            ("fleet.subset", len(self.subset)),
+            ("fleet.clients", self.clients()),
+            ("fleet.refused", self.refused),
+            ("fleet.reconnected", self.reconnected),
+        ]
 
     def state(self, now: float) -> dict[str, object]:
-        return {"class": self.own, "classes": self.classes, "subset": sorted(self.subset),
-                "clients": self.clients(), "limit": self.share.limit,
-                "share": round(self.share.rate(now, self.clients()), 3),
-                "sums": {str(c): {"demand": s.demand, "clients": s.clients, "ago": round(now - at, 1)}
-                         for c, (at, s) in self.sums.items()},
-                "refused": self.refused, "reconnected": self.reconnected}
+        return {
+            "class": self.own,
+            "classes": self.classes,
+            "subset": sorted(self.subset),
+            "clients": self.clients(),
+            "limit": self.share.limit,
+            "share": round(self.share.rate(now, self.clients()), 3),
+            "sums": {
+                str(c): {"demand": s.demand, "clients": s.clients, "ago": round(now - at, 1)}
+                for c, (at, s) in self.sums.items()
+            },
+            "refused": self.refused,
+            "reconnected": self.reconnected,
+        }
--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -41,6 +41,12 @@
         return True
 
     def write(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
-        self.send(ajp.response(
-            status, http1.REASONS.get(status, b"Unknown"),
-            [(name.encode(), value.encode()) for name, value in fields], body, self.keep_alive))
+        self.send(
+            ajp.response(
+                status,
+                http1.REASONS.get(status, b"Unknown"),
+                [(name.encode(), value.encode()) for name, value in fields],
+                body,
+                self.keep_alive,
+            )
+        )
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -97,16 +97,26 @@
     def hand_over(self) -> bool:
         """Pass the connection to the process that takes over, unless a request or an end is under way."""
         heir, transport = self.listener.heir, self.transport
-        if heir is None or transport is None or transport.is_closing() or self.open or self.ending or (
-                not self.keep_alive or transport.get_write_buffer_size()):
+        if (
+            heir is None
+            or transport is None
+            or transport.is_closing()
+            or self.open
+            or self.ending
+            or (not self.keep_alive or transport.get_write_buffer_size())
+        ):
             return False
         rest = self.unread()
         return rest is not None and heir(self, rest)
 
     def able(self) -> bool:
         """Whether a further request may be read: one at a time, and none for a peer that reads no answers."""
-        return not self.open and self not in self.listener.blocked and not self.ending and (
-            self.transport is not None and not self.transport.is_closing())
+        return (
+            not self.open
+            and self not in self.listener.blocked
+            and not self.ending
+            and (self.transport is not None and not self.transport.is_closing())
+        )
 
     def received(self) -> None:
         if not self.open:
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -22,8 +22,14 @@
 LONGEST_NAME = 256  # bytes: where no tenants are told an account may be any, and is kept with its keys
 
 
-def number(headers: Mapping[bytes, bytes], name: bytes, default: float | None, low: float,
-           high: float, form: re.Pattern[bytes] = NUMBER) -> float:
+def number(
+    headers: Mapping[bytes, bytes],
+    name: bytes,
+    default: float | None,
+    low: float,
+    high: float,
+    form: re.Pattern[bytes] = NUMBER,
+) -> float:
     text = headers.get(name)
     if text is None:
         if default is None:
@@ -69,11 +75,20 @@
     ahead = service.ahead()
     now = service.clock() - ahead  # on the Unix clock, by which the field is written
     oldest = max(OLDEST, 2 * service.longest)
-    received = ahead + number(
-        headers, b"received-at", None, (now - oldest) * 1000, (now + NEWEST) * 1000) / 1000
+    received = (
+        ahead + number(headers, b"received-at", None, (now - oldest) * 1000, (now + NEWEST) * 1000) / 1000
+    )
     return Ask(
-        ident, klass, account, received, None if math.isnan(budget) else budget / 1000,
+        ident,
+        klass,
+        account,
+        received,
+        None if math.isnan(budget) else budget / 1000,
         number(headers, b"footprint-kb", None, 1e-9, math.nextafter(2000, 0)),
         number(headers, b"priority-rank", 0.0, 0, math.nextafter(1, 0)),
-        None if math.isnan(cost) else cost / 1000, int(number(headers, b"sent-by", 0, 0, 1e9, DIGITS)),
-        key, None if subject is None else subject.decode("latin-1"), body=body)
+        None if math.isnan(cost) else cost / 1000,
+        int(number(headers, b"sent-by", 0, 0, 1e9, DIGITS)),
+        key,
+        None if subject is None else subject.decode("latin-1"),
+        body=body,
+    )
--- a/saltcart/importer/modjk.py
+++ b/saltcart/importer/modjk.py
@@ -87,8 +87,12 @@
             self.report.add(self.file, s["activation"].line, f"worker {worker} is out of use and left out")
         else:
             try:
-                return member(value("host", "localhost"), value("port", "8009"), value("lbfactor", "1"),
-                              value("secret", ""))
+                return member(
+                    value("host", "localhost"),
+                    value("port", "8009"),
+                    value("lbfactor", "1"),
+                    value("secret", ""),
+                )
             except ValueError as error:
                 self.report.add(self.file, min(x.line for x in s.values()), f"worker {worker}: {error}")
         return None
@@ -99,8 +103,9 @@
     workers, out = Workers(file, text, report), list[UpstreamConf]()
     if not workers.listed:
         report.add(file, 1, "worker.list is missing: every balancer is taken")
-        workers.listed = [(name, 1) for name, s in workers.settings.items()
-                          if "type" in s and s["type"].value == "lb"]
+        workers.listed = [
+            (name, 1) for name, s in workers.settings.items() if "type" in s and s["type"].value == "lb"
+        ]
     used = set[str]()
     for name, line in workers.listed:
         s = workers.resolved(name)
@@ -116,8 +121,9 @@
             out.append(upstream(name, found))
         except ValueError as error:
             report.add(file, line, str(error))
-    templates = {s["reference"].value.removeprefix("worker.")
-                 for s in workers.settings.values() if "reference" in s}
+    templates = {
+        s["reference"].value.removeprefix("worker.") for s in workers.settings.values() if "reference" in s
+    }
     for name in workers.settings.keys() - used - templates:
         first = min(x.line for x in workers.settings[name].values())
         report.add(file, first, f"worker {name} is not listed and was left out")
--- a/saltcart/interface.py
+++ b/saltcart/interface.py
@@ -225,8 +225,19 @@
     sockets: float | None = None
 
 
-Event = (Started | Arrived | Finished | Abandoned | AtCall | CallEnded | Leaving | Tenants | Beside |
-         Restarted | Woken)
+Event = (
+    Started
+    | Arrived
+    | Finished
+    | Abandoned
+    | AtCall
+    | CallEnded
+    | Leaving
+    | Tenants
+    | Beside
+    | Restarted
+    | Woken
+)
 
 
 # ---- actions --------------------------------------------------------------------------------
@@ -338,6 +349,18 @@
 
 
 Action = (
-    Run | Stop | TurnAway | Fail | Call | SkipCall | Keep | Release | Share
-    | Health | Advise | IdleClose | Wake | Note
+    Run
+    | Stop
+    | TurnAway
+    | Fail
+    | Call
+    | SkipCall
+    | Keep
+    | Release
+    | Share
+    | Health
+    | Advise
+    | IdleClose
+    | Wake
+    | Note
 )
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -36,8 +36,9 @@
 
 
 class NoSecond(Judge):
-    def beside_at(self, now: float, part: Part, dependency: Dependency,
-                  other: Dependency | None) -> float | None:
+    def beside_at(
+        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+    ) -> float | None:
         return None
 
 
@@ -52,8 +53,9 @@
             self.base = base = min(base * 1.001, took)
         ratio = max(0.5, min(1.0, 2 * base / took))
         aimed = before * ratio + sqrt(before)
-        self.limit.value = max(float(self.limit.least), min(
-            float(self.limit.most), before + self.SMOOTH * (aimed - before)))
+        self.limit.value = max(
+            float(self.limit.least), min(float(self.limit.most), before + self.SMOOTH * (aimed - before))
+        )
 
 
 def change(game: Play, variant: str) -> None:
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -57,8 +57,9 @@
     def fits(self, now: float, part: Part, dependency: Dependency) -> bool:
         return now < part.until
 
-    def beside_at(self, now: float, part: Part, dependency: Dependency,
-                  other: Dependency | None) -> float | None:
+    def beside_at(
+        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+    ) -> float | None:
         return None
 
     def again(self, now: float, part: Part, dependency: Dependency) -> bool:
@@ -86,8 +87,10 @@
 
     def stage(self, now: float, run: Run) -> Limits | None:
         horizon = run.aim_at - run.plan.reserve_ms / 1000
-        later = sum(max((self._took(now, run, c.dependency) for c in stage.call if c.required), default=0.0)
-                    for stage in run.plan.stage[run.stage + 1:])
+        later = sum(
+            max((self._took(now, run, c.dependency) for c in stage.call if c.required), default=0.0)
+            for stage in run.plan.stage[run.stage + 1 :]
+        )
         return Limits(horizon, horizon - later)
 
     def fits(self, now: float, part: Part, dependency: Dependency) -> bool:
@@ -141,8 +144,9 @@
 class ModelRuns:
     """The runs port in the model: the desk's orders carried out on model dependencies."""
 
-    def __init__(self, events: Events, service: Service, desk: Desk, places: dict[str, ModelDependency],
-                 tally: Tally) -> None:
+    def __init__(
+        self, events: Events, service: Service, desk: Desk, places: dict[str, ModelDependency], tally: Tally
+    ) -> None:
         self.events, self.service, self.desk, self.places, self.tally = events, service, desk, places, tally
         self.presses, self.orders = True, Orders(self._carry_out)
         self.ticks = Ticks(events, desk.next_due, lambda: self.do(desk.tick, events.now))
@@ -156,8 +160,9 @@
             case Send():
                 self._send(order)
             case Ended():
-                self.service.run_ended(order.ident, order.outcome, order.took, order.body,
-                                       order.left_out, order.remembered)
+                self.service.run_ended(
+                    order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
+                )
             case GiveUp():
                 pass  # the worker goes on with it; its reply finds nobody
 
@@ -167,14 +172,17 @@
             replies = self.desk.runs[order.run].replies
             self.tally.writes_partial += any(m is not Mark.DONE for m, _ in replies.values())
         self.places[order.dependency].call(
-            self.events.now, request_of(order.run),
-            lambda when, outcome: self.events.at(when, self._told, order.ident, outcome))
+            self.events.now,
+            request_of(order.run),
+            lambda when, outcome: self.events.at(when, self._told, order.ident, outcome),
+        )
 
     def _told(self, ident: bytes, outcome: Outcome) -> None:
         self.do(self.desk.reply, self.events.now, ident, outcome, b'{"ok":1}')
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         now, (aim, within) = self.events.now, self.service.usable(aim, within)
         self.do(self.desk.start, now, ident, klass, account, body, now + aim, now + within)
 
@@ -206,11 +214,19 @@
         self.ranks, self.leaves = rng.random(count).tolist(), rng.random((count, 2)).tolist()
         self.events = events = Events()
         self.origin = events.now
-        self.service = Service(self.settings, ("cpu_busy", "runnable"), seed, events.clock,
-                               lambda event, **fields: None, key_room=1 << 30)
+        self.service = Service(
+            self.settings,
+            ("cpu_busy", "runnable"),
+            seed,
+            events.clock,
+            lambda event, **fields: None,
+            key_room=1 << 30,
+        )
         plans = office_plans(self.settings)
-        self.places = {name: ModelDependency(name, *place, count, seed, events.now)
-                       for name, place in offices.PLACES.items()}
+        self.places = {
+            name: ModelDependency(name, *place, count, seed, events.now)
+            for name, place in offices.PLACES.items()
+        }
         for name, trouble in day.troubles.items():
             self.places[name].troubles.append(trouble)
         self.desk = Desk(plans, seed, self.settings.classes)
@@ -251,8 +267,17 @@
         now, spec = self.events.now, self.settings.classes[self.kinds[n]]
         keyed = spec.effect is Effect.KEYED
         ident = b"%016x" % (n + (nth << 32))
-        ask = Ask(ident, spec.name, "", now, spec.deadline, 10.0, self.ranks[n],
-                  key=b"k%d" % n if keyed else None, body=b'{"n":%d}' % n)
+        ask = Ask(
+            ident,
+            spec.name,
+            "",
+            now,
+            spec.deadline,
+            10.0,
+            self.ranks[n],
+            key=b"k%d" % n if keyed else None,
+            body=b'{"n":%d}' % n,
+        )
         gone, chance = self.leaves[n]
         if not nth:
             self.tally.offered += spec.worth
@@ -303,19 +328,42 @@
     with ProcessPoolExecutor() as pool:
         tallies = dict(zip([(names[j[0]], j[1]) for j in jobs], pool.map(play, jobs)))
     seen = {name: {p: tallies[name, p] for p in POLICIES} for name in names}
-    rows = [["day", "policy", "kept", "worth", "whole", "partial", "refused", "failed", "p50 ms", "p99 ms",
-             "load"]]
+    rows = [
+        [
+            "day",
+            "policy",
+            "kept",
+            "worth",
+            "whole",
+            "partial",
+            "refused",
+            "failed",
+            "p50 ms",
+            "p99 ms",
+            "load",
+        ]
+    ]
     for name, by_policy in seen.items():
         for policy, t in by_policy.items():
             v = t.verdicts
-            rows.append([
-                name, policy, f"{kept(by_policy, policy):.3f}", f"{t.earned / t.offered:.3f}",
-                *(str(v[k]) for k in ("served", "partial", "refused", "failed")), f"{t.median_ms:.0f}",
-                f"{t.p99_ms:.0f}", f"{t.load_factor:.2f}"])
+            rows.append(
+                [
+                    name,
+                    policy,
+                    f"{kept(by_policy, policy):.3f}",
+                    f"{t.earned / t.offered:.3f}",
+                    *(str(v[k]) for k in ("served", "partial", "refused", "failed")),
+                    f"{t.median_ms:.0f}",
+                    f"{t.p99_ms:.0f}",
+                    f"{t.load_factor:.2f}",
+                ]
+            )
     cost = deciding_cost(COST_RUNS if quick else MANY_RUNS, seed)
     ours = [by_policy["budgets"] for by_policy in seen.values()]
     figures = {
-        "kept": least(seen, "budgets"), "kept_fixed": least(seen, "fixed"), "kept_none": least(seen, "none"),
+        "kept": least(seen, "budgets"),
+        "kept_fixed": least(seen, "fixed"),
+        "kept_none": least(seen, "none"),
         "writes_partial": sum(t.writes_partial for t in ours),
         "writes_twice": sum(t.writes_twice for t in ours),
         "late": sum(t.late + t.unanswered for t in ours),
@@ -323,7 +371,8 @@
         **cost,
         "requests_per_s": round(sum(t.requests for t in ours) / sum(t.took for t in ours)),
         "by_day": {name: round(kept(by_policy, "budgets"), 3) for name, by_policy in seen.items()},
-        "seed": seed, "seconds": seconds,
+        "seed": seed,
+        "seconds": seconds,
     }
     return rows, figures, seen
 
@@ -355,8 +404,12 @@
         if n % (runs // 4) == runs // 4 - 1:
             peaks.append(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)
     took = time.process_time() - begun
-    return {"us_per_call": round(1e6 * took / sent, 1), "cost_runs": runs, "runs_left_open": len(desk.runs),
-            "memory_growth_kb": peaks[-1] - peaks[0]}
+    return {
+        "us_per_call": round(1e6 * took / sent, 1),
+        "cost_runs": runs,
+        "runs_left_open": len(desk.runs),
+        "memory_growth_kb": peaks[-1] - peaks[0],
+    }
 
 
 def kept(by_policy: dict[str, Tally], policy: str) -> float:
--- a/saltcart/lab/dependency.py
+++ b/saltcart/lab/dependency.py
@@ -45,8 +45,9 @@
     Times are lognormal and drawn beforehand for each request and try: every policy meets the same luck.
     """
 
-    def __init__(self, name: str, workers: int, median: float, spread: float, requests: int, seed: int,
-                 origin: float) -> None:
+    def __init__(
+        self, name: str, workers: int, median: float, spread: float, requests: int, seed: int, origin: float
+    ) -> None:
         rng = np.random.default_rng([seed, int.from_bytes(name.encode()[:8], "little")])
         shape = (requests, ASKED_AT_MOST)
         self.times = rng.lognormal(np.log(median), spread, shape).tolist()
--- a/saltcart/lab/experiments.py
+++ b/saltcart/lab/experiments.py
@@ -40,9 +40,17 @@
     rows, figures, days = experiment.run(choice.quick, choice.seed)
     print(report.table(rows))
     if choice.plot is not None:
-        report.plot_lines(choice.plot, {
-            day: {policy: [t.by_second[s] for s in range(int(figures["seconds"]))]
-                  for policy, t in by_policy.items()} for day, by_policy in days.items()}, "worth earned")
+        report.plot_lines(
+            choice.plot,
+            {
+                day: {
+                    policy: [t.by_second[s] for s in range(int(figures["seconds"]))]
+                    for policy, t in by_policy.items()
+                }
+                for day, by_policy in days.items()
+            },
+            "worth earned",
+        )
     return figures
 
 
@@ -124,6 +132,14 @@
 
 
 EXPERIMENTS: dict[str, Callable[[Choice], dict[str, Any]]] = {
-    "budgets": budgets, "storm": storm, "members": members, "views": views,
-    "zones": zones, "subsets": subsets,
-    "ablations": ablations, "sketch": sketch, "filters": filters, "clock": clock}
+    "budgets": budgets,
+    "storm": storm,
+    "members": members,
+    "views": views,
+    "zones": zones,
+    "subsets": subsets,
+    "ablations": ablations,
+    "sketch": sketch,
+    "filters": filters,
+    "clock": clock,
+}
--- a/saltcart/lab/faults/links.py
+++ b/saltcart/lab/faults/links.py
@@ -63,8 +63,9 @@
         self.rules: dict[tuple[int, int], Rule] = {}
         self.luck = {(a, b): random.Random(f"{seed} {a} {b}") for a in range(count) for b in range(count)}
 
-    def set(self, rule: Rule, sender: int | None = None, receiver: int | None = None,
-            both: bool = False) -> None:
+    def set(
+        self, rule: Rule, sender: int | None = None, receiver: int | None = None, both: bool = False
+    ) -> None:
         for a in range(self.count) if sender is None else (sender,):
             for b in range(self.count) if receiver is None else (receiver,):
                 self.rules[a, b] = rule
@@ -120,7 +121,9 @@
         for number in range(self.links.count):
             door = Door(self, number)
             transport, _ = await self.loop.create_datagram_endpoint(
-                lambda door=door: door, local_addr=("127.0.0.1", 0))  # type: ignore[misc]
+                lambda door=door: door,  # type: ignore[misc]
+                local_addr=("127.0.0.1", 0),
+            )
             self.doors.append(door)
             self.addresses.append(f"127.0.0.1:{transport.get_extra_info('sockname')[1]}")
 
--- a/saltcart/lab/faults/members.py
+++ b/saltcart/lab/faults/members.py
@@ -41,6 +41,7 @@
 
     async def look(self) -> list[dict[str, Any] | None]:
         """The view of each process that is up and answers."""
+
         async def one(program: Program) -> dict[str, Any] | None:
             return await program.admin("/v1/members") if program.up else None
 
@@ -77,8 +78,14 @@
 
     def told(self, observer: Program, name: str, state: str, since: float) -> float | None:
         """When a process first took another for this, by its own log."""
-        return next((e["at"] for e in observer.events if e["event"] == "member" and e["name"] == name
-                     and e["state"] == state and e["at"] >= since), None)
+        return next(
+            (
+                e["at"]
+                for e in observer.events
+                if e["event"] == "member" and e["name"] == name and e["state"] == state and e["at"] >= since
+            ),
+            None,
+        )
 
     def detection(self, victim: int, since: float) -> list[float | None]:
         """Seconds until each live process took the victim for dead."""
@@ -99,8 +106,12 @@
         by_name = {p.name: p for p in self.programs}
         for program in self.programs:
             for e in program.events:
-                if e["event"] == "member" and e["state"] == "dead" and e["name"] in by_name and (
-                        not any(a <= e["at"] <= b for a, b in cut) and by_name[e["name"]].well(e["at"], 3.0)):
+                if (
+                    e["event"] == "member"
+                    and e["state"] == "dead"
+                    and e["name"] in by_name
+                    and (not any(a <= e["at"] <= b for a, b in cut) and by_name[e["name"]].well(e["at"], 3.0))
+                ):
                     wrong.add((e["name"], e["incarnation"]))
         return len(wrong)
 
@@ -122,12 +133,25 @@
 
     def make(number: int, folder: Path) -> Program:
         seeds = [a for n, a in enumerate(relay.addresses[:SEEDS]) if n != number]
-        member = {"listen": "127.0.0.1:0", "cluster": "rig", "advertise": relay.addresses[number],
-                  "seeds": seeds, "zone": f"z{number % 3}", **more}
-        return Program(f"m{number}", folder, {
-            "listen": "127.0.0.1:0", "seed": f"{seed * 1000 + number:x}", "settings": settings(CLASSES),
-            "limits": {"sockets": 256}},
-            {"admin": {"listen": "127.0.0.1:0", "token": TOKEN}, "member": member})
+        member = {
+            "listen": "127.0.0.1:0",
+            "cluster": "rig",
+            "advertise": relay.addresses[number],
+            "seeds": seeds,
+            "zone": f"z{number % 3}",
+            **more,
+        }
+        return Program(
+            f"m{number}",
+            folder,
+            {
+                "listen": "127.0.0.1:0",
+                "seed": f"{seed * 1000 + number:x}",
+                "settings": settings(CLASSES),
+                "limits": {"sockets": 256},
+            },
+            {"admin": {"listen": "127.0.0.1:0", "token": TOKEN}, "member": member},
+        )
 
     try:
         async with fleet(count, make) as programs:
--- a/saltcart/lab/faults/plays.py
+++ b/saltcart/lab/faults/plays.py
@@ -101,8 +101,12 @@
         r.programs[victim].resume()
         await asyncio.sleep(3.0)
     views = await r.look()
-    told.refuted = sum(e["state"] == "alive" and e["before"] == "suspect"
-                       for p in r.programs for e in p.events if e["event"] == "member")
+    told.refuted = sum(
+        e["state"] == "alive" and e["before"] == "suspect"
+        for p in r.programs
+        for e in p.events
+        if e["event"] == "member"
+    )
     told.deaths += sum(m["state"] == "dead" for v in views if v for m in v["members"])
 
 
@@ -170,11 +174,19 @@
 
 
 PLAYS = (
-    Play("crash 5", 5, crashes), Play("crash 9", 9, crashes), Play("crash 25", 25, crashes),
+    Play("crash 5", 5, crashes),
+    Play("crash 9", 9, crashes),
+    Play("crash 25", 25, crashes),
     Play("crash 25 again", 25, crashes),
-    Play("restart 5", 5, quick_restarts), Play("pause 5", 5, pauses), Play("one way 5", 5, one_way),
-    Play("partition 5", 5, partition), Play("loss 25", 25, lossy), Play("join 15", 15, join_storm, first=5),
-    Play("slow 9", 9, slow_node), Play("muddle 9", 9, muddle))
+    Play("restart 5", 5, quick_restarts),
+    Play("pause 5", 5, pauses),
+    Play("one way 5", 5, one_way),
+    Play("partition 5", 5, partition),
+    Play("loss 25", 25, lossy),
+    Play("join 15", 15, join_storm, first=5),
+    Play("slow 9", 9, slow_node),
+    Play("muddle 9", 9, muddle),
+)
 
 
 async def run(play: Play, seed: int) -> Told:
@@ -182,7 +194,7 @@
     told = Told()
     async with rig(play.members, seed) as r:
         await r.start(None if play.first is None else range(play.first))
-        first = r.names() if play.first is None else {p.name for p in r.programs[:play.first]}
+        first = r.names() if play.first is None else {p.name for p in r.programs[: play.first]}
         told.settled = await r.settle(first, SETTLE) is not None
         watcher = asyncio.get_running_loop().create_task(watch(r, told))
         try:
--- a/saltcart/lab/faults/programs.py
+++ b/saltcart/lab/faults/programs.py
@@ -68,13 +68,28 @@
             caller.abort()
 
 
-def request(klass: str, number: int, body: bytes, budget: float, rank: float, account: str = "",
-            key: str = "", size_kb: int = 10) -> bytes:
+def request(
+    klass: str,
+    number: int,
+    body: bytes,
+    budget: float,
+    rank: float,
+    account: str = "",
+    key: str = "",
+    size_kb: int = 10,
+) -> bytes:
     """A request of the protocol on a connection of its own; ``budget`` in seconds from now."""
-    named = {"Request-Id": f"{number:016x}", "Account": account, "Received-At": f"{time.time() * 1000:.0f}",
-             "Budget-Ms": f"{budget * 1000:.0f}", "Footprint-Kb": str(size_kb),
-             "Priority-Rank": f"{rank:.6f}", "Once-Key": key, "Content-Length": str(len(body)),
-             "Connection": "close"}
+    named = {
+        "Request-Id": f"{number:016x}",
+        "Account": account,
+        "Received-At": f"{time.time() * 1000:.0f}",
+        "Budget-Ms": f"{budget * 1000:.0f}",
+        "Footprint-Kb": str(size_kb),
+        "Priority-Rank": f"{rank:.6f}",
+        "Once-Key": key,
+        "Content-Length": str(len(body)),
+        "Connection": "close",
+    }
     head = "".join(f"{name}: {value}\r\n" for name, value in named.items() if value)
     return f"POST /call/{klass} HTTP/1.1\r\nHost: lab\r\n{head}\r\n".encode() + body
 
@@ -114,12 +129,17 @@
                 self.deployment[front] = {**self.deployment[front], "listen": at}
         config.write_text(json.dumps(self.config))
         deployment.write_text(tomli_w.dumps(self.deployment))
-        environment = {"PATH": os.environ["PATH"], "PYTHONPATH": os.pathsep.join(sys.path),
-                       "BALANCER_CONFIG": str(config), "SALTCART_DEPLOYMENT": str(deployment),
-                       "TMPDIR": str(scratch)}
+        environment = {
+            "PATH": os.environ["PATH"],
+            "PYTHONPATH": os.pathsep.join(sys.path),
+            "BALANCER_CONFIG": str(config),
+            "SALTCART_DEPLOYMENT": str(deployment),
+            "TMPDIR": str(scratch),
+        }
         self.life_at = len(self.events)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "saltcart", env=environment, stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "saltcart", env=environment, stdout=asyncio.subprocess.PIPE
+        )
         self.lives.append((time.time(), float("inf")))
         self.reader = asyncio.get_running_loop().create_task(self._read(self.process))
         fronts = {"http"} | {f for f in ("admin", "member", "ajp") if f in self.deployment}
@@ -128,7 +148,7 @@
             self.addresses[event["front"]] = event["address"]
 
     def of_this_life(self, event: str) -> list[dict[str, Any]]:
-        return [e for e in self.events[self.life_at:] if e["event"] == event]
+        return [e for e in self.events[self.life_at :] if e["event"] == event]
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
@@ -205,8 +225,9 @@
         """What the administration API answers; None where it does not answer, or does not listen yet."""
         if "admin" not in self.addresses:
             return None
-        data = (f"GET {path} HTTP/1.1\r\nHost: rig\r\nAuthorization: Bearer {TOKEN}\r\n"
-                f"Connection: close\r\n\r\n").encode()
+        data = (
+            f"GET {path} HTTP/1.1\r\nHost: rig\r\nAuthorization: Bearer {TOKEN}\r\nConnection: close\r\n\r\n"
+        ).encode()
         try:
             answer = await call(self.addresses["admin"], data, CALL_WAIT)
         except (OSError, TimeoutError):
@@ -243,8 +264,19 @@
 
 def settings(classes: list[dict[str, Any]], cores: int = 4) -> dict[str, Any]:
     """The platform's settings for a program of the rig."""
-    return {"services": classes,
-            "extra": {"cores": cores, "memLimitKb": 500_000.0, "signal": "level", "preemption": "drop",
-                      "runFactor": 4.0, "keyKb": 5.0, "gauges": ["cpu_busy", "runnable"], "idle": 30.0},
-            "contract": {"answerSlack": 0.08, "drainGrace": 0.5, "fall": 2.0, "fallMultiple": 8.0},
-            "limits": {}, "quantum": 0.005}
+    return {
+        "services": classes,
+        "extra": {
+            "cores": cores,
+            "memLimitKb": 500_000.0,
+            "signal": "level",
+            "preemption": "drop",
+            "runFactor": 4.0,
+            "keyKb": 5.0,
+            "gauges": ["cpu_busy", "runnable"],
+            "idle": 30.0,
+        },
+        "contract": {"answerSlack": 0.08, "drainGrace": 0.5, "fall": 2.0, "fallMultiple": 8.0},
+        "limits": {},
+        "quantum": 0.005,
+    }
--- a/saltcart/lab/faults/subsets.py
+++ b/saltcart/lab/faults/subsets.py
@@ -56,15 +56,28 @@
 
     def make(self, number: int, folder: Path) -> Program:
         members = [{"host": s.address, "capacity": CAPACITY} for s in self.stand_ins]
-        return Program(f"s{number:02}", folder, {
-            "listen": "127.0.0.1:0", "seed": f"{number + 3:x}", "settings": settings(CLASSES, 8),
-            "limits": {"sockets": 512}}, {
-            "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
-            "member": {"listen": "127.0.0.1:0", "cluster": "subsets",
-                       "advertise": self.relay.addresses[number], "seeds": self.relay.addresses[:3]},
-            "upstream": [{"name": "work", "members": members}],
-            "fleet": {"upstream": "work", "classes": GROUPS},
-            "tenant": [{"name": "rig", "share": 1.0, "quota": 10_000.0}]})
+        return Program(
+            f"s{number:02}",
+            folder,
+            {
+                "listen": "127.0.0.1:0",
+                "seed": f"{number + 3:x}",
+                "settings": settings(CLASSES, 8),
+                "limits": {"sockets": 512},
+            },
+            {
+                "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
+                "member": {
+                    "listen": "127.0.0.1:0",
+                    "cluster": "subsets",
+                    "advertise": self.relay.addresses[number],
+                    "seeds": self.relay.addresses[:3],
+                },
+                "upstream": [{"name": "work", "members": members}],
+                "fleet": {"upstream": "work", "classes": GROUPS},
+                "tenant": [{"name": "rig", "share": 1.0, "quota": 10_000.0}],
+            },
+        )
 
     async def start(self, numbers: range) -> None:
         await start_all([self.programs[n] for n in numbers])
@@ -88,8 +101,9 @@
         self.told.settled &= same >= STILL
         counts = self.clients(states)
         spread = max(counts) / max(1, min(counts))
-        anew = sum(len(set(s["subset"]) - set(before[n]["subset"] if n in before else ()))
-                   for n, s in states.items())
+        anew = sum(
+            len(set(s["subset"]) - set(before[n]["subset"] if n in before else ())) for n, s in states.items()
+        )
         self.told.steps.append((name, round(spread, 3), anew, round(anew / max(1, best), 2)))
         return states
 
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -44,10 +44,14 @@
 
 
 STALL = 2.5  # seconds
-PLAYS = (Play("zone lost", 45.0, 8.0, 18.0), Play("half slow", 30.0, 8.0, 28.0),
-         Play("cut", 40.0, 8.0, 20.0), Play("flap", 40.0, 8.0, 38.0),
-         Play("region lost", 60.0, 8.0, 20.0, (0, 1, 2), ("r0", "r0", "r0", "r1", "r1", "r1"), 12),
-         Play("views apart", 30.0, 8.0, 26.0, stalled=(3, 7)))
+PLAYS = (
+    Play("zone lost", 45.0, 8.0, 18.0),
+    Play("half slow", 30.0, 8.0, 28.0),
+    Play("cut", 40.0, 8.0, 20.0),
+    Play("flap", 40.0, 8.0, 38.0),
+    Play("region lost", 60.0, 8.0, 20.0, (0, 1, 2), ("r0", "r0", "r0", "r1", "r1", "r1"), 12),
+    Play("views apart", 30.0, 8.0, 26.0, stalled=(3, 7)),
+)
 
 
 @dataclass
@@ -114,19 +118,40 @@
         return act
 
     def make(self, number: int, folder: Path) -> Program:
-        members = [{"host": self.stand_ins[number, m].address, "zone": f"z{m // MEMBERS}",
-                    "region": self.play.regions[m // MEMBERS], "capacity": CAPACITY}
-                   for m in range(self.zones * MEMBERS)]
+        members = [
+            {
+                "host": self.stand_ins[number, m].address,
+                "zone": f"z{m // MEMBERS}",
+                "region": self.play.regions[m // MEMBERS],
+                "capacity": CAPACITY,
+            }
+            for m in range(self.zones * MEMBERS)
+        ]
         zone = number % self.zones
-        return Program(f"i{number}", folder, {
-            "listen": "127.0.0.1:0", "seed": f"{number + 7:x}", "settings": settings(CLASSES, 8),
-            "limits": {"sockets": 512}}, {
-            "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
-            "member": {"listen": "127.0.0.1:0", "cluster": "zones", "advertise": self.relay.addresses[number],
-                       "seeds": self.relay.addresses[:3], "zone": f"z{zone}",
-                       "region": self.play.regions[zone]},
-            "upstream": [{"name": "work", "members": members}], "locality": {"upstream": "work"},
-            "tenant": [{"name": "rig", "share": 1.0, "quota": 10_000.0}]})
+        return Program(
+            f"i{number}",
+            folder,
+            {
+                "listen": "127.0.0.1:0",
+                "seed": f"{number + 7:x}",
+                "settings": settings(CLASSES, 8),
+                "limits": {"sockets": 512},
+            },
+            {
+                "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
+                "member": {
+                    "listen": "127.0.0.1:0",
+                    "cluster": "zones",
+                    "advertise": self.relay.addresses[number],
+                    "seeds": self.relay.addresses[:3],
+                    "zone": f"z{zone}",
+                    "region": self.play.regions[zone],
+                },
+                "upstream": [{"name": "work", "members": members}],
+                "locality": {"upstream": "work"},
+                "tenant": [{"name": "rig", "share": 1.0, "quota": 10_000.0}],
+            },
+        )
 
     @asynccontextmanager
     async def opened(self) -> AsyncIterator[None]:
@@ -175,12 +200,17 @@
                 group.create_task(self.request(at, self.luck.randrange(self.instances)))
         plans = [e for p in self.programs for e in p.events if e["event"] == "locality-plan"]
         # One plan is told by each process that took it up; the number and its author name it.
-        rows = [tuple(sorted((z, *sorted(r.items())) for z, r in e["rows"].items()))
-                for e in sorted(plans, key=lambda e: e["at"])]
+        rows = [
+            tuple(sorted((z, *sorted(r.items())) for z, r in e["rows"].items()))
+            for e in sorted(plans, key=lambda e: e["at"])
+        ]
         told.moves = sum(a != b for a, b in zip([(), *dict.fromkeys(rows)], dict.fromkeys(rows)))
-        away = [1000 - e["rows"].get("z0", {"z0": 1000}).get("z0", 0) for e in
-                sorted((e for e in self.programs[0].events if e["event"] == "locality-plan"),
-                       key=lambda e: e["at"])]
+        away = [
+            1000 - e["rows"].get("z0", {"z0": 1000}).get("z0", 0)
+            for e in sorted(
+                (e for e in self.programs[0].events if e["event"] == "locality-plan"), key=lambda e: e["at"]
+            )
+        ]
         told.swings = sum((a < 500) != (b < 500) for a, b in zip([0, *away], away))
         await asyncio.sleep(AFTER)
         states = [s for s in await self.states() if s is not None]
@@ -195,8 +225,9 @@
                 break
         for zone in range(self.zones):
             sites = [s for s in self.sites if s.zone == zone]
-            told.over += sum(sum(s.came[n] for s in sites) > 1.2 * MEMBERS * CAPACITY
-                             for n in range(int(play.seconds)))
+            told.over += sum(
+                sum(s.came[n] for s in sites) > 1.2 * MEMBERS * CAPACITY for n in range(int(play.seconds))
+            )
 
     async def request(self, at: float, instance: int) -> None:
         await asyncio.sleep(max(0.0, self.begun + at - time.time()))
@@ -253,8 +284,12 @@
             self.sites[0].slow = self.sites[1].slow = 1.0
         elif play.name == "cut":
             self.links.between(Rule(cut=True), mine)
-            self.cut = {(n, m) for n in range(self.instances) for m in range(self.zones * MEMBERS)
-                        if (n in mine) != (m < MEMBERS)}
+            self.cut = {
+                (n, m)
+                for n in range(self.instances)
+                for m in range(self.zones * MEMBERS)
+                if (n in mine) != (m < MEMBERS)
+            }
             await self.until(play.end)
             self.links.clear()
             self.cut = set()
@@ -273,6 +308,7 @@
 
 def play(job: tuple[int, int]) -> Told:
     """A play by its number in ``PLAYS``, in a process of its own."""
+
     async def run() -> Told:
         return await Rig(PLAYS[job[0]], job[1]).run()
 
--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -136,8 +136,9 @@
         self.members: list[Detector] = []
         self.ticks: list[Ticks] = []
         for n in range(day.members):
-            made = Detector(conf, f"m{n}", f"h:{n}", random.Random(self.luck.random()), self.events.now, 1,
-                            roster)
+            made = Detector(
+                conf, f"m{n}", f"h:{n}", random.Random(self.luck.random()), self.events.now, 1, roster
+            )
             made.changed = lambda change, n=n: self._changed(n, change)  # type: ignore[misc]
             self.members.append(made)
             ticks = Ticks(self.events, made.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -46,21 +46,41 @@
     with ProcessPoolExecutor(len(plays.PLAYS)) as real, ProcessPoolExecutor(6) as other:
         started = {p.name: real.submit(plays.play, (n, seed + 1000 * n)) for n, p in enumerate(plays.PLAYS)}
         modelled: list[tuple[tuple[str, Day, int], Future[Seen]]] = [
-            (job, other.submit(model.play, job)) for job in jobs(quick, seed)]
+            (job, other.submit(model.play, job)) for job in jobs(quick, seed)
+        ]
         told = {name: future.result() for name, future in started.items()}
         seen = [(job, future.result()) for job, future in modelled]
     rows = [["play", "members", "p50 s", "p99 s", "missed", "deaths", "hours", "pkt/s", "agree", "settled s"]]
     for p in plays.PLAYS:
         t = told[p.name]
-        rows.append(["processes: " + p.name, str(p.members), *_spans(t.detected), str(t.missed),
-                     str(t.deaths), f"{t.hours:.2f}", "-" if t.quiet is None else f"{t.quiet:.2f}",
-                     str(int(t.settled)), "-" if t.converged is None else f"{t.converged:.1f}"])
+        rows.append(
+            [
+                "processes: " + p.name,
+                str(p.members),
+                *_spans(t.detected),
+                str(t.missed),
+                str(t.deaths),
+                f"{t.hours:.2f}",
+                "-" if t.quiet is None else f"{t.quiet:.2f}",
+                str(int(t.settled)),
+                "-" if t.converged is None else f"{t.converged:.1f}",
+            ]
+        )
     for (kind, day, _), s in seen:
-        rows.append([f"{kind}: {day.name}", str(day.members), *_spans(s.detected), str(s.missed),
-                     str(s.deaths), f"{s.hours:.2f}", f"{s.quiet:.2f}", f"{s.agree:.3f}",
-                     "-" if s.converged is None else f"{s.converged:.1f}"])
-    return rows, figures(told, seen, quick, seed), {
-        name: {"true views": t.truth} for name, t in told.items()}
+        rows.append(
+            [
+                f"{kind}: {day.name}",
+                str(day.members),
+                *_spans(s.detected),
+                str(s.missed),
+                str(s.deaths),
+                f"{s.hours:.2f}",
+                f"{s.quiet:.2f}",
+                f"{s.agree:.3f}",
+                "-" if s.converged is None else f"{s.converged:.1f}",
+            ]
+        )
+    return rows, figures(told, seen, quick, seed), {name: {"true views": t.truth} for name, t in told.items()}
 
 
 def _spans(values: list[float]) -> tuple[str, str]:
@@ -69,8 +89,9 @@
     return f"{percentile(values, 0.5):.2f}", f"{percentile(values, 0.99):.2f}"
 
 
-def figures(told: dict[str, plays.Told], seen: list[tuple[tuple[str, Day, int], Seen]], quick: bool,
-            seed: int) -> dict[str, Any]:
+def figures(
+    told: dict[str, plays.Told], seen: list[tuple[tuple[str, Day, int], Seen]], quick: bool, seed: int
+) -> dict[str, Any]:
     def of(kind: str, name: str, members: int) -> list[Seen]:
         return [s for (k, day, _), s in seen if (k, day.name, day.members) == (kind, name, members)]
 
@@ -87,21 +108,31 @@
     return {
         "detect_p99_s": round(percentile(detected, 0.99), 2),
         "detect_p99_s_heartbeats": round(percentile(beats.detected, 0.99), 2),
-        "crashes": len(detected) // 24, "missed": sum(t.missed for t in told.values()),
-        "false_positive_rate": round(deaths / hours, 5), "false_positive_hours": round(hours, 1),
-        "false_positive_rate_heartbeats": round(sum(s.deaths for s in beats_loss)
-                                                / sum(s.hours for s in beats_loss), 1),
+        "crashes": len(detected) // 24,
+        "missed": sum(t.missed for t in told.values()),
+        "false_positive_rate": round(deaths / hours, 5),
+        "false_positive_hours": round(hours, 1),
+        "false_positive_rate_heartbeats": round(
+            sum(s.deaths for s in beats_loss) / sum(s.hours for s in beats_loss), 1
+        ),
         "converge_s": None if (c := told["partition 5"].converged) is None else round(c, 2),
-        "converge_s_model": split.converged, "converge_s_heartbeats": beats_split.converged,
+        "converge_s_model": split.converged,
+        "converge_s_heartbeats": beats_split.converged,
         "join_s": None if (c := told["join 15"].converged) is None else round(c, 2),
         "refuted": told["pause 5"].refuted,
         "views_agree": int(all(t.settled for t in told.values())),
         "msgs_per_member_s": round(twin.quiet, 2),
         "msgs_growth": round(sizes[10_000].quiet / twin.quiet, 3),
         "msgs_per_member_s_heartbeats": {"25": round(beats.quiet, 1), "200": round(beats_large.quiet, 1)},
-        "detect_p99_s_model": {str(count): round(percentile(s.detected, 0.99), 2)
-                               for count, s in (*sizes.items(), (25, twin)) if s.detected},
-        "model_gap": round(max(gaps), 3), "seed": seed, "quick": quick}
+        "detect_p99_s_model": {
+            str(count): round(percentile(s.detected, 0.99), 2)
+            for count, s in (*sizes.items(), (25, twin))
+            if s.detected
+        },
+        "model_gap": round(max(gaps), 3),
+        "seed": seed,
+        "quick": quick,
+    }
 
 
 def _mean(values: list[float]) -> float:
--- a/saltcart/lab/offices.py
+++ b/saltcart/lab/offices.py
@@ -11,12 +11,28 @@
     "services": [
         {"name": "pregled-statusa", "effect": "read_like", "onTime": 0.8, "deadline": 2.5, "worth": 1.0},
         {"name": "izracun-dajatev", "effect": "read_like", "onTime": 1.0, "deadline": 3.0, "worth": 2.0},
-        {"name": "oddaja", "effect": "idempotency_key", "onTime": 1.6, "deadline": 4.0, "worth": 5.0,
-         "memorySpan": 12.0}],
-    "extra": {"cores": CORES, "memLimitKb": 500_000.0, "signal": "level", "preemption": "drop",
-              "runFactor": 4.0, "keyKb": 5.0, "gauges": ["cpu_busy", "runnable"], "idle": 30.0},
+        {
+            "name": "oddaja",
+            "effect": "idempotency_key",
+            "onTime": 1.6,
+            "deadline": 4.0,
+            "worth": 5.0,
+            "memorySpan": 12.0,
+        },
+    ],
+    "extra": {
+        "cores": CORES,
+        "memLimitKb": 500_000.0,
+        "signal": "level",
+        "preemption": "drop",
+        "runFactor": 4.0,
+        "keyKb": 5.0,
+        "gauges": ["cpu_busy", "runnable"],
+        "idle": 30.0,
+    },
     "contract": {"answerSlack": 0.08, "drainGrace": 0.5, "fall": 2.0, "fallMultiple": 8.0},
-    "limits": {}, "quantum": 0.005,
+    "limits": {},
+    "quantum": 0.005,
 }
 CLASSES = ("pregled-statusa", "izracun-dajatev", "oddaja")
 MIX = (0.45, 0.35, 0.2)  # of the requests
@@ -31,8 +47,12 @@
 
 
 PLACES = {
-    "tarifa": Place(64, 0.03, 0.4), "tarifa-2": Place(32, 0.05, 0.4), "kvote": Place(64, 0.04, 0.4),
-    "kvote-2": Place(32, 0.06, 0.4), "tveganje": Place(64, 0.06, 0.5), "arhiv": Place(64, 0.05, 0.5),
+    "tarifa": Place(64, 0.03, 0.4),
+    "tarifa-2": Place(32, 0.05, 0.4),
+    "kvote": Place(64, 0.04, 0.4),
+    "kvote-2": Place(32, 0.06, 0.4),
+    "tveganje": Place(64, 0.06, 0.5),
+    "arhiv": Place(64, 0.05, 0.5),
     "knjiga": Place(64, 0.08, 0.4),
 }
 INDEX = ("arhiv",)  # speak the index's lines, the others AJP
@@ -42,8 +62,11 @@
     """The tables of a deployment file; ``addresses`` says where the dependencies are."""
     at = addresses or dict.fromkeys(PLACES, "127.0.0.1:1")
     dependencies: list[dict[str, Any]] = [
-        {"name": name, "kind": "index", "address": at[name]} if name in INDEX else
-        {"name": name, "upstream": name} for name in PLACES]
+        {"name": name, "kind": "index", "address": at[name]}
+        if name in INDEX
+        else {"name": name, "upstream": name}
+        for name in PLACES
+    ]
     for d in dependencies:
         if f"{d['name']}-2" in PLACES:
             d["fallback"] = f"{d['name']}-2"
@@ -52,15 +75,32 @@
         "upstream": [{"name": name, "members": [{"host": at[name]}]} for name in PLACES if name not in INDEX],
         "dependency": dependencies,
         "plan": [
-            {"class": "pregled-statusa", "partial": True, "stage": [
-                {"call": [tariff, {"dependency": "arhiv", "required": False, "worth": 0.25}]}]},
-            {"class": "izracun-dajatev", "partial": True, "stage": [
-                {"call": [tariff, {"dependency": "kvote", "required": False, "worth": 0.2}]},
-                {"call": [{"dependency": "tveganje", "required": False, "worth": 0.3, "hedge": True},
-                          {"dependency": "arhiv", "required": False, "worth": 0.1}]}]},
-            {"class": "oddaja", "answer": "knjiga", "stage": [
-                {"call": [tariff, {"dependency": "kvote"}]},
-                {"call": [{"dependency": "knjiga", "write": True, "repeat": False, "sends": "answers"}]}]},
+            {
+                "class": "pregled-statusa",
+                "partial": True,
+                "stage": [{"call": [tariff, {"dependency": "arhiv", "required": False, "worth": 0.25}]}],
+            },
+            {
+                "class": "izracun-dajatev",
+                "partial": True,
+                "stage": [
+                    {"call": [tariff, {"dependency": "kvote", "required": False, "worth": 0.2}]},
+                    {
+                        "call": [
+                            {"dependency": "tveganje", "required": False, "worth": 0.3, "hedge": True},
+                            {"dependency": "arhiv", "required": False, "worth": 0.1},
+                        ]
+                    },
+                ],
+            },
+            {
+                "class": "oddaja",
+                "answer": "knjiga",
+                "stage": [
+                    {"call": [tariff, {"dependency": "kvote"}]},
+                    {"call": [{"dependency": "knjiga", "write": True, "repeat": False, "sends": "answers"}]},
+                ],
+            },
         ],
     }
 
--- a/saltcart/lab/report.py
+++ b/saltcart/lab/report.py
@@ -11,9 +11,12 @@
 
 def table(rows: Sequence[Sequence[str]]) -> str:
     widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
-    return "\n".join("  ".join(
-        cell.ljust(w) if n == 0 else cell.rjust(w) for n, (cell, w) in enumerate(zip(row, widths))).rstrip()
-        for row in rows)
+    return "\n".join(
+        "  ".join(
+            cell.ljust(w) if n == 0 else cell.rjust(w) for n, (cell, w) in enumerate(zip(row, widths))
+        ).rstrip()
+        for row in rows
+    )
 
 
 def figures(values: dict[str, Any]) -> str:
--- a/saltcart/lab/sketches.py
+++ b/saltcart/lab/sketches.py
@@ -72,15 +72,15 @@
     count = 40_000 if quick else 400_000
     rng = np.random.default_rng(seed)
     draws = rng.lognormal(np.log(0.05), 0.5, count)
-    draws[count // 2:] *= SHIFT
-    halves = draws[:count // 2], draws[count // 2:]
+    draws[count // 2 :] *= SHIFT
+    halves = draws[: count // 2], draws[count // 2 :]
     true = [[float(np.quantile(part, q)) for q in LEVELS] for part in halves]
     values = draws.tolist()
     kinds: dict[str, Callable[[], Sketch]] = {"sketch": lambda: Quantiles(LEVELS), "window": SortedWindow}
     rows, figures = [["", "bytes", "error", "us/value"]], dict[str, Any]()
     for name, make in kinds.items():
         error, cost = play(make, values, true)
-        size = size_of(make, values[:4 * WINDOW])
+        size = size_of(make, values[: 4 * WINDOW])
         rows.append([name, str(size), f"{error:.4f}", f"{cost:.2f}"])
         figures |= {f"{name}_bytes": size, f"{name}_error": round(error, 4), f"{name}_us": round(cost, 2)}
     return rows, {**figures, "values": count, "seed": seed}
--- a/saltcart/lab/sockets.py
+++ b/saltcart/lab/sockets.py
@@ -32,13 +32,17 @@
     model = Play(day, "budgets", SECONDS, seed, SOCKET_RATE)
     loop = asyncio.get_running_loop()
     origin = loop.time() + 3600  # set at the start; scripts are asked from then on alone
-    places = {name: ModelDependency(name, *place, len(model.arrivals), seed, origin)
-              for name, place in offices.PLACES.items()}
+    places = {
+        name: ModelDependency(name, *place, len(model.arrivals), seed, origin)
+        for name, place in offices.PLACES.items()
+    }
     for name, trouble in day.troubles.items():
         places[name].troubles.append(trouble)
     stand_ins: dict[str, StandIn] = {
         name: (IndexStandIn if name in offices.INDEX else AjpStandIn)(Model(place, loop.time))
-        for name, place in places.items()}
+        for name, place in places.items()
+    }
+
     def make(number: int, folder: Path) -> Program:
         config = {"listen": "127.0.0.1:0", "seed": f"{seed:x}", "settings": offices.SETTINGS}
         return Program("lab", folder, config, offices.tables({n: s.address for n, s in stand_ins.items()}))
@@ -50,9 +54,13 @@
         await program.start()
         earned, statuses = await call_all(model, places, program.addresses["http"])
     tally = model.run()
-    return {"sockets": earned / tally.offered, "model": tally.earned / tally.offered,
-            "requests": len(model.arrivals), "unanswered": statuses.count(0),
-            "writes_twice": sum(tries > 1 for tries in places["knjiga"].tries.values())}
+    return {
+        "sockets": earned / tally.offered,
+        "model": tally.earned / tally.offered,
+        "requests": len(model.arrivals),
+        "unanswered": statuses.count(0),
+        "writes_twice": sum(tries > 1 for tries in places["knjiga"].tries.values()),
+    }
 
 
 async def call_all(model: Play, places: dict[str, ModelDependency], at: str) -> tuple[float, list[int]]:
--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -115,8 +115,14 @@
                         self.send(data)
                     case ajp.ForwardRequest():
                         named = message.headers
-                        self.take(Asked(named[b"request-id"], named.get(b"account", b""), message.body,
-                                        int(named[b"budget-ms"])))
+                        self.take(
+                            Asked(
+                                named[b"request-id"],
+                                named.get(b"account", b""),
+                                message.body,
+                                int(named[b"budget-ms"]),
+                            )
+                        )
         except Malformed:
             self.abort()
 
@@ -163,6 +169,9 @@
         sent = orjson.loads(asked.body)
         request = sent["n"] if "n" in sent else sent["request"]["n"]
         acts, now = [Act("silent")], self.clock()
-        self.place.call(now, request, lambda when, outcome: acts.append(
-            Act("ok" if outcome is Outcome.OK else "error", when - now)))
+        self.place.call(
+            now,
+            request,
+            lambda when, outcome: acts.append(Act("ok" if outcome is Outcome.OK else "error", when - now)),
+        )
         return acts[-1]
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -35,7 +35,8 @@
 CORES, LOAD = 2, 0.65
 CLASSES = (
     i.ClassSpec("pregled-statusa", i.Effect.SAFE, 2.0, 4.0, 1.0),
-    i.ClassSpec("oddaja", i.Effect.KEYED, 1.6, 4.0, 5.0, window=12.0))
+    i.ClassSpec("oddaja", i.Effect.KEYED, 1.6, 4.0, 5.0, window=12.0),
+)
 KEYED = 0.25  # of the requests
 TENANTS = ("loud", "quiet-1", "quiet-2", "quiet-3")
 OUT_AT, OUT_FOR, THIRD = 8.0, 20.0, 3
@@ -49,9 +50,22 @@
 PER_NODE = LOAD * CORES / (WORK * (1 + READING))  # requests a second
 
 SETTINGS = i.Settings(
-    classes=CLASSES, cores=CORES, memory_kb=1e6, answer_slack=0.08, drain_grace=1.0, crowd_limit=8.0,
-    crowd_span=2.0, cold_from=0.3, cold_span=8.0, entry_kb=1.0, preemption=i.Preemption.DROP,
-    signal=i.Signal.NONE, max_stay_away=1.0, idle=30.0, step=0.01)
+    classes=CLASSES,
+    cores=CORES,
+    memory_kb=1e6,
+    answer_slack=0.08,
+    drain_grace=1.0,
+    crowd_limit=8.0,
+    crowd_span=2.0,
+    cold_from=0.3,
+    cold_span=8.0,
+    entry_kb=1.0,
+    preemption=i.Preemption.DROP,
+    signal=i.Signal.NONE,
+    max_stay_away=1.0,
+    idle=30.0,
+    step=0.01,
+)
 
 
 class Day(NamedTuple):
@@ -122,8 +136,14 @@
         settings = replace(SETTINGS, servers=fleet.day.nodes)
         if fleet.tenants:
             settings = replace(settings, tenants=fleet.tenants, over_quota_worth=0.0)
-        service = self.service = Service(settings, ("cpu_busy", "runnable"), self.rng.getrandbits(60),
-                                         events.clock, lambda event, **_: None, key_room=1 << 30)
+        service = self.service = Service(
+            settings,
+            ("cpu_busy", "runnable"),
+            self.rng.getrandbits(60),
+            events.clock,
+            lambda event, **_: None,
+            key_room=1 << 30,
+        )
         service.runs = Runs(self, service)
         decide = service.actions[i.TurnAway]
         service.actions[i.TurnAway] = lambda action: self._turned_away(service, action, decide)
@@ -132,8 +152,13 @@
         self.damper: Damper | None = None
         self.tokens, self.tokens_at = 0.0, events.now
         if fleet.policy == "storm":
-            self.damper = Damper(StormSettings(reading=READING), service.settings, self.rng.getrandbits(60),
-                                 events.now, events.now - (0.0 if cold else 100.0))
+            self.damper = Damper(
+                StormSettings(reading=READING),
+                service.settings,
+                self.rng.getrandbits(60),
+                events.now,
+                events.now - (0.0 if cold else 100.0),
+            )
             service.storms = self.damper
         host(events, service)
 
@@ -235,9 +260,18 @@
         request.tries += 1
         request.ident = b"%016x" % ((request.number << 12) + (request.tries & 0xFFF))
         keyed = spec.effect is i.Effect.KEYED
-        ask = Ask(request.ident, spec.name, request.tenant, self.fleet.sent[request.number], None, 10.0,
-                  self.fleet.ranks[request.number], key=b"k%d" % request.number if keyed else None,
-                  last=request.last, body=b"%d" % request.number)
+        ask = Ask(
+            request.ident,
+            spec.name,
+            request.tenant,
+            self.fleet.sent[request.number],
+            None,
+            10.0,
+            self.fleet.ranks[request.number],
+            key=b"k%d" % request.number if keyed else None,
+            last=request.last,
+            body=b"%d" % request.number,
+        )
         ident = request.ident
         self.service.arrive(ask, lambda answer: self.fleet.answered(request, self, answer, ident))
 
@@ -266,8 +300,9 @@
     def __init__(self, node: Node, service: Service) -> None:
         self.node, self.service, self.life = node, service, node.life
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         request = self.node.fleet.requests[int(ident, 16) >> 12]
         if CLASSES[request.klass].effect is i.Effect.KEYED:
             self.node.fleet.ran(self.node.number, self.life, request)
@@ -308,7 +343,8 @@
         self.ranks = rng.random(count).tolist()
         self.requests = [
             Request(n, int(kinds[n]), tenant, born, float(works[n]), int(starts[n]), bool(obeys[n]))
-            for n, (born, tenant) in enumerate(births)]
+            for n, (born, tenant) in enumerate(births)
+        ]
         self.sent = [0.0] * count
         self.rng = random.Random(seed)
         self.open: dict[int, dict[int, Request]] = {}  # tries under way by node
@@ -328,8 +364,11 @@
             if day.surge > 1:
                 parts.append((OUT_AT, OUT_AT + OUT_FOR, (day.surge - 1) * mine))
             if name == "loud":
-                parts = [] if day.quiet_alone else [
-                    (0.0, day.seconds, mine), (OUT_AT, OUT_AT + OUT_FOR, (day.loud - 1) * mine)]
+                parts = (
+                    []
+                    if day.quiet_alone
+                    else [(0.0, day.seconds, mine), (OUT_AT, OUT_AT + OUT_FOR, (day.loud - 1) * mine)]
+                )
             for begin, end, per_s in parts:
                 at = rng.random(rng.poisson(per_s * (end - begin))) * (end - begin) + begin
                 out += [(float(t), name) for t in at]
@@ -346,8 +385,9 @@
             self.later(request, CONNECT, self.next(request))
             return
         self.sent[request.number] = self.events.now
-        self.events.at(self.events.now + CLASSES[request.klass].deadline + 0.5, self._bored, request,
-                       self.events.now)
+        self.events.at(
+            self.events.now + CLASSES[request.klass].deadline + 0.5, self._bored, request, self.events.now
+        )
         node.offer(request)
 
     def next(self, request: Request) -> int:
@@ -374,8 +414,9 @@
         keyed = CLASSES[request.klass].effect is i.Effect.KEYED
         self.later(request, self.rng.uniform(*HURRY), request.at if keyed else self.next(request))
 
-    def answered(self, request: Request, node: Node, answer: Answer, ident: bytes = b"",
-                 marks: bool = True) -> None:
+    def answered(
+        self, request: Request, node: Node, answer: Answer, ident: bytes = b"", marks: bool = True
+    ) -> None:
         if request.done or request.at != node.number or (ident and ident != request.ident):
             return  # the client has gone on
         now = self.events.now
@@ -432,13 +473,16 @@
             mine = [sum(c[t, second] for t in {k[0] for k in offered}) for c in (self.earned, offered)]
             seen.worth.append(mine[0] / max(1e-9, mine[1]))
         for tenant in {k[0] for k in offered}:
-            whole = [sum(v for (t, s), v in c.items() if t == tenant and OUT_AT <= s < seconds)
-                     for c in (self.earned, offered)]
+            whole = [
+                sum(v for (t, s), v in c.items() if t == tenant and OUT_AT <= s < seconds)
+                for c in (self.earned, offered)
+            ]
             seen.by_tenant[tenant] = whole[0] / max(1e-9, whole[1])
         seen.tries, seen.requests = sum(self.tries.values()), len(self.requests)
         spans = [range(s, s + 5) for s in range(seconds - 5)]
-        seen.peak = max(sum(self.tries[s] for s in span) / max(1, sum(self.news[s] for s in span))
-                        for span in spans)
+        seen.peak = max(
+            sum(self.tries[s] for s in span) / max(1, sum(self.news[s] for s in span)) for span in spans
+        )
         for node in self.nodes:
             if node.damper is not None:
                 seen.kept, seen.early = seen.kept + node.damper.kept, seen.early + node.damper.early
@@ -455,10 +499,10 @@
 
 def recovered(worth: list[float], out_at: float = OUT_AT, out_for: float = OUT_FOR) -> float | None:
     """Seconds from the return until nine tenths of the normal worth are kept again; None if never."""
-    normal = sum(worth[1:int(out_at) - 2]) / (int(out_at) - 3)
+    normal = sum(worth[1 : int(out_at) - 2]) / (int(out_at) - 3)
     begin, span = int(out_at + out_for), int(STEADY)
     for at in range(begin, len(worth) - span + 1):
-        if sum(worth[at:at + span]) / span >= RECOVERED * normal:
+        if sum(worth[at : at + span]) / span >= RECOVERED * normal:
             return float(at - begin)
     return None
 
@@ -490,45 +534,83 @@
     """The table, the figures, and the worth by second of each day and policy."""
     jobs = [(day, policy, seed) for day in days(quick, nodes) for policy in POLICIES]
     size = nodes or 40
-    loud = [Day("loud", size, 40.0, outage=False, loud=6.0, obeying=0.5),
-            Day("alone", size, 40.0, outage=False, quiet_alone=True)]
+    loud = [
+        Day("loud", size, 40.0, outage=False, loud=6.0, obeying=0.5),
+        Day("alone", size, 40.0, outage=False, quiet_alone=True),
+    ]
     jobs += [(loud[0], "storm", seed), (loud[0], "off", seed), (loud[1], "storm", seed)]
     surges = [(size, surge, seed) for surge in MODES]
     with ProcessPoolExecutor() as pool:
         calm = pool.map(play_surge, surges)
         seen = dict(zip([(j[0].name, j[0].nodes, j[1]) for j in jobs], pool.map(play, jobs)))
         surged = list(calm)
-    rows = [["day", "nodes", "policy", "recovered s", "kept out", "kept after", "tries", "peak", "kept appts",
-             "early", "took s"]]
+    rows = [
+        [
+            "day",
+            "nodes",
+            "policy",
+            "recovered s",
+            "kept out",
+            "kept after",
+            "tries",
+            "peak",
+            "kept appts",
+            "early",
+            "took s",
+        ]
+    ]
     for (name, count, policy), s in seen.items():
         out, after = int(OUT_AT + 2), int(OUT_AT + OUT_FOR)
         rec = recovered(s.worth) if name.startswith("room") else None
-        rows.append([name, str(count), policy, "-" if rec is None else f"{rec:.0f}",
-                     f"{mean(s.worth[out:after]):.3f}", *told(s, s.worth[after:])])
+        rows.append(
+            [
+                name,
+                str(count),
+                policy,
+                "-" if rec is None else f"{rec:.0f}",
+                f"{mean(s.worth[out:after]):.3f}",
+                *told(s, s.worth[after:]),
+            ]
+        )
     for job, s in zip(surges, surged):
         rows.append([f"surge x{job[1]}", str(job[0]), "storm", "-", "-", *told(s, s.worth)])
     rooms = {k: s for k, s in seen.items() if k[0].startswith("room")}
     worst = {p: [recovered(s.worth) for k, s in rooms.items() if k[2] == p] for p in POLICIES}
-    quiet = [seen["loud", size, p].by_tenant[t] / seen["alone", size, "storm"].by_tenant[t]
-             for p in ("storm", "off") for t in TENANTS[1:]]
+    quiet = [
+        seen["loud", size, p].by_tenant[t] / seen["alone", size, "storm"].by_tenant[t]
+        for p in ("storm", "off")
+        for t in TENANTS[1:]
+    ]
     ours = [s for k, s in seen.items() if k[2] == "storm"] + surged
     false = sum(s.storm_seconds for s in surged)
     figures = {
-        "recover_s": most(worst["storm"]), "recover_s_off": most(worst["off"]),
-        "recover_s_bucket": most(worst["bucket"]), "recover_s_bound": most(worst["bound"]),
+        "recover_s": most(worst["storm"]),
+        "recover_s_off": most(worst["off"]),
+        "recover_s_bucket": most(worst["bucket"]),
+        "recover_s_bound": most(worst["bound"]),
         "amplification": round(max(s.tries / s.requests for k, s in rooms.items() if k[2] == "storm"), 2),
         "amplification_off": round(max(s.tries / s.requests for k, s in rooms.items() if k[2] == "off"), 2),
-        "oddaja_twice": sum(s.twice for s in ours), "held_back": sum(s.held_back for s in ours),
-        "quiet_tenant_kept": round(min(quiet[:3]), 3), "quiet_tenant_kept_off": round(min(quiet[3:]), 3),
+        "oddaja_twice": sum(s.twice for s in ours),
+        "held_back": sum(s.held_back for s in ours),
+        "quiet_tenant_kept": round(min(quiet[:3]), 3),
+        "quiet_tenant_kept_off": round(min(quiet[3:]), 3),
         "false_positives": round(false / sum(s.node_seconds for s in surged), 4),
-        "sketch_bytes": max(s.sketch_bytes for s in ours), "seed": seed, "seconds": QUICK if quick else FULL,
+        "sketch_bytes": max(s.sketch_bytes for s in ours),
+        "seed": seed,
+        "seconds": QUICK if quick else FULL,
     }
     return rows, figures, {f"{k[0]} {k[1]}": {p: rooms[k[0], k[1], p].worth for p in POLICIES} for k in rooms}
 
 
 def told(s: Seen, after: list[float]) -> list[str]:
-    return [f"{mean(after):.3f}", f"{s.tries / max(1, s.requests):.2f}", f"{s.peak:.1f}", str(s.kept),
-            str(s.early), f"{s.took:.1f}"]
+    return [
+        f"{mean(after):.3f}",
+        f"{s.tries / max(1, s.requests):.2f}",
+        f"{s.peak:.1f}",
+        str(s.kept),
+        str(s.early),
+        f"{s.took:.1f}",
+    ]
 
 
 def mean(values: list[float]) -> float:
--- a/saltcart/lab/storm_sockets.py
+++ b/saltcart/lab/storm_sockets.py
@@ -92,17 +92,30 @@
         self.serial = 0
 
     def make(self, stand_ins: list[AjpStandIn]) -> Any:
-        classes = [{"name": c.name, "effect": "read_like" if c.effect is Effect.SAFE else "idempotency_key",
-                    "onTime": c.aim, "deadline": c.deadline, "worth": c.worth, "memorySpan": c.window}
-                   for c in CLASSES]
+        classes = [
+            {
+                "name": c.name,
+                "effect": "read_like" if c.effect is Effect.SAFE else "idempotency_key",
+                "onTime": c.aim,
+                "deadline": c.deadline,
+                "worth": c.worth,
+                "memorySpan": c.window,
+            }
+            for c in CLASSES
+        ]
 
         def make(number: int, folder: Path) -> Program:
             deployment: dict[str, Any] = {
-                "upstream": [{"name": "work", "members": [{"host": stand_ins[number].address}]}]}
+                "upstream": [{"name": "work", "members": [{"host": stand_ins[number].address}]}]
+            }
             if self.policy == "storm":
                 deployment["storm"] = {"reading": 0.05}
-            config = {"listen": "127.0.0.1:0", "seed": f"{number + 1:x}", "limits": {"sockets": 512},
-                      "settings": settings(classes, CORES)}
+            config = {
+                "listen": "127.0.0.1:0",
+                "seed": f"{number + 1:x}",
+                "limits": {"sockets": 512},
+                "settings": settings(classes, CORES),
+            }
             return Program(f"n{number}", folder, config, deployment)
 
         return make
@@ -111,8 +124,9 @@
         """Another try of a piece of work: nothing marks it as one."""
         spec, self.serial = CLASSES[self.kinds[n]], self.serial + 1
         body = b'{"n":%d}' % (n if self.kinds[n] else -n)
-        return request(spec.name, self.serial, body, spec.deadline, n % 97 / 97,
-                       key=f"k{n}" if self.kinds[n] else "")
+        return request(
+            spec.name, self.serial, body, spec.deadline, n % 97 / 97, key=f"k{n}" if self.kinds[n] else ""
+        )
 
     async def client(self, n: int, programs: list[Program], begun: float) -> None:
         """One piece of work, tried without limit until it is served or the play is over."""
@@ -184,10 +198,16 @@
                     group.create_task(self.client(n, programs, begun))
             lives = sum(len(p.lives) for p in programs)
         worth = [self.seen.earned[s] / max(1, self.seen.offered[s]) for s in range(int(SECONDS) - 4)]
-        return {"worth": worth, "recover_s": recovered(worth, OUT_AT, OUT_FOR), "lives": lives,
-                "amplification": round(self.seen.tries / len(self.births), 2),
-                "oddaja_twice": sum(p.twice for p in self.places), "late": self.seen.late,
-                "unanswered": self.seen.unanswered, "told": self.seen.told}
+        return {
+            "worth": worth,
+            "recover_s": recovered(worth, OUT_AT, OUT_FOR),
+            "lives": lives,
+            "amplification": round(self.seen.tries / len(self.births), 2),
+            "oddaja_twice": sum(p.twice for p in self.places),
+            "late": self.seen.late,
+            "unanswered": self.seen.unanswered,
+            "told": self.seen.told,
+        }
 
 
 def play(job: tuple[str, int]) -> dict[str, Any]:
@@ -200,15 +220,24 @@
 
     with ProcessPoolExecutor(2) as pool:
         seen = dict(zip(("storm", "off"), pool.map(play, [("storm", seed), ("off", seed)])))
-    rows = [["policy", "recovered s", "kept out", "kept after", "tries", "told", "twice", "late",
-             "unanswered"]]
+    rows = [
+        ["policy", "recovered s", "kept out", "kept after", "tries", "told", "twice", "late", "unanswered"]
+    ]
     for policy, s in seen.items():
         out, back = int(OUT_AT), int(OUT_AT + OUT_FOR)
         kept = [sum(part) / len(part) for part in (s["worth"][out:back], s["worth"][back:])]
-        rows.append([policy, "-" if s["recover_s"] is None else f"{s['recover_s']:.0f}",
-                     *(f"{k:.3f}" for k in kept), f"{s['amplification']:.2f}",
-                     *(str(s[k]) for k in ("told", "oddaja_twice", "late", "unanswered"))])
-    figures = {k: seen["storm"][k] for k in
-               ("recover_s", "amplification", "oddaja_twice", "late", "unanswered", "lives")}
+        rows.append(
+            [
+                policy,
+                "-" if s["recover_s"] is None else f"{s['recover_s']:.0f}",
+                *(f"{k:.3f}" for k in kept),
+                f"{s['amplification']:.2f}",
+                *(str(s[k]) for k in ("told", "oddaja_twice", "late", "unanswered")),
+            ]
+        )
+    figures = {
+        k: seen["storm"][k]
+        for k in ("recover_s", "amplification", "oddaja_twice", "late", "unanswered", "lives")
+    }
     figures |= {f"{k}_off": seen["off"][k] for k in ("recover_s", "amplification", "oddaja_twice")}
     return rows, figures | {"seed": seed}, {"room": {p: s["worth"] for p, s in seen.items()}}
--- a/saltcart/lab/subsets.py
+++ b/saltcart/lab/subsets.py
@@ -76,15 +76,17 @@
                 shuffled[turn] = list(ups)
                 random.Random(turn).shuffle(shuffled[turn])
             at = number % parts * size
-            out[name] = frozenset(shuffled[turn][at:at + size])
+            out[name] = frozenset(shuffled[turn][at : at + size])
         return out
 
 
 class Rendezvous(Way):
     def links(self, state: State) -> Links:
         size, salts = self.size(state), {u: digest(u) for u in state.upstreams}
-        return {i: frozenset(sorted(state.upstreams, key=lambda u: digest(i, salts[u]))[:size])
-                for i in state.instances}
+        return {
+            i: frozenset(sorted(state.upstreams, key=lambda u: digest(i, salts[u]))[:size])
+            for i in state.instances
+        }
 
 
 class All(Way):
@@ -93,7 +95,12 @@
 
 
 WAYS: dict[str, Callable[[int, int], Way]] = {
-    "kept": Kept, "random": Random, "rounds": Rounds, "rendezvous": Rendezvous, "all": All}
+    "kept": Kept,
+    "random": Random,
+    "rounds": Rounds,
+    "rendezvous": Rendezvous,
+    "all": All,
+}
 
 
 def clients(links: Links, state: State) -> Counter[str]:
@@ -129,13 +136,17 @@
     whole = State(many, wide)
     single = [whole]
     for n in range(6):
-        single.append(State(many, wide[n + 1:]))
+        single.append(State(many, wide[n + 1 :]))
     single += [State(many, wide[n:]) for n in range(5, -1, -1)]
-    third = [whole, State(many, wide[ups // 3:]), whole]
+    third = [whole, State(many, wide[ups // 3 :]), whole]
     restarted = many[: count // 2] + tuple(f"r{luck.getrandbits(40):010x}" for _ in range(count // 2))
     restart = [whole, State(many[: count // 2], wide), State(restarted, wide)]
-    return [("grow and shrink", up + up[-2::-1]), ("upstreams one by one", single),
-            ("a third of upstreams", third), ("half restart", restart)]
+    return [
+        ("grow and shrink", up + up[-2::-1]),
+        ("upstreams one by one", single),
+        ("a third of upstreams", third),
+        ("half restart", restart),
+    ]
 
 
 def play(way: Way, states: list[State]) -> tuple[float, float, float]:
@@ -237,8 +248,12 @@
     return rows, figures | {
         "spread_processes": max(spread for _, spread, _, _ in told.steps),
         "churn_processes": max(churn for name, _, _, churn in told.steps if name != "halves meet again"),
-        "settled_processes": int(told.settled), "overshoot_processes": round(max(0.0, told.overshoot), 4),
-        "limit_used_processes": round(told.used, 3), "seed": seed, "quick": quick}
+        "settled_processes": int(told.settled),
+        "overshoot_processes": round(max(0.0, told.overshoot), 4),
+        "limit_used_processes": round(told.used, 3),
+        "seed": seed,
+        "quick": quick,
+    }
 
 
 def modelled(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
@@ -258,13 +273,16 @@
     state = steps(quick, random.Random(seed))[1][1][0]
     for way, kind in WAYS.items():
         links = kind(max(2, len(state.upstreams) // SUBSET), seed).links(state)
-        spans = [loads(links, state, seed, choice, slow)
-                 for choice in ("two", "any") for slow in (False, True)]
+        spans = [
+            loads(links, state, seed, choice, slow) for choice in ("two", "any") for slow in (False, True)
+        ]
         rows.append(["load, even and with one slow", way, *(f"{s:.3f}" for s in spans[:2]), ""])
         rows.append(["the same without two choices", way, *(f"{s:.3f}" for s in spans[2:]), ""])
         key = "" if way == "kept" else f"_{way}"
-        figures |= {f"load_spread{key}": round(max(spans[:2]), 3),
-                    f"load_spread_one_choice{key}": round(spans[2], 3)}
+        figures |= {
+            f"load_spread{key}": round(max(spans[:2]), 3),
+            f"load_spread_one_choice{key}": round(spans[2], 3),
+        }
     for key, shared in (("", True), ("_alone", False)):
         over, used = limits(quick, seed, shared)
         figures |= {f"overshoot{key}": round(max(0.0, over), 4), f"limit_used{key}": round(used, 3)}
@@ -272,5 +290,3 @@
         key = "" if when == "turns" else f"_{when}"
         figures[f"sync_peaks{key}"] = round(peaks(2_000, seed, when), 4)
     return rows, figures
-
-
--- a/saltcart/lab/views.py
+++ b/saltcart/lab/views.py
@@ -95,12 +95,15 @@
         def step(n: int) -> None:
             made.put(records[n % 500])
             made.take(ROOM, most)
+
         return step
 
     out["news, ns a packet"] = timed(2_000, news(Spread())), timed(2_000, news(SortedNews()))
     turns = Rotation(rng), Shuffled(rng)
-    out["turn, ns each"] = (timed(5 * count, lambda n: turns[0].next(count)),
-                            timed(5 * count, lambda n: turns[1].next(count)))
+    out["turn, ns each"] = (
+        timed(5 * count, lambda n: turns[0].next(count)),
+        timed(5 * count, lambda n: turns[1].next(count)),
+    )
     sizes = held(lambda: _walked(Rotation(rng), count))[0], held(lambda: _walked(Shuffled(rng), count))[0]
     out["turn, bytes"] = sizes[0], sizes[1]
     view = View(roster)
--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -102,6 +102,7 @@
     def arrived(self, now: float, worth: float) -> None: ...
     def choose(self, now: float, tried: set[str], worth: float) -> str | None:
         raise NotImplementedError
+
     def ended(self, now: float, host: str, good: bool, took: float, refused: bool = False) -> None: ...
     def tick(self, now: float) -> None: ...
 
@@ -112,8 +113,16 @@
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.number = fleet, number
         self.zone = number % len(fleet.sites.zones)
-        self.locality = Locality(CONF, fleet.sites, f"i{number:05}", fleet.sites.zones[self.zone],
-                                 random.Random(fleet.luck.random()), self, fleet.load, 0.0)
+        self.locality = Locality(
+            CONF,
+            fleet.sites,
+            f"i{number:05}",
+            fleet.sites.zones[self.zone],
+            random.Random(fleet.luck.random()),
+            self,
+            fleet.load,
+            0.0,
+        )
         self.locality.changed = lambda plan, n, by: fleet.planned(plan)
         self.arrived, self.ended = self.locality.arrived, self.locality.ended  # type: ignore[method-assign]
 
@@ -185,8 +194,11 @@
         self.day, self.luck, self.now = day, random.Random(seed), 0.0
         count = REGIONS * ZONES_EACH
         capacity = RATE * day.instances / count * SPARE / MEMBERS_EACH
-        self.sites = Sites(Backend(f"z{z}m{m}", f"z{z}", f"r{z // ZONES_EACH}", capacity)
-                           for z in range(count) for m in range(MEMBERS_EACH))
+        self.sites = Sites(
+            Backend(f"z{z}m{m}", f"z{z}", f"r{z // ZONES_EACH}", capacity)
+            for z in range(count)
+            for m in range(MEMBERS_EACH)
+        )
         self.capacity = capacity
         self.free_at = {b.host: 0.0 for b in self.sites.backends}  # when a member has done what it took
         self.zone_of = {b.host: self.sites.number[b.zone] for b in self.sites.backends}
@@ -219,8 +231,12 @@
 
     def slowness(self, host: str) -> float:
         slow = self.day.half_slow
-        if slow is not None and self.troubled() and self.zone_of[host] == slow and (
-                int(host[-1]) < MEMBERS_EACH // 2):
+        if (
+            slow is not None
+            and self.troubled()
+            and self.zone_of[host] == slow
+            and (int(host[-1]) < MEMBERS_EACH // 2)
+        ):
             return 10.0
         return 1.0
 
@@ -232,8 +248,11 @@
         """Names sort by number, so the first of a zone is the one whose number is the zone's."""
         cut = self.day.cut
         noticed = cut is not None and self.day.begin + NOTICED <= self.now < self.day.end + 1.0
-        return {self.sites.zones[z]: f"i{z:05}" for z in range(len(self.sites.zones))
-                if not noticed or (z == cut) == (zone == cut)}
+        return {
+            self.sites.zones[z]: f"i{z:05}"
+            for z in range(len(self.sites.zones))
+            if not noticed or (z == cut) == (zone == cut)
+        }
 
     def after(self, wait: float, call: Callable[[], None]) -> None:
         heapq.heappush(self.later, (self.now + wait, next(self.order), call))
@@ -246,8 +265,10 @@
     def post(self, author: Common, topic: str, data: bytes) -> None:
         """On the board: to all on this side of a cut, each a little later."""
         side = self.sides() and author.zone == self.day.cut
-        before = max((n for (s, t), (n, *_) in self.latest.items()
-                      if t == topic and (s == side or not self.sides())), default=0)
+        before = max(
+            (n for (s, t), (n, *_) in self.latest.items() if t == topic and (s == side or not self.sides())),
+            default=0,
+        )
         name = author.locality.name
         self.latest[side, topic] = before + 1, name, data, author.zone
         for n, instance in enumerate(self.instances):
@@ -257,8 +278,12 @@
                 continue
             if not self.sides() or (instance.zone == self.day.cut) == side:
                 wait = self.luck.uniform(*HEARD) + (5.0 if n in self.day.late else 0.0)
-                self.after(wait, lambda i=instance, k=before + 1: i.locality.posted(  # type: ignore[misc]
-                    self.now, topic, k, name, data))
+                self.after(
+                    wait,
+                    lambda i=instance, k=before + 1: i.locality.posted(  # type: ignore[misc]
+                        self.now, topic, k, name, data
+                    ),
+                )
 
     def heal(self) -> None:
         """The cut is over: the newest of each topic goes round."""
@@ -268,16 +293,20 @@
             self.latest.pop((True, topic), None)
             for instance in self.instances:
                 assert isinstance(instance, Common)
-                self.after(self.luck.uniform(0.5, 3.0),
-                           lambda i=instance, t=topic, v=(number, name, data): (  # type: ignore[misc]
-                               i.locality.posted(self.now, t, *v)))
+                self.after(
+                    self.luck.uniform(0.5, 3.0),
+                    lambda i=instance, t=topic, v=(number, name, data): (  # type: ignore[misc]
+                        i.locality.posted(self.now, t, *v)
+                    ),
+                )
 
     def give(self, sender: Common, to: int, topic: str, data: bytes) -> None:
         receiver = self.instances[to]
         assert isinstance(receiver, Common)
         record = Record(sender.locality.name, "h:1", 1, zone=sender.locality.zone)
-        self.after(self.luck.uniform(0.001, 0.01),
-                   lambda: receiver.locality.given(self.now, record, topic, data))
+        self.after(
+            self.luck.uniform(0.001, 0.01), lambda: receiver.locality.given(self.now, record, topic, data)
+        )
 
     def planned(self, plan: Plan) -> None:
         """Somebody took up another plan; what is new to all is a move."""
@@ -287,7 +316,9 @@
                 self.seen.moves += 1
                 self.seen.swings += any(
                     row_of(before, z).get(z, 0) - row_of(plan.rows, z).get(z, 0) >= 50
-                    for z in range(len(self.sites.zones)) if self._hurt(z))
+                    for z in range(len(self.sites.zones))
+                    if self._hurt(z)
+                )
                 self._judge(before, plan.rows)
             self.plans.append((self.now, plan.rows))
 
@@ -304,7 +335,7 @@
 
         def look() -> None:
             for t in more:
-                came = float(self.inflow[begin:begin + int(LOOK / STEP), t].sum())
+                came = float(self.inflow[begin : begin + int(LOOK / STEP), t].sum())
                 able = LOOK * sum(self.capacity / self.slowness(h) for h in self.sites.members[t])
                 self.seen.overloads += came > able + 3 * math.sqrt(able)  # beyond chance
 
@@ -338,8 +369,12 @@
                 continue  # refused at once: it never ran
             self.inflow[int(now / STEP), target] += 1
             if not self.reaches(zone, target):
-                self.after(PATIENCE, lambda h=host: (  # type: ignore[misc]
-                    instance.ended(self.now, h, False, PATIENCE)))
+                self.after(
+                    PATIENCE,
+                    lambda h=host: (  # type: ignore[misc]
+                        instance.ended(self.now, h, False, PATIENCE)
+                    ),
+                )
                 return
             slow = self.slowness(host)
             begin = max(now, self.free_at[host])
@@ -347,8 +382,12 @@
             self.free_at[host] = begin + slow / self.capacity
             good = took <= PATIENCE
             took = min(took, PATIENCE)
-            self.after(took, lambda h=host, g=good, t=took: (  # type: ignore[misc]
-                instance.ended(self.now, h, g, t)))
+            self.after(
+                took,
+                lambda h=host, g=good, t=took: (  # type: ignore[misc]
+                    instance.ended(self.now, h, g, t)
+                ),
+            )
             if good:
                 seen.good += 1
                 seen.worth_good += worth
@@ -383,14 +422,15 @@
                 instance.tick(end)
             able = np.array([sum(self.capacity / self.slowness(h) for h in m) for m in self.sites.members])
             if step >= 10:
-                came = self.inflow[step - 9:step + 1].sum(0)
+                came = self.inflow[step - 9 : step + 1].sum(0)
                 seen.over_seconds += STEP * float((came > able + 3 * np.sqrt(able)).sum())
         seen.lost_share = [self.served[h] / max(1, self.offered[h]) for h in range(int(2 * day.seconds))]
         seen.failover = self._failover()
         seen.back_home = self._back_home()
         if isinstance(self.instances[0], Common):
-            held = Counter(repr(sorted(i.locality.plan.rows.items())) for i in self.instances
-                           if isinstance(i, Common))
+            held = Counter(
+                repr(sorted(i.locality.plan.rows.items())) for i in self.instances if isinstance(i, Common)
+            )
             seen.agree = agreement(held, day.instances)
         seen.hours, seen.took = day.seconds / 3600, time.perf_counter() - begun
         return seen
@@ -426,8 +466,11 @@
 def days(count: int) -> list[Day]:
     """The days at one size; the flapping one lasts an hour and has few instances."""
     return [
-        Day("calm", 40.0, count), Day("zone lost", 120.0, count, 20.0, 60.0, down=(0,)),
-        Day("half slow", 90.0, count, 20.0, 60.0, half_slow=0), Day("cut", 90.0, count, 20.0, 50.0, cut=0),
+        Day("calm", 40.0, count),
+        Day("zone lost", 120.0, count, 20.0, 60.0, down=(0,)),
+        Day("half slow", 90.0, count, 20.0, 60.0, half_slow=0),
+        Day("cut", 90.0, count, 20.0, 50.0, cut=0),
         Day("flap", 3_600.0, 45, 20.0, 3_590.0, flap=(0, 2.0)),
         Day("region lost", 120.0, count, 20.0, 60.0, down=(0, 1, 2)),
-        Day("views apart", 90.0, count, 20.0, 50.0, down=(0,), late=(1, 10))]
+        Day("views apart", 90.0, count, 20.0, 50.0, down=(0,), late=(1, 10)),
+    ]
--- a/saltcart/locality/evidence.py
+++ b/saltcart/locality/evidence.py
@@ -91,8 +91,11 @@
     from ``slower`` times the usual time on.
     """
     usual = usual_time(tallies.values())
-    return {place: 0.0 if upper(t.good, t.bad) < poor else round(pace(t, usual, FEW, slower), 2)
-            for place, t in sorted(tallies.items()) if t.good + t.bad >= KNOWN}
+    return {
+        place: 0.0 if upper(t.good, t.bad) < poor else round(pace(t, usual, FEW, slower), 2)
+        for place, t in sorted(tallies.items())
+        if t.good + t.bad >= KNOWN
+    }
 
 
 class Proof:
--- a/saltcart/locality/instance.py
+++ b/saltcart/locality/instance.py
@@ -37,8 +37,17 @@
 class Locality:
     """``load``: requests under way at a member, over its weight."""
 
-    def __init__(self, conf: LocalitySettings, sites: Sites, name: str, zone: str, rng: random.Random,
-                 fleet: Fleet, load: Callable[[str], float], now: float) -> None:
+    def __init__(
+        self,
+        conf: LocalitySettings,
+        sites: Sites,
+        name: str,
+        zone: str,
+        rng: random.Random,
+        fleet: Fleet,
+        load: Callable[[str], float],
+        now: float,
+    ) -> None:
         self.conf, self.sites, self.name, self.zone, self.rng = conf, sites, name, zone, rng
         self.fleet, self.load = fleet, load
         self.own = sites.number[zone]
@@ -89,9 +98,12 @@
         self.next_at = now + self.conf.report_every * (0.9 + 0.2 * self.rng.random())
         usual = self.outliers.usual()
         grades = {z: self.outliers.grade(now, z, usual) for z in range(len(self.sites.zones))}
-        report = Report(round(self.quick.rate(now), 2),
-                        {z: (round(g, 3), round(e, 1)) for z, (g, e) in grades.items() if e >= 0.5},
-                        *self.outliers.since_told(self.own), round(self.steady.rate(now), 2))
+        report = Report(
+            round(self.quick.rate(now), 2),
+            {z: (round(g, 3), round(e, 1)) for z, (g, e) in grades.items() if e >= 0.5},
+            *self.outliers.since_told(self.own),
+            round(self.steady.rate(now), 2),
+        )
         speakers = {z: name for z, name in self.fleet.speakers().items() if z in self.sites.number}
         spoken = speakers.get(self.zone)
         if spoken == self.name:
@@ -148,8 +160,11 @@
             if zone is None:
                 self.refused += 1
                 return None
-            if safe and self.trials >= 1 and (
-                    host := self.outliers.on_trial(now, self.own, self.doubted)) is not None:
+            if (
+                safe
+                and self.trials >= 1
+                and (host := self.outliers.on_trial(now, self.own, self.doubted)) is not None
+            ):
                 self.trials -= 1
                 return host
             name = self.sites.zones[zone]
@@ -187,25 +202,42 @@
 
     def figures(self) -> list[tuple[str, int]]:
         row = self.plan.row(self.own)
-        return [("locality.plan", self.number), ("locality.moves", self.moves),
-                ("locality.refused", self.refused), ("locality.home_permille", row.get(self.own, 0)),
-                ("locality.refused_permille", self.plan.refused(self.own)),
-                ("locality.worth_refused", round(self.shed.worth_refused))]
+        return [
+            ("locality.plan", self.number),
+            ("locality.moves", self.moves),
+            ("locality.refused", self.refused),
+            ("locality.home_permille", row.get(self.own, 0)),
+            ("locality.refused_permille", self.plan.refused(self.own)),
+            ("locality.worth_refused", round(self.shed.worth_refused)),
+        ]
 
     def state(self, now: float) -> dict[str, object]:
         zones = self.sites.zones
         return {
-            "zone": self.zone, "plan": self.number, "by": self.by, "moves": self.moves,
+            "zone": self.zone,
+            "plan": self.number,
+            "by": self.by,
+            "moves": self.moves,
             "rows": {zones[o]: {zones[t]: s for t, s in row.items()} for o, row in self.plan.rows.items()},
-            "trust": [{"origin": zones[t.origin], "target": zones[t.target], "permille": t.share,
-                       "falls": t.falls} for t in self.plan.trust],
+            "trust": [
+                {"origin": zones[t.origin], "target": zones[t.target], "permille": t.share, "falls": t.falls}
+                for t in self.plan.trust
+            ],
             "grades": {z: round(self.outliers.grade(now, n)[0], 3) for n, z in enumerate(zones)},
             "zones": {zones[z]: self._told(now, z) for z in self.summaries},
-            "placed": self.placed, "refused": self.refused}
+            "placed": self.placed,
+            "refused": self.refused,
+        }
 
     def _told(self, now: float, zone: int) -> dict[str, object]:
         at, told = self.summaries[zone]
         members = self.sites.members[zone]
-        return {"demand": told.demand, "instances": told.instances, "ago": round(now - at, 1),
-                "odds": told.odds, "members": {members[n]: part / 100 for n, part in told.parts.items()
-                                               if part < 100 and n < len(members)}}
+        return {
+            "demand": told.demand,
+            "instances": told.instances,
+            "ago": round(now - at, 1),
+            "odds": told.odds,
+            "members": {
+                members[n]: part / 100 for n, part in told.parts.items() if part < 100 and n < len(members)
+            },
+        }
--- a/saltcart/locality/outliers.py
+++ b/saltcart/locality/outliers.py
@@ -75,8 +75,11 @@
         w.sound &= w.ejections == 0
         seen = w.late.good + w.late.bad
         relapsed = w.ejections > 0 and now < w.out_until + w.out_for  # the first tries after a time out
-        if now >= w.out_until and (relapsed or w.in_row >= self.conf.consecutive or (
-                seen >= self.conf.least and w.late.good < self.conf.success * seen)):
+        if now >= w.out_until and (
+            relapsed
+            or w.in_row >= self.conf.consecutive
+            or (seen >= self.conf.least and w.late.good < self.conf.success * seen)
+        ):
             self._eject(now, w)
 
     def _eject(self, now: float, w: Watched) -> None:
@@ -89,8 +92,11 @@
         Of members no more than fit a packet, those with the most ends first; the others are told next time.
         """
         zones = {z: ends for z, ends in enumerate(self.ends) if ends != (0, 0)}
-        mine = sorted((h for h in self.by_member if self.zone_of[h] == own),
-                      key=lambda h: self.by_member[h][:2], reverse=True)
+        mine = sorted(
+            (h for h in self.by_member if self.zone_of[h] == own),
+            key=lambda h: self.by_member[h][:2],
+            reverse=True,
+        )
         told = {h: self.by_member[h] for h in mine[:MOST_MEMBERS]}
         members = {self.place[h]: (good, bad, round(took, 3)) for h, (good, bad, took) in told.items()}
         self.ends = [(0, 0) for _ in self.zones]
@@ -125,11 +131,16 @@
         zones are tried by their own instances: trials from everywhere would be a load of their own.  The one
         that was tried longest ago comes first.
         """
-        due = [h for h, w in self.watched.items() if (
-            now >= w.tried_at + TRIAL_EVERY and (doubted or h in self.parts or (
-                now >= w.out_until and not w.sound))
-            if self.zone_of[h] == own else
-            now >= max(w.out_until, w.tried_at + TRIAL_FAR) and not w.sound)]
+        due = [
+            h
+            for h, w in self.watched.items()
+            if (
+                now >= w.tried_at + TRIAL_EVERY
+                and (doubted or h in self.parts or (now >= w.out_until and not w.sound))
+                if self.zone_of[h] == own
+                else now >= max(w.out_until, w.tried_at + TRIAL_FAR) and not w.sound
+            )
+        ]
         if not due:
             return None
         host = min(due, key=lambda h: self.watched[h].tried_at)
@@ -143,8 +154,11 @@
         """
         members = self.zones[zone]
         gone = {h for h, part in self.parts.items() if part <= 0}
-        out = sorted((h for h in members if now < self.watched[h].out_until or h in gone),
-                     key=lambda h: (h in gone, self.watched[h].out_until), reverse=True)
+        out = sorted(
+            (h for h in members if now < self.watched[h].out_until or h in gone),
+            key=lambda h: (h in gone, self.watched[h].out_until),
+            reverse=True,
+        )
         if len(members) - len(out) < self.conf.panic * len(members):
             return list(members)
         most = int(self.conf.ejected_share * len(members))
--- a/saltcart/locality/plan.py
+++ b/saltcart/locality/plan.py
@@ -97,8 +97,11 @@
     """``Malformed`` for what is no plan of so many zones."""
     plan = unpack(_decoder, data, "plan")
     for origin, row in plan.rows.items():
-        if not 0 <= origin < zones or any(not 0 <= t < zones or s < 0 for t, s in row.items()) or (
-                sum(row.values()) > WHOLE):
+        if (
+            not 0 <= origin < zones
+            or any(not 0 <= t < zones or s < 0 for t, s in row.items())
+            or (sum(row.values()) > WHOLE)
+        ):
             raise Malformed(f"a plan with a row amiss: zone {origin}")
     if any(not (0 <= t.origin < zones and 0 <= t.target < zones) for t in plan.trust):
         raise Malformed("a plan with trust in no zone")
@@ -122,8 +125,9 @@
     return summary.grades.get(target, 1.0)
 
 
-def seen(conf: LocalitySettings, heard: Mapping[int, Heard], origin: int, target: int,
-         common: float = 1.0) -> float:
+def seen(
+    conf: LocalitySettings, heard: Mapping[int, Heard], origin: int, target: int, common: float = 1.0
+) -> float:
     """The share of the target's capacity that is there for the origin, as both find it.
 
     A zone that has fallen silent may be alive inside its borders and full of its own work: it gets none of
@@ -144,8 +148,14 @@
     return other.summary.odds if other is not None and other.summary.demand > 0 else PROVEN
 
 
-def follow(conf: LocalitySettings, before: Trust, now_seen: float, now: float, odds: float = PROVEN,
-           pressed: bool = False) -> Trust:
+def follow(
+    conf: LocalitySettings,
+    before: Trust,
+    now_seen: float,
+    now: float,
+    odds: float = PROVEN,
+    pressed: bool = False,
+) -> Trust:
     """Trust in the light of what is seen now: it falls at once and comes back late, in steps.
 
     ``odds``: those for the target's health, of the sequential test.  A wait begins when something speaks for
@@ -180,8 +190,13 @@
     return Trust(origin, target, share, before.falls, round(now + conf.step_every, 1), before.level, fell)
 
 
-def allocate(sites: Sites, demand: list[float], room: list[float], trust: Mapping[tuple[int, int], float],
-             keep: list[float] | None = None) -> dict[int, dict[int, int]]:
+def allocate(
+    sites: Sites,
+    demand: list[float],
+    room: list[float],
+    trust: Mapping[tuple[int, int], float],
+    keep: list[float] | None = None,
+) -> dict[int, dict[int, int]]:
     """Rows of shares: near first, in measure, never more into a zone than there is room for.
 
     ``room``: requests a second that each zone can take in all; ``trust``: by origin and target, 1 where there
@@ -199,8 +214,11 @@
             for o in range(count):
                 if left[o] <= 1e-9:
                     continue
-                reach = {t: open_to[t] * trust.get((o, t), 1.0) if t != o else open_to[t]
-                         for level in levels for t in sites.levels[o][level]}
+                reach = {
+                    t: open_to[t] * trust.get((o, t), 1.0) if t != o else open_to[t]
+                    for level in levels
+                    for t in sites.levels[o][level]
+                }
                 reach = {t: r for t, r in reach.items() if r > 1e-9}
                 whole = sum(reach.values())
                 wants[o] = {t: min(left[o], whole) * r / whole for t, r in reach.items()}
@@ -233,8 +251,14 @@
     return (apart + abs(sum(old.values()) - sum(new.values()))) // 2
 
 
-def stands(conf: LocalitySettings, sites: Sites, before: Plan, rows: Mapping[int, Mapping[int, int]],
-           demand: list[float], room: list[float]) -> bool:
+def stands(
+    conf: LocalitySettings,
+    sites: Sites,
+    before: Plan,
+    rows: Mapping[int, Mapping[int, int]],
+    demand: list[float],
+    room: list[float],
+) -> bool:
     """Whether the plan before is still good enough.
 
     It is while nobody is too full, nobody refused who need not be, and not much more is to be had at home.
@@ -280,11 +304,13 @@
     if (own is not None and now - own.fell_at < GIVES_WAY) or summary.grades.get(zone, 1.0) * WHOLE <= FELL:
         return False  # it is falling already, or none of its members is left
     return any(row.get(zone, 0) > 0 for o, row in before.rows.items() if o != zone) or any(
-        t == zone != o and now - trust.fell_at < GIVES_WAY for (o, t), trust in known.items())
+        t == zone != o and now - trust.fell_at < GIVES_WAY for (o, t), trust in known.items()
+    )
 
 
-def propose(conf: LocalitySettings, sites: Sites, before: Plan, heard: Mapping[int, Heard],
-            now: float) -> Plan | None:
+def propose(
+    conf: LocalitySettings, sites: Sites, before: Plan, heard: Mapping[int, Heard], now: float
+) -> Plan | None:
     """The plan that follows; None where the one before stands."""
     fresh = [o for o in range(len(sites.zones)) if o in heard and heard[o].ago <= conf.stale]
     known, common = {(t.origin, t.target): t for t in before.trust}, usual(heard)
--- a/saltcart/locality/reports.py
+++ b/saltcart/locality/reports.py
@@ -116,16 +116,27 @@
             for zone, (grade, evidence) in report.grades.items():
                 total, weight = sums.get(zone, (0.0, 0.0))
                 sums[zone] = total + grade * evidence, weight + evidence
-        grades = {zone: round(total / weight, 3) for zone, (total, weight) in sums.items()
-                  if weight >= EVIDENCE}
+        grades = {
+            zone: round(total / weight, 3) for zone, (total, weight) in sums.items() if weight >= EVIDENCE
+        }
         for tally in (*self.tallies.values(), *self.by_member.values()):
             tally.fade(now)
-        ends = {zone: (round(t.good, 1), round(t.bad, 1)) for zone, t in sorted(self.tallies.items())
-                if t.good + t.bad >= TRACE}
+        ends = {
+            zone: (round(t.good, 1), round(t.bad, 1))
+            for zone, t in sorted(self.tallies.items())
+            if t.good + t.bad >= TRACE
+        }
         found = parts(self.by_member, self.conf.slower, POOR)
         if found:
             rest = grades.get(self.zone, 1.0) * (self.members - len(found))
             grades[self.zone] = round((sum(found.values()) + rest) / self.members, 3)
         told = sorted(found.items(), key=lambda item: item[1])[:MOST_PARTS]
-        return Summary(self.zone, len(self.reports), round(believed(quick, steady), 2), grades, ends,
-                       round(self.proof.odds, 1), {place: round(100 * part) for place, part in told})
+        return Summary(
+            self.zone,
+            len(self.reports),
+            round(believed(quick, steady), 2),
+            grades,
+            ends,
+            round(self.proof.odds, 1),
+            {place: round(100 * part) for place, part in told},
+        )
--- a/saltcart/log.py
+++ b/saltcart/log.py
@@ -33,7 +33,7 @@
         while (line := self.lines.get()) is not None:
             try:
                 while line:
-                    line = line[os.write(self.fd, line):]
+                    line = line[os.write(self.fd, line) :]
             except OSError:  # a full disk, a reader that is slow or gone: one line is lost, not all to come
                 self.dropped += 1
 
--- a/saltcart/member/detector.py
+++ b/saltcart/member/detector.py
@@ -59,8 +59,16 @@
 class Detector:
     """``changed`` is told of each change of the view, ``name_taken`` that another process has our name."""
 
-    def __init__(self, conf: MemberSettings, name: str, address: str, rng: random.Random, now: float,
-                 born: int, base: Roster | None = None) -> None:
+    def __init__(
+        self,
+        conf: MemberSettings,
+        name: str,
+        address: str,
+        rng: random.Random,
+        now: float,
+        born: int,
+        base: Roster | None = None,
+    ) -> None:
         self.conf, self.rng, self.now = conf, rng, now
         self.me = Record(name, address, born, State.ALIVE, conf.zone, conf.region)
         self.view, self.spread, self.health = View(base), Spread(), LocalHealth()
@@ -173,8 +181,9 @@
                 posts = self.board.tiers.take(room - sum(r.size() for r in told), most)
         self._packet(address, message, news, posts)
 
-    def _packet(self, address: str, message: m.Message, news: list[Record],
-                posts: list[Post] | None = None) -> None:
+    def _packet(
+        self, address: str, message: m.Message, news: list[Record], posts: list[Post] | None = None
+    ) -> None:
         self.out.append((address, m.Packet(m.WIRE, self.conf.cluster, self.me, message, news, posts or [])))
 
     def _number(self) -> int:
@@ -200,8 +209,12 @@
         known = self.view.get(record.name)
         if known is None and not record.present:
             return  # it is gone and was never known: nothing to remember
-        if known is not None and record.state == State.SUSPECT and record.by and (
-                known.incarnation == record.incarnation and known.state == State.SUSPECT):
+        if (
+            known is not None
+            and record.state == State.SUSPECT
+            and record.by
+            and (known.incarnation == record.incarnation and known.state == State.SUSPECT)
+        ):
             self._confirm(record)
         self._take(record)
 
@@ -351,14 +364,20 @@
         conf, others = self.conf, self.view.present - 2  # neither this member nor the suspect
         scale = max(1.0, log10(max(1, self.view.present)))
         least = conf.suspect_for * conf.probe_every * scale
-        suspicion = Suspicion(self.now, record.incarnation, least, least * conf.suspect_most,
-                              min(conf.confirmations, others - 1))
+        suspicion = Suspicion(
+            self.now,
+            record.incarnation,
+            least,
+            least * conf.suspect_most,
+            min(conf.confirmations, others - 1),
+        )
         suspicion.confirm(record.by)
         self.suspicions[record.name] = suspicion
         self._watch(record.name, suspicion)
         if record.by != self.me.name and self.rng.random() < CURIOUS / max(1.0, others):
-            self.timers.at(self.now + self.rng.random() * conf.probe_every / 2, self._look, record.name,
-                           suspicion)
+            self.timers.at(
+                self.now + self.rng.random() * conf.probe_every / 2, self._look, record.name, suspicion
+            )
 
     def _watch(self, name: str, suspicion: Suspicion) -> None:
         ends = suspicion.ends()
@@ -368,8 +387,11 @@
 
     def _confirm(self, record: Record) -> None:
         suspicion = self.suspicions.get(record.name)
-        if suspicion is not None and suspicion.incarnation == record.incarnation and (
-                suspicion.confirm(record.by)):
+        if (
+            suspicion is not None
+            and suspicion.incarnation == record.incarnation
+            and (suspicion.confirm(record.by))
+        ):
             self.spread.put(record)
             self._watch(record.name, suspicion)
 
@@ -476,24 +498,51 @@
 
     def figures(self) -> list[tuple[str, int]]:
         states = [State(r.state) for r in self.view]
-        return [("member.alive", states.count(State.ALIVE)), ("member.suspect", states.count(State.SUSPECT)),
-                ("member.dead", states.count(State.DEAD)), ("member.left", states.count(State.LEFT)),
-                ("member.version", self.view.version), ("member.health", self.health.score),
-                ("member.refuted", self.refuted), ("member.accused", self.accused),
-                ("member.packets", self.packets), ("member.foreign", self.foreign)]
+        return [
+            ("member.alive", states.count(State.ALIVE)),
+            ("member.suspect", states.count(State.SUSPECT)),
+            ("member.dead", states.count(State.DEAD)),
+            ("member.left", states.count(State.LEFT)),
+            ("member.version", self.view.version),
+            ("member.health", self.health.score),
+            ("member.refuted", self.refuted),
+            ("member.accused", self.accused),
+            ("member.packets", self.packets),
+            ("member.foreign", self.foreign),
+        ]
 
     def state(self) -> dict[str, object]:
         """The view as operators and other programs read it; times are the detector's own clock."""
         return {
-            "name": self.me.name, "cluster": self.conf.cluster, "incarnation": self.me.incarnation,
-            "version": self.view.version, "digest": f"{self.view.digest:016x}",
-            "present": self.view.present, "health": self.health.score,
+            "name": self.me.name,
+            "cluster": self.conf.cluster,
+            "incarnation": self.me.incarnation,
+            "version": self.view.version,
+            "digest": f"{self.view.digest:016x}",
+            "present": self.view.present,
+            "health": self.health.score,
             "members": [
-                {"name": r.name, "address": r.address, "incarnation": r.incarnation,
-                 "state": State(r.state).name.lower(), "zone": r.zone, "region": r.region, "by": r.by}
-                for r in sorted(self.view, key=lambda r: r.name)],
+                {
+                    "name": r.name,
+                    "address": r.address,
+                    "incarnation": r.incarnation,
+                    "state": State(r.state).name.lower(),
+                    "zone": r.zone,
+                    "region": r.region,
+                    "by": r.by,
+                }
+                for r in sorted(self.view, key=lambda r: r.name)
+            ],
             "history": [
-                {"version": c.version, "ago": round(self.now - c.at, 3), "name": c.record.name,
-                 "state": State(c.record.state).name.lower(), "incarnation": c.record.incarnation,
-                 "by": c.record.by, "before": None if c.before is None else c.before.name.lower()}
-                for c in self.view.history]}
+                {
+                    "version": c.version,
+                    "ago": round(self.now - c.at, 3),
+                    "name": c.record.name,
+                    "state": State(c.record.state).name.lower(),
+                    "incarnation": c.record.incarnation,
+                    "by": c.record.by,
+                    "before": None if c.before is None else c.before.name.lower(),
+                }
+                for c in self.view.history
+            ],
+        }
--- a/saltcart/member/messages.py
+++ b/saltcart/member/messages.py
@@ -95,8 +95,11 @@
     if packet.wire != WIRE:
         raise Malformed(f"wire version {packet.wire}")
     for record in (packet.sender, *packet.news):
-        if not 0 < len(record.name) <= NAME or not 0 <= record.state <= State.LEFT or not (
-                0 < record.incarnation < 1 << 62):
+        if (
+            not 0 < len(record.name) <= NAME
+            or not 0 <= record.state <= State.LEFT
+            or not (0 < record.incarnation < 1 << 62)
+        ):
             raise Malformed(f"record of {record.name[:NAME]!r}")
     for post in packet.posts:
         if not 0 < len(post.topic) <= NAME or len(post.data) > MOST_DATA or not 0 < post.number < 1 << 62:
--- a/saltcart/member/record.py
+++ b/saltcart/member/record.py
@@ -52,8 +52,15 @@
         return xxhash.xxh3_64_intdigest(f"{self.name}\0{self.address}\0{self.incarnation}".encode())
 
     def said(self, state: State, by: str, incarnation: int | None = None) -> Record:
-        return Record(self.name, self.address, self.incarnation if incarnation is None else incarnation,
-                      state, self.zone, self.region, by)
+        return Record(
+            self.name,
+            self.address,
+            self.incarnation if incarnation is None else incarnation,
+            state,
+            self.zone,
+            self.region,
+            by,
+        )
 
     def size(self) -> int:
         """Bytes on the wire, at most."""
--- a/saltcart/member/settings.py
+++ b/saltcart/member/settings.py
@@ -50,8 +50,11 @@
     for key, value in (("listen", conf.listen), ("advertise", conf.advertise)):
         if value is not None and int(value.rpartition(":")[2]) > 65535:
             raise WireError(f"member.{key}: no such port: {value}")
-    for key, value in (("listen", conf.listen), ("advertise", conf.advertise), *(
-            (f"seeds[{n}]", seed) for n, seed in enumerate(conf.seeds))):
+    for key, value in (
+        ("listen", conf.listen),
+        ("advertise", conf.advertise),
+        *((f"seeds[{n}]", seed) for n, seed in enumerate(conf.seeds)),
+    ):
         if value is not None and not LOOPBACK.match(value):
             raise WireError(f"member.{key}: packets are not signed, so only loopback addresses are allowed")
     if conf.probe_wait >= conf.probe_every:
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -56,7 +56,7 @@
         try:
             while (message := self.parser.next(self.buffer)) is not None:
                 if isinstance(message, ajp.WantBody):
-                    part, self.body = self.body[:message.size], self.body[message.size:]
+                    part, self.body = self.body[: message.size], self.body[message.size :]
                     self.send(ajp.body_packet(part))
                 elif self.answer is not None and not self.answer.done():
                     self.answer.set_result(message)
@@ -85,6 +85,7 @@
 
     def arrived(self, klass: str) -> bool:
         """A request has come; whether it is to be placed at all."""
+
     def choose(self, klass: str, tried: set[str], safe: bool) -> str | None: ...
     def ended(self, host: str, good: bool, took: float, refused: bool) -> None: ...
 
@@ -92,8 +93,9 @@
 class AjpUpstream:
     """Sends each run to the member that has the least to do for its weight, or that a chooser names."""
 
-    def __init__(self, members: list[Member], ended: Callable[[bytes, Outcome, float, bytes], None],
-                 log: Log) -> None:
+    def __init__(
+        self, members: list[Member], ended: Callable[[bytes, Outcome, float, bytes], None], log: Log
+    ) -> None:
         self.members, self.ended, self.log = members, ended, log
         self.by_host = {m.host: m for m in members}
         self.chooser: Chooser | None = None
@@ -104,7 +106,8 @@
     def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float) -> None:
         if ident not in self.tasks:
             task = asyncio.get_running_loop().create_task(
-                self._run(ident, klass, account, body, once, within))
+                self._run(ident, klass, account, body, once, within)
+            )
             self.tasks[ident] = task
             task.add_done_callback(lambda done: self._done(ident, done))
 
@@ -141,8 +144,9 @@
 
     # ---- one run ------------------------------------------------------------------------------
 
-    async def _run(self, ident: bytes, klass: str, account: str, body: bytes, once: bool,
-                   within: float) -> None:
+    async def _run(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float
+    ) -> None:
         loop = asyncio.get_running_loop()
         begun, outcome, result = loop.time(), Outcome.ERROR, b""
         try:
@@ -154,8 +158,9 @@
             outcome = Outcome.CANCELLED
         self.ended(ident, outcome, loop.time() - begun, result)
 
-    async def _try_members(self, ident: bytes, klass: str, account: str, body: bytes, once: bool,
-                           until: float) -> tuple[Outcome, bytes]:
+    async def _try_members(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, until: float
+    ) -> tuple[Outcome, bytes]:
         tried, repeats = set[Member](), 0 if once else 1
         loop, chooser = asyncio.get_running_loop(), self.chooser
         if chooser is not None and not chooser.arrived(klass):
@@ -193,21 +198,28 @@
         able = [m for m in fresh if m.rests_until <= now] or fresh
         return min(able, key=lambda m: (m.open + 1) / m.weight, default=None)
 
-    async def _forward(self, member: Member, ident: bytes, klass: str, account: str, body: bytes, once: bool,
-                       until: float) -> ajp.Response:
+    async def _forward(
+        self, member: Member, ident: bytes, klass: str, account: str, body: bytes, once: bool, until: float
+    ) -> ajp.Response:
         member.open += 1
         connection: MemberConnection | None = None
         try:
             connection = await self._connection(member, once)
             host, port = address(member.host)
             left = until - asyncio.get_running_loop().time()
-            headers = [(b"Request-Id", ident), (b"Account", account.encode()),
-                       (b"Budget-Ms", b"%d" % max(1, left * 1000)), (b"Content-Length", b"%d" % len(body))]
-            data = ajp.forward_request(b"POST", b"/call/" + klass.encode(), headers, host.encode(), port,
-                                       member.secret)
-            connection.body = body[ajp.MAX_DATA:]
+            headers = [
+                (b"Request-Id", ident),
+                (b"Account", account.encode()),
+                (b"Budget-Ms", b"%d" % max(1, left * 1000)),
+                (b"Content-Length", b"%d" % len(body)),
+            ]
+            data = ajp.forward_request(
+                b"POST", b"/call/" + klass.encode(), headers, host.encode(), port, member.secret
+            )
+            connection.body = body[ajp.MAX_DATA :]
             answer = await connection.ask(
-                data + (ajp.body_packet(body[:ajp.MAX_DATA]) if body else b""), max(0.0, left))
+                data + (ajp.body_packet(body[: ajp.MAX_DATA]) if body else b""), max(0.0, left)
+            )
             if not isinstance(answer, ajp.Response):
                 raise ConnectionResetError("a pong in the place of an answer")
             if answer.reuse and not (self.closed or connection.body or connection.transport is None):
@@ -238,7 +250,8 @@
         try:
             async with asyncio.timeout(CONNECT_WAIT):
                 _, made = await loop.create_connection(
-                    lambda: MemberConnection(member), *address(member.host))
+                    lambda: MemberConnection(member), *address(member.host)
+                )
         except (OSError, TimeoutError) as error:
             member.rests_until = loop.time() + REST
             self.log("member-refused", member=member.host, error=str(error))
--- a/saltcart/net/clock.py
+++ b/saltcart/net/clock.py
@@ -17,8 +17,9 @@
     Unix clock now: what peers write as Unix time is moved by it as it is read.
     """
 
-    def __init__(self, unix: Callable[[], float] = time.time,
-                 steady: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, unix: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
+    ) -> None:
         self.unix, self.steady = unix, steady
         self.base = unix() - steady()
 
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -32,10 +32,18 @@
 class Composer:
     """Owns the desk, its timer and the index connections of dependencies."""
 
-    def __init__(self, plans: Plans, classes: Iterable[ClassSpec], upstreams: Upstreams, events: RunEvents,
-                 log: Log, seed: int, clock: Callable[[], float],
-                 held: Callable[[], int],
-                 usable: Callable[[float, float], tuple[float, float]]) -> None:
+    def __init__(
+        self,
+        plans: Plans,
+        classes: Iterable[ClassSpec],
+        upstreams: Upstreams,
+        events: RunEvents,
+        log: Log,
+        seed: int,
+        clock: Callable[[], float],
+        held: Callable[[], int],
+        usable: Callable[[float, float], tuple[float, float]],
+    ) -> None:
         self.desk, self.held, self.usable = Desk(plans, seed, classes), held, usable
         self.upstreams, self.events, self.log, self.clock = upstreams, events, log, clock
         self.specs = {d.name: d for d in plans.dependency}
@@ -50,8 +58,9 @@
 
     # ---- the port -----------------------------------------------------------------------------
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         if klass not in self.desk.plans:
             self.upstreams.spawn(ident, klass, account, body, once, within, aim)
         elif ident not in self.desk.runs:
@@ -90,11 +99,13 @@
         """Gauges for the operators: calls under way and allowed, waiting, and further attempts so far."""
         out = list[tuple[str, int]]()
         for name, d in self.desk.dependencies.items():
-            out += [(f"dependency.{name}.used", d.limit.used),
-                    (f"dependency.{name}.limit", int(d.limit.value)),
-                    (f"dependency.{name}.waiting", len(d.waiting)),
-                    (f"dependency.{name}.further", d.counts["further"]),
-                    (f"dependency.{name}.circuit_open", int(d.breaker.state.value != "closed"))]
+            out += [
+                (f"dependency.{name}.used", d.limit.used),
+                (f"dependency.{name}.limit", int(d.limit.value)),
+                (f"dependency.{name}.waiting", len(d.waiting)),
+                (f"dependency.{name}.further", d.counts["further"]),
+                (f"dependency.{name}.circuit_open", int(d.breaker.state.value != "closed")),
+            ]
         return out
 
     def close(self) -> None:
@@ -120,15 +131,17 @@
                 else:
                     self.upstreams.give_up(order.ident)
             case Ended():
-                self.events.run_ended(order.ident, order.outcome, order.took, order.body,
-                                      order.left_out, order.remembered)
+                self.events.run_ended(
+                    order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
+                )
 
     def _send(self, order: Send) -> None:
         spec = self.specs[order.dependency]
         if spec.kind == "index":
             self.lines[spec.name].client.call(order.ident, order.within, order.body, order.once)
-        elif not self.upstreams.call(spec.upstream or "", order.ident, spec.name, order.tenant, order.body,
-                                     order.within, self._told):
+        elif not self.upstreams.call(
+            spec.upstream or "", order.ident, spec.name, order.tenant, order.body, order.within, self._told
+        ):
             # In the next turn: the desk is told of ends after its orders, never among them.
             self.loop.call_soon(self._told, order.ident, Outcome.MOOT, b"")
 
--- a/saltcart/net/evenly.py
+++ b/saltcart/net/evenly.py
@@ -17,13 +17,27 @@
 class Evenly(Boarded):
     """The chooser of one upstream whose members are shared out among the instances."""
 
-    def __init__(self, conf: FleetSettings, upstream: UpstreamConf, gossip: Gossip, runs: AjpUpstream,
-                 seed: int, log: Log) -> None:
+    def __init__(
+        self,
+        conf: FleetSettings,
+        upstream: UpstreamConf,
+        gossip: Gossip,
+        runs: AjpUpstream,
+        seed: int,
+        log: Log,
+    ) -> None:
         super().__init__(gossip, log)
         self.runs = runs
         self.names, self.names_at = list[str](), -1
-        self.together = Together(conf, {m.host: m.capacity for m in upstream.members}, gossip.name,
-                                 random.Random(seed), self, self._load, self.loop.time())
+        self.together = Together(
+            conf,
+            {m.host: m.capacity for m in upstream.members},
+            gossip.name,
+            random.Random(seed),
+            self,
+            self._load,
+            self.loop.time(),
+        )
         self.given = self.together.given  # type: ignore[method-assign]
         runs.chooser = self
 
--- a/saltcart/net/gossip.py
+++ b/saltcart/net/gossip.py
@@ -40,11 +40,18 @@
     async def open(self) -> str:
         """Listen and join; returns the address."""
         transport, _ = await self.loop.create_datagram_endpoint(
-            lambda: self, local_addr=address(self.conf.listen))
+            lambda: self, local_addr=address(self.conf.listen)
+        )
         host, port = transport.get_extra_info("sockname")[:2]
         at = f"{host}:{port}"
-        self.detector = Detector(self.conf, self.name, self.conf.advertise or at, self.rng, self.loop.time(),
-                                 int(time.time() * 1000))
+        self.detector = Detector(
+            self.conf,
+            self.name,
+            self.conf.advertise or at,
+            self.rng,
+            self.loop.time(),
+            int(time.time() * 1000),
+        )
         self.detector.changed, self.detector.name_taken = self._changed, self._name_taken
         self.detector.given, self.detector.board.changed = self._given, self._posted
         self._arm()
@@ -134,9 +141,15 @@
 
     def _changed(self, change: Change) -> None:
         r = change.record
-        self.log("member", name=r.name, state=State(r.state).name.lower(), incarnation=r.incarnation, by=r.by,
-                 before=None if change.before is None else change.before.name.lower(),
-                 version=change.version)
+        self.log(
+            "member",
+            name=r.name,
+            state=State(r.state).name.lower(),
+            incarnation=r.incarnation,
+            by=r.by,
+            before=None if change.before is None else change.before.name.lower(),
+            version=change.version,
+        )
 
     def _name_taken(self, record: Record) -> None:
         self.log("member-name-taken", name=record.name, address=record.address)
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -18,7 +18,10 @@
 
 # Only SHED and NOBODY prove that the call never ran, and a connection that was never made.
 ENDS = {
-    b"HIT": Outcome.OK, b"SHED": Outcome.REJECTED, b"BROKEN": Outcome.ERROR, b"SLOW": Outcome.TIMEOUT,
+    b"HIT": Outcome.OK,
+    b"SHED": Outcome.REJECTED,
+    b"BROKEN": Outcome.ERROR,
+    b"SLOW": Outcome.TIMEOUT,
     b"NOBODY": Outcome.REJECTED,
 }
 CONNECT_WAIT = 2.0
@@ -158,7 +161,8 @@
             try:
                 async with asyncio.timeout(CONNECT_WAIT):
                     _, connection = await asyncio.get_running_loop().create_connection(
-                        lambda: IndexConnection(self), *self.peer)
+                        lambda: IndexConnection(self), *self.peer
+                    )
             except TimeoutError:
                 break
             except OSError:
--- a/saltcart/net/listener.py
+++ b/saltcart/net/listener.py
@@ -107,9 +107,15 @@
     COMING = 32  # accepted past the bound while others come over: of the descriptors that are kept back
     ACCEPTS = 8  # at one turn of the loop: a flood must not run far past the limit before it is counted
 
-    def __init__(self, listen: str, make: Callable[[Listener], ServerConnection],
-                 idle_after: Callable[[], float], most: int, inherited: int | None = None,
-                 shared: bool = False) -> None:
+    def __init__(
+        self,
+        listen: str,
+        make: Callable[[Listener], ServerConnection],
+        idle_after: Callable[[], float],
+        most: int,
+        inherited: int | None = None,
+        shared: bool = False,
+    ) -> None:
         self.listen, self.make, self.idle_after, self.most = address(listen), make, idle_after, most
         self.inherited = inherited  # a descriptor that listens already; it is somebody else's and stays open
         self.shared = shared  # another process may listen here while it hands over
@@ -130,7 +136,8 @@
         try:
             sock.setblocking(False)
             self.server = await self.loop.create_server(
-                lambda: self.make(self), sock=sock, backlog=self.ACCEPTS)
+                lambda: self.make(self), sock=sock, backlog=self.ACCEPTS
+            )
             sock.listen(self.BACKLOG)  # the loop's figure is that of accepts at one turn as well
         except BaseException:
             sock.close()
--- a/saltcart/net/nearby.py
+++ b/saltcart/net/nearby.py
@@ -21,16 +21,32 @@
 class Nearby(Boarded):
     """The chooser of one upstream whose members are in zones."""
 
-    def __init__(self, conf: LocalitySettings, upstream: UpstreamConf, gossip: Gossip, runs: AjpUpstream,
-                 seed: int, log: Log, worths: Mapping[str, float]) -> None:
+    def __init__(
+        self,
+        conf: LocalitySettings,
+        upstream: UpstreamConf,
+        gossip: Gossip,
+        runs: AjpUpstream,
+        seed: int,
+        log: Log,
+        worths: Mapping[str, float],
+    ) -> None:
         """``worths``: by class, of an answer in time; what is no class of ours counts as the least."""
         super().__init__(gossip, log)
         self.runs, self.worths = runs, worths
         self.least = min(worths.values(), default=1.0)
         self.spoken, self.spoken_at = dict[str, str](), -1
         sites = Sites(Backend(m.host, m.zone, m.region, m.capacity) for m in upstream.members)
-        self.locality = Locality(conf, sites, gossip.name, gossip.conf.zone, random.Random(seed), self,
-                                 self._load, self.loop.time())
+        self.locality = Locality(
+            conf,
+            sites,
+            gossip.name,
+            gossip.conf.zone,
+            random.Random(seed),
+            self,
+            self._load,
+            self.loop.time(),
+        )
         self.locality.changed = self._changed
         self.given, self.heard = self.locality.given, self.locality.posted  # type: ignore[method-assign]
         runs.chooser = self
@@ -64,8 +80,12 @@
 
     def _changed(self, plan: Plan, number: int, by: str) -> None:
         zones = self.locality.sites.zones
-        self.log("locality-plan", number=number, by=by, rows={
-            zones[o]: {zones[t]: s for t, s in row.items()} for o, row in plan.rows.items()})
+        self.log(
+            "locality-plan",
+            number=number,
+            by=by,
+            rows={zones[o]: {zones[t]: s for t, s in row.items()} for o, row in plan.rows.items()},
+        )
 
     def state(self) -> dict[str, object]:
         return self.locality.state(self.loop.time())
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -139,8 +139,9 @@
         if data and self.connection is not None:
             self.connection.send(data)
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         self._send(self.session.spawn(ident, klass.encode(), body, once))
 
     def suspend(self, ident: bytes) -> None:
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -34,7 +34,8 @@
         if conf.name in self.by_name:
             self.remove(conf.name)
         self.by_name[conf.name] = AjpUpstream(
-            [Member(m.host, m.weight, m.secret.encode()) for m in conf.members], self._ended, self.log)
+            [Member(m.host, m.weight, m.secret.encode()) for m in conf.members], self._ended, self.log
+        )
 
     def remove(self, name: str) -> None:
         self.by_name.pop(name).close()
@@ -55,8 +56,9 @@
 
     # ---- the port -----------------------------------------------------------------------------
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         name = self.by_tenant.get(account)
         upstream = self.by_name.get(name) if name else next(iter(self.by_name.values()), None)
         if upstream is None:
@@ -65,8 +67,9 @@
         self.where[ident] = upstream
         upstream.spawn(ident, klass, account, body, once, within)
 
-    def call(self, name: str, ident: bytes, what: str, account: str, body: bytes, within: float,
-             told: Told) -> bool:
+    def call(
+        self, name: str, ident: bytes, what: str, account: str, body: bytes, within: float, told: Told
+    ) -> bool:
         """One call of a composed run: sent once, whatever becomes of it.  False: no such upstream."""
         upstream = self.by_name.get(name)
         if upstream is None:
--- a/saltcart/settings.py
+++ b/saltcart/settings.py
@@ -12,11 +12,16 @@
 from saltcart import interface as i
 
 EFFECTS = {
-    "read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE,
+    "read_like": i.Effect.SAFE,
+    "idempotency_key": i.Effect.KEYED,
+    "non_idempotent": i.Effect.UNSAFE,
 }
 PREEMPTION = {"none": i.Preemption.NONE, "drop": i.Preemption.DROP, "pause": i.Preemption.PAUSE}
 SIGNALS = {
-    "none": i.Signal.NONE, "level": i.Signal.LEVEL, "credit": i.Signal.CREDIT, "weight": i.Signal.WEIGHT,
+    "none": i.Signal.NONE,
+    "level": i.Signal.LEVEL,
+    "credit": i.Signal.CREDIT,
+    "weight": i.Signal.WEIGHT,
 }
 BELOW = {"none": i.Below.NONE, "shared": i.Below.SHARED, "tier": i.Below.TIER}
 MOST = 1e15  # in whatever unit: beyond it sums of times and sizes lose their meaning, and end in infinity
@@ -116,12 +121,19 @@
             raise WireError(f"{s.where}: field name is not a word")
         if any(called == c.name for c in classes):
             raise WireError(f"{s.where}: field name stands for two classes: {called}")
-        classes.append(i.ClassSpec(
-            name=called, effect=s.choice("effect", EFFECTS), aim=s.number("onTime", low=1e-6),
-            deadline=s.number("deadline", low=1e-6), worth=s.number("worth"),
-            late_worth=s.number("lateValue", 0.0), window=s.number("memorySpan", 0.0),
-            calls_below=n < len(calls) and calls[n], skip_worth=float(skip),
-        ))
+        classes.append(
+            i.ClassSpec(
+                name=called,
+                effect=s.choice("effect", EFFECTS),
+                aim=s.number("onTime", low=1e-6),
+                deadline=s.number("deadline", low=1e-6),
+                worth=s.number("worth"),
+                late_worth=s.number("lateValue", 0.0),
+                window=s.number("memorySpan", 0.0),
+                calls_below=n < len(calls) and calls[n],
+                skip_worth=float(skip),
+            )
+        )
     tenants: list[i.TenantSpec] = []
     for n, raw in enumerate(f.array("orgs", [])):
         t = Fields(raw, f"{f.where}.orgs[{n}]")
@@ -133,23 +145,38 @@
         tenants.append(i.TenantSpec(called, t.number("quotaPerS", 0.0), t.number("share", 0.0)))
     stays = limits.flag("retryAfter", False)
     return i.Settings(
-        classes=tuple(classes), tenants=tuple(tenants), cores=extra.integer("cores", low=1, high=MOST),
-        memory_kb=extra.number("memLimitKb", low=1e-6), answer_slack=contract.number("answerSlack"),
-        drain_grace=contract.number("drainGrace"), crowd_limit=contract.number("fallMultiple", low=1),
-        crowd_span=contract.number("fall"), cold_from=contract.number("coldFrom", 1.0, high=1),
-        cold_span=contract.number("cold", 0.0), cold=extra.flag("cold", False),
+        classes=tuple(classes),
+        tenants=tuple(tenants),
+        cores=extra.integer("cores", low=1, high=MOST),
+        memory_kb=extra.number("memLimitKb", low=1e-6),
+        answer_slack=contract.number("answerSlack"),
+        drain_grace=contract.number("drainGrace"),
+        crowd_limit=contract.number("fallMultiple", low=1),
+        crowd_span=contract.number("fall"),
+        cold_from=contract.number("coldFrom", 1.0, high=1),
+        cold_span=contract.number("cold", 0.0),
+        cold=extra.flag("cold", False),
         over_quota_worth=f.number("overShareWorth", 1.0),
-        goal=i.Goal(mix.number("whole", 1.0), mix.number("worstWindow", 0.0),
-                    mix.number("worstClass", 0.0), mix.number("worstTenant", 0.0)),
+        goal=i.Goal(
+            mix.number("whole", 1.0),
+            mix.number("worstWindow", 0.0),
+            mix.number("worstClass", 0.0),
+            mix.number("worstTenant", 0.0),
+        ),
         preemption=extra.choice("preemption", PREEMPTION, i.Preemption.NONE),
         signal=extra.choice("signal", SIGNALS, i.Signal.NONE),
         below=extra.choice("below", BELOW, i.Below.NONE),
-        call_share=extra.number("depShare", None), call_span=extra.number("shareSpan", 0.0),
-        call_linger=extra.number("linger", 0.0), run_factor=extra.number("runFactor", 1.0, low=1),
-        entry_kb=extra.number("keyKb", 0.0), fresh=extra.number("fresh", 0.0),
-        heard_for=extra.number("heardFor", 0.0), idle=extra.number("idle", 0.0),
+        call_share=extra.number("depShare", None),
+        call_span=extra.number("shareSpan", 0.0),
+        call_linger=extra.number("linger", 0.0),
+        run_factor=extra.number("runFactor", 1.0, low=1),
+        entry_kb=extra.number("keyKb", 0.0),
+        fresh=extra.number("fresh", 0.0),
+        heard_for=extra.number("heardFor", 0.0),
+        idle=extra.number("idle", 0.0),
         max_stay_away=limits.number("maxRetryAfter", 0.0) if stays else 0.0,
         servers=f.integer("replicasOfMe", 1, high=MOST),
         callers=extra.integer("clientsTotal", 1, high=MOST),
-        step=f.number("quantum", 0.001, low=1e-6), tier=f.integer("tier", 0),
+        step=f.number("quantum", 0.001, low=1e-6),
+        tier=f.integer("tier", 0),
     )
--- a/saltcart/storm/damper.py
+++ b/saltcart/storm/damper.py
@@ -50,8 +50,9 @@
 
 
 class Damper:
-    def __init__(self, conf: StormSettings, settings: Settings, seed: int, now: float,
-                 started: float) -> None:
+    def __init__(
+        self, conf: StormSettings, settings: Settings, seed: int, now: float, started: float
+    ) -> None:
         self.conf, self.rng = conf, random.Random(seed)
         self.fingerprints = Fingerprints(self.rng.getrandbits(64))
         self.refusals = Seen(conf.memory)
@@ -86,15 +87,17 @@
         # Nobody's place could be taken where there is nobody else, or room for all: a balancer that carries
         # much is no crowd by that alone.
         alone = len(self.sources.offers) < 2 or not (
-            self.storm(now) or self.weather.flooded(now, self.capacity(now)))
+            self.storm(now) or self.weather.flooded(now, self.capacity(now))
+        )
         # How early a source comes tells nothing here: behind one address there may be many callers.
         last = not alone and count > CROWD * part
         if not self.gate.admits(now, last, 0.0 if alone else weight(count, CROWD * part)):
             return Entry.STOP
         return Entry.LAST if last else Entry.GO
 
-    def arrived(self, now: float, account: str, klass: str, key: bytes | None, subject: str | None,
-                body: bytes) -> Try:
+    def arrived(
+        self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
+    ) -> Try:
         self.now = now
         mark = self.fingerprints.of(account, klass, key, subject, body)
         again = self.refusals.has(now, mark)
@@ -164,13 +167,22 @@
 
     def figures(self, now: float) -> list[tuple[str, int]]:
         w = self.weather
-        return [("storm.on", int(self.storm(now))), ("storm.storms", w.storms),
-                ("storm.amplification_percent", round(100 * w.amplification(now))),
-                ("storm.new_per_s", round(w.new_rate(now))), ("storm.again", self.again),
-                ("storm.kept", self.kept), ("storm.early", self.early), ("storm.told", self.told),
-                ("storm.calendar_full", self.full), ("storm.most_tries", self.most_tries),
-                ("storm.unread", self.gate.stopped)]
+        return [
+            ("storm.on", int(self.storm(now))),
+            ("storm.storms", w.storms),
+            ("storm.amplification_percent", round(100 * w.amplification(now))),
+            ("storm.new_per_s", round(w.new_rate(now))),
+            ("storm.again", self.again),
+            ("storm.kept", self.kept),
+            ("storm.early", self.early),
+            ("storm.told", self.told),
+            ("storm.calendar_full", self.full),
+            ("storm.most_tries", self.most_tries),
+            ("storm.unread", self.gate.stopped),
+        ]
 
     def state(self, now: float) -> dict[str, object]:
-        return {**{name.removeprefix("storm."): value for name, value in self.figures(now)},
-                "amplifiers": [{"tenant": name, "tries": round(count)} for name, count in self.heavy.top()]}
+        return {
+            **{name.removeprefix("storm."): value for name, value in self.figures(now)},
+            "amplifiers": [{"tenant": name, "tries": round(count)} for name, count in self.heavy.top()],
+        }
--- a/saltcart/storm/gate.py
+++ b/saltcart/storm/gate.py
@@ -28,8 +28,9 @@
     ``reading``: what reading a request costs, as a share of its work.
     """
 
-    def __init__(self, over: float, reading: float, capacity: Callable[[float], float],
-                 storm: Callable[[float], bool]) -> None:
+    def __init__(
+        self, over: float, reading: float, capacity: Callable[[float], float], storm: Callable[[float], bool]
+    ) -> None:
         cheap = min(MOST, READ_SHARE / reading)
         self.over, self.calm, self.capacity, self.storm = max(over, cheap), max(CALM, cheap), capacity, storm
         self.tokens, self.spare, self.at = FEWEST, 1.0, 0.0
--- a/saltcart/storm/weather.py
+++ b/saltcart/storm/weather.py
@@ -56,9 +56,12 @@
         share = self.share(now)
         repeated = share >= self.BEGIN and self.again.level >= self.LEAST
         usual = capacity * self.HALF_LIFE / LN2  # offers that the capacity stands for, faded
-        flooded = (offered >= self.FLOOD * capacity and came > 0
-                   and self.offers.level - usual >= self.SURE * max(1.0, usual) ** 0.5
-                   and self.refusals.per_second(now) >= self.REFUSED * came)
+        flooded = (
+            offered >= self.FLOOD * capacity
+            and came > 0
+            and self.offers.level - usual >= self.SURE * max(1.0, usual) ** 0.5
+            and self.refusals.per_second(now) >= self.REFUSED * came
+        )
         if repeated or flooded:
             self.storms += self.sky is Sky.CALM
             self.sky, self.sign_at = Sky.STORM, now
--- a/saltcart/succession.py
+++ b/saltcart/succession.py
@@ -36,9 +36,17 @@
 class Succession:
     """One process's part in it: heir of the one before, and then found by the one after."""
 
-    def __init__(self, folder: Path, name: str, service: Service, log: Log, fronts: dict[str, Listener],
-                 open_fronts: Callable[[], Awaitable[None]], announcer: Announcer | None,
-                 index: IndexClient | None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        name: str,
+        service: Service,
+        log: Log,
+        fronts: dict[str, Listener],
+        open_fronts: Callable[[], Awaitable[None]],
+        announcer: Announcer | None,
+        index: IndexClient | None,
+    ) -> None:
         self.service, self.log, self.fronts, self.open_fronts = service, log, fronts, open_fronts
         self.announcer, self.index = announcer, index
         self.doorway = Doorway(folder, f"saltcart-{name}", self._found)
@@ -95,8 +103,7 @@
                 self.given.set()
             case "connection" if fd is not None:
                 self._count_beside(max(0, self.beside - 1))
-                task = asyncio.get_running_loop().create_task(
-                    self._attach(packet, fd))
+                task = asyncio.get_running_loop().create_task(self._attach(packet, fd))
                 self.attaching.add(task)
                 task.add_done_callback(self.attaching.discard)
             case _:  # of a later release
@@ -183,8 +190,11 @@
             return False
         front = next(name for name, listener in self.fronts.items() if listener is connection.listener)
         fd = connection.transport.get_extra_info("socket").fileno()
-        fields = {"front": front, "rests": connection in connection.listener.resting,
-                  "age": asyncio.get_running_loop().time() - connection.since}
+        fields = {
+            "front": front,
+            "rests": connection in connection.listener.resting,
+            "age": asyncio.get_running_loop().time() - connection.since,
+        }
         if not self.after.give(wire.Packet("connection", fields, rest), fd):
             return False
         connection.abort()
@@ -197,7 +207,8 @@
             passed = self._pass_some()
         finally:
             self.looking = asyncio.get_running_loop().call_later(
-                NEXT if passed == PASSES else LOOK, self._look)
+                NEXT if passed == PASSES else LOOK, self._look
+            )
 
     def _pass_some(self) -> int:
         passed = 0
