--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -22,23 +22,76 @@
 SEND_BODY_CHUNK, SEND_HEADERS, END_RESPONSE, GET_BODY_CHUNK, CPONG = 3, 4, 5, 6, 9
 
 METHODS = (
-    b"OPTIONS", b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"TRACE", b"PROPFIND", b"PROPPATCH", b"MKCOL",
-    b"COPY", b"MOVE", b"LOCK", b"UNLOCK", b"ACL", b"REPORT", b"VERSION-CONTROL", b"CHECKIN", b"CHECKOUT",
-    b"UNCHECKOUT", b"SEARCH", b"MKWORKSPACE", b"UPDATE", b"LABEL", b"MERGE", b"BASELINE-CONTROL",
+    b"OPTIONS",
+    b"GET",
+    b"HEAD",
+    b"POST",
+    b"PUT",
+    b"DELETE",
+    b"TRACE",
+    b"PROPFIND",
+    b"PROPPATCH",
+    b"MKCOL",
+    b"COPY",
+    b"MOVE",
+    b"LOCK",
+    b"UNLOCK",
+    b"ACL",
+    b"REPORT",
+    b"VERSION-CONTROL",
+    b"CHECKIN",
+    b"CHECKOUT",
+    b"UNCHECKOUT",
+    b"SEARCH",
+    b"MKWORKSPACE",
+    b"UPDATE",
+    b"LABEL",
+    b"MERGE",
+    b"BASELINE-CONTROL",
     b"MKACTIVITY",
 )
 STORED_METHOD = 0xFF
 REQUEST_HEADERS = (
-    b"accept", b"accept-charset", b"accept-encoding", b"accept-language", b"authorization", b"connection",
-    b"content-type", b"content-length", b"cookie", b"cookie2", b"host", b"pragma", b"referer", b"user-agent",
+    b"accept",
+    b"accept-charset",
+    b"accept-encoding",
+    b"accept-language",
+    b"authorization",
+    b"connection",
+    b"content-type",
+    b"content-length",
+    b"cookie",
+    b"cookie2",
+    b"host",
+    b"pragma",
+    b"referer",
+    b"user-agent",
 )
 RESPONSE_HEADERS = (
-    b"content-type", b"content-language", b"content-length", b"date", b"last-modified", b"location",
-    b"set-cookie", b"set-cookie2", b"servlet-engine", b"status", b"www-authenticate",
+    b"content-type",
+    b"content-language",
+    b"content-length",
+    b"date",
+    b"last-modified",
+    b"location",
+    b"set-cookie",
+    b"set-cookie2",
+    b"servlet-engine",
+    b"status",
+    b"www-authenticate",
 )
 ATTRIBUTES = {
-    1: "context", 2: "servlet_path", 3: "remote_user", 4: "auth_type", 5: "query_string", 6: "jvm_route",
-    7: "ssl_cert", 8: "ssl_cipher", 9: "ssl_session", 12: "secret", 13: "stored_method",
+    1: "context",
+    2: "servlet_path",
+    3: "remote_user",
+    4: "auth_type",
+    5: "query_string",
+    6: "jvm_route",
+    7: "ssl_cert",
+    8: "ssl_cipher",
+    9: "ssl_session",
+    12: "secret",
+    13: "stored_method",
 }
 REQ_ATTRIBUTE, SSL_KEY_SIZE, ARE_DONE = 10, 11, 0xFF
 
@@ -53,7 +106,7 @@
         self.data, self.at = data, 0
 
     def raw(self, count: int) -> bytes:
-        data = self.data[self.at:self.at + count]
+        data = self.data[self.at : self.at + count]
         if len(data) != count:
             raise Malformed("payload too short")
         self.at += count
@@ -251,14 +304,22 @@
     return packet(FROM_CONTAINER, bytes((GET_BODY_CHUNK,)) + integer(min(count, MAX_DATA)))
 
 
-def response(status: int, reason: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes,
-             reuse: bool) -> bytes:
+def response(
+    status: int, reason: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes, reuse: bool
+) -> bytes:
     """One answer as packets: the headers, the body in chunks, the end."""
     fields = [*headers, (b"Content-Length", b"%d" % len(body))]
-    out = [packet(FROM_CONTAINER, bytes((SEND_HEADERS,)) + integer(status) + text(reason)
-                  + encode_headers(fields, RESPONSE_HEADERS))]
+    out = [
+        packet(
+            FROM_CONTAINER,
+            bytes((SEND_HEADERS,))
+            + integer(status)
+            + text(reason)
+            + encode_headers(fields, RESPONSE_HEADERS),
+        )
+    ]
     for at in range(0, len(body), MAX_CHUNK):
-        out.append(packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + text(body[at:at + MAX_CHUNK])))
+        out.append(packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + text(body[at : at + MAX_CHUNK])))
     out.append(packet(FROM_CONTAINER, bytes((END_RESPONSE, reuse))))
     return b"".join(out)
 
@@ -292,16 +353,37 @@
 CPING_PACKET = packet(TO_CONTAINER, bytes((CPING,)))
 
 
-def forward_request(method: bytes, uri: bytes, headers: Iterable[tuple[bytes, bytes]], host: bytes, port: int,
-                    secret: bytes = b"") -> bytes:
+def forward_request(
+    method: bytes,
+    uri: bytes,
+    headers: Iterable[tuple[bytes, bytes]],
+    host: bytes,
+    port: int,
+    secret: bytes = b"",
+) -> bytes:
     if method in METHODS:
         code, stored = METHODS.index(method) + 1, b""
     else:
         code, stored = STORED_METHOD, b"\x0d" + text(method)
-    return packet(TO_CONTAINER, b"".join((
-        bytes((FORWARD_REQUEST, code)), text(b"HTTP/1.1"), text(uri), text(b"127.0.0.1"), text(b"127.0.0.1"),
-        text(host), integer(port), b"\0", encode_headers(headers, REQUEST_HEADERS),
-        stored, b"\x0c" + text(secret) if secret else b"", bytes((ARE_DONE,)))))
+    return packet(
+        TO_CONTAINER,
+        b"".join(
+            (
+                bytes((FORWARD_REQUEST, code)),
+                text(b"HTTP/1.1"),
+                text(uri),
+                text(b"127.0.0.1"),
+                text(b"127.0.0.1"),
+                text(host),
+                integer(port),
+                b"\0",
+                encode_headers(headers, REQUEST_HEADERS),
+                stored,
+                b"\x0c" + text(secret) if secret else b"",
+                bytes((ARE_DONE,)),
+            )
+        ),
+    )
 
 
 def body_packet(data: bytes) -> bytes:
--- a/saltcart/wire/buffer.py
+++ b/saltcart/wire/buffer.py
@@ -29,7 +29,7 @@
             if len(self) + least > self.limit:
                 raise Overflow
             self.data.extend(bytes(min(self.limit, 2 * len(self.data) + least) - len(self.data)))
-        return memoryview(self.data)[self.end:]
+        return memoryview(self.data)[self.end :]
 
     def commit(self, count: int) -> None:
         self.end += count
@@ -43,7 +43,7 @@
         """Move what is unread to the front; equal lengths, so the bytearray is not resized."""
         if self.start:
             held = len(self)
-            self.data[:held] = self.data[self.start:self.end]
+            self.data[:held] = self.data[self.start : self.end]
             self.start, self.end = 0, held
 
     def write(self, data: bytes) -> None:
@@ -52,19 +52,19 @@
         while offset < len(data):
             room = self.space()
             count = min(len(room), len(data) - offset)
-            room[:count] = data[offset:offset + count]
+            room[:count] = data[offset : offset + count]
             del room
             self.commit(count)
             offset += count
 
     def take(self, count: int) -> bytes:
         """Consume ``count`` bytes and return them."""
-        data = bytes(self.data[self.start:self.start + count])
+        data = bytes(self.data[self.start : self.start + count])
         self.consume(count)
         return data
 
     def peek(self, count: int, offset: int = 0) -> bytes:
-        return bytes(self.data[self.start + offset:min(self.end, self.start + offset + count)])
+        return bytes(self.data[self.start + offset : min(self.end, self.start + offset + count)])
 
     def find(self, what: bytes, offset: int = 0) -> int:
         """Offset of ``what`` from ``start``, or -1."""
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -41,19 +41,36 @@
 def of_entry(entry: Entry, gone: bool, ahead: float = 0.0) -> Packet:
     """One key: what became of it so far, or that it is free again.  ``ahead``: of the Unix clock, as told."""
     account, klass, key = entry.key
-    return Packet("gone" if gone else "entry", {
-        "account": account, "klass": klass, "key": key.decode("latin-1"), "until": entry.until - ahead,
-        "digest": entry.digest.hex(), "idents": [i.decode("latin-1") for i in entry.idents],
-        "ran": entry.ran, "over": entry.over, "good": entry.result is not None}, entry.result or b"")
+    return Packet(
+        "gone" if gone else "entry",
+        {
+            "account": account,
+            "klass": klass,
+            "key": key.decode("latin-1"),
+            "until": entry.until - ahead,
+            "digest": entry.digest.hex(),
+            "idents": [i.decode("latin-1") for i in entry.idents],
+            "ran": entry.ran,
+            "over": entry.over,
+            "good": entry.result is not None,
+        },
+        entry.result or b"",
+    )
 
 
 def to_entry(packet: Packet, ahead: float = 0.0) -> Entry:
     f = packet.fields
     try:
         return Entry(
-            (str(f["account"]), str(f["klass"]), f["key"].encode("latin-1")), 0, float(f["until"]) + ahead,
-            bytes.fromhex(f["digest"]), {i.encode("latin-1") for i in f["idents"]}, bool(f["ran"]),
-            bool(f["over"]), packet.data if f["good"] else None)
+            (str(f["account"]), str(f["klass"]), f["key"].encode("latin-1")),
+            0,
+            float(f["until"]) + ahead,
+            bytes.fromhex(f["digest"]),
+            {i.encode("latin-1") for i in f["idents"]},
+            bool(f["ran"]),
+            bool(f["over"]),
+            packet.data if f["good"] else None,
+        )
     except (KeyError, AttributeError, TypeError, ValueError) as error:
         raise Malformed(f"handover: {error!r}") from None
 
@@ -65,7 +82,8 @@
 
 def to_load(packet: Packet) -> tuple[Beside, int]:
     on_core, calling, memory_kb, connections = (
-        real(packet.fields.get(name)) for name in (*Beside._fields, "connections"))
+        real(packet.fields.get(name)) for name in (*Beside._fields, "connections")
+    )
     return Beside(int(on_core), int(calling), memory_kb), int(connections)
 
 
--- a/saltcart/wire/http1.py
+++ b/saltcart/wire/http1.py
@@ -13,12 +13,25 @@
 STATUS = re.compile(rb"[1-5][0-9][0-9]\Z")
 DIGITS = re.compile(rb"[0-9]{1,9}\Z")
 REASONS = {
-    200: b"OK", 201: b"Created", 204: b"No Content", 400: b"Bad Request", 401: b"Unauthorized",
-    403: b"Forbidden", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
+    200: b"OK",
+    201: b"Created",
+    204: b"No Content",
+    400: b"Bad Request",
+    401: b"Unauthorized",
+    403: b"Forbidden",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
     409: b"Conflict",
-    411: b"Length Required", 413: b"Content Too Large", 415: b"Unsupported Media Type",
-    422: b"Unprocessable Content", 431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
-    501: b"Not Implemented", 503: b"Service Unavailable", 505: b"HTTP Version Not Supported",
+    411: b"Length Required",
+    413: b"Content Too Large",
+    415: b"Unsupported Media Type",
+    422: b"Unprocessable Content",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    503: b"Service Unavailable",
+    505: b"HTTP Version Not Supported",
 }
 
 
@@ -137,16 +150,27 @@
         return Response(int(first[1]), headers, body, keeps_alive(first[0], headers))
 
 
-def response(status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (),
-             close: bool = False) -> bytes:
+def response(
+    status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (), close: bool = False
+) -> bytes:
     """One answer as bytes."""
     extra = "".join(f"{name}: {value}\r\n" for name, value in headers)
     length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b" % (
-        status, REASONS.get(status, b"Unknown"), extra.encode("latin-1"), length,
-        b"Connection: close\r\n" if close else b"", body)
+        status,
+        REASONS.get(status, b"Unknown"),
+        extra.encode("latin-1"),
+        length,
+        b"Connection: close\r\n" if close else b"",
+        body,
+    )
 
 
 def request(method: str, target: str, host: str, body: bytes) -> bytes:
     return b"%b %b HTTP/1.1\r\nHost: %b\r\nContent-Length: %d\r\n\r\n%b" % (
-        method.encode(), target.encode(), host.encode(), len(body), body)
+        method.encode(),
+        target.encode(),
+        host.encode(),
+        len(body),
+        body,
+    )
--- a/saltcart/wire/lines.py
+++ b/saltcart/wire/lines.py
@@ -57,8 +57,12 @@
 
     def _skip(self, buffer: Buffer) -> None:
         """Drop a remark that is longer than a line may be, as far as it is here."""
-        if not self.skipping and self.remark and len(buffer) > MAX_LINE and (
-                buffer.peek(len(self.remark)) == self.remark and not 0 <= buffer.find(b"\r\n") <= MAX_LINE):
+        if (
+            not self.skipping
+            and self.remark
+            and len(buffer) > MAX_LINE
+            and (buffer.peek(len(self.remark)) == self.remark and not 0 <= buffer.find(b"\r\n") <= MAX_LINE)
+        ):
             self.skipping = True
         if self.skipping:
             at = buffer.find(b"\r\n")
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -12,9 +12,20 @@
 READ = i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0, calls_below=True, skip_worth=0.5)
 ONCE = i.ClassSpec("oddaja", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0, calls_below=True)
 SETTINGS = i.Settings(
-    classes=(READ, ONCE), cores=2, memory_kb=9000.0, answer_slack=0.08, drain_grace=1.0, crowd_limit=8.0,
-    crowd_span=2.0, run_factor=4.0, entry_kb=5.0, preemption=i.Preemption.PAUSE, signal=i.Signal.LEVEL,
-    below=i.Below.TIER, step=0.005, tenants=(i.TenantSpec("a", 10.0, 0.5), i.TenantSpec("b", 10.0, 0.5)),
+    classes=(READ, ONCE),
+    cores=2,
+    memory_kb=9000.0,
+    answer_slack=0.08,
+    drain_grace=1.0,
+    crowd_limit=8.0,
+    crowd_span=2.0,
+    run_factor=4.0,
+    entry_kb=5.0,
+    preemption=i.Preemption.PAUSE,
+    signal=i.Signal.LEVEL,
+    below=i.Below.TIER,
+    step=0.005,
+    tenants=(i.TenantSpec("a", 10.0, 0.5), i.TenantSpec("b", 10.0, 0.5)),
 )
 
 
@@ -25,15 +36,22 @@
         self.now, self.said = 1_000.0, list[tuple[Any, ...]]()
         self.logged: list[str] = []
         self.answers: dict[bytes, list[Answer]] = {}
-        self.service = Service(settings, ("cpu_busy", None, "runnable"), 1, lambda: self.now,
-                               lambda event, **_: self.logged.append(event), **more)
+        self.service = Service(
+            settings,
+            ("cpu_busy", None, "runnable"),
+            1,
+            lambda: self.now,
+            lambda event, **_: self.logged.append(event),
+            **more,
+        )
         self.service.runs, self.service.calls, self.service.announce = self, self, self
         if up:
             self.service.pool_up(False, 100.0)
 
     # the ports
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         self.said.append(("spawn", ident, klass, body, once))
 
     def suspend(self, ident: bytes) -> None:
@@ -63,8 +81,17 @@
     def arrive(self, number: int, klass: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
         ident = b"%016x" % number
         once = klass == "oddaja"  # all tries of one request carry the same body
-        ask = Ask(ident, klass, "a", self.now, 3.0, 10.0, 0.9, key=key if once else None,
-                  body=b"body of %b" % key if once and key else b"body-%d" % number)
+        ask = Ask(
+            ident,
+            klass,
+            "a",
+            self.now,
+            3.0,
+            10.0,
+            0.9,
+            key=key if once else None,
+            body=b"body of %b" % key if once and key else b"body-%d" % number,
+        )
         return self.service.arrive(replace(ask, **more), self.answers.setdefault(ident, []).append)
 
     def end(self, number: int, outcome: i.Outcome = i.Outcome.OK, result: bytes = b"result") -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -22,19 +22,45 @@
 SETTINGS: dict[str, Any] = {
     "services": [
         {"name": "read", "effect": "read_like", "onTime": 1.0, "deadline": 3.0, "worth": 1.0},
-        {"name": "oddaja", "effect": "idempotency_key", "onTime": 1.5, "deadline": 4.0, "worth": 5.0,
-         "memorySpan": 6.0}],
-    "extra": {"cores": 2, "memLimitKb": 9000.0, "signal": "level", "preemption": "pause", "runFactor": 4.0,
-              "keyKb": 5.0, "gauges": ["cpu_busy", "runnable"], "idle": 30.0, "below": "tier",
-              "callsByClass": [True, True], "classSkipWorth": [0.5, 0.0]},
+        {
+            "name": "oddaja",
+            "effect": "idempotency_key",
+            "onTime": 1.5,
+            "deadline": 4.0,
+            "worth": 5.0,
+            "memorySpan": 6.0,
+        },
+    ],
+    "extra": {
+        "cores": 2,
+        "memLimitKb": 9000.0,
+        "signal": "level",
+        "preemption": "pause",
+        "runFactor": 4.0,
+        "keyKb": 5.0,
+        "gauges": ["cpu_busy", "runnable"],
+        "idle": 30.0,
+        "below": "tier",
+        "callsByClass": [True, True],
+        "classSkipWorth": [0.5, 0.0],
+    },
     "contract": {"answerSlack": 0.08, "drainGrace": 0.3, "fall": 2.0, "fallMultiple": 8.0},
-    "orgs": [{"name": "acme", "quotaPerS": 9.0, "share": 1.0}], "limits": {}, "quantum": 0.005,
+    "orgs": [{"name": "acme", "quotaPerS": 9.0, "share": 1.0}],
+    "limits": {},
+    "quantum": 0.005,
 }
 
 
 def raw_config(**more: Any) -> dict[str, Any]:
-    return {"name": "n1", "listen": "127.0.0.1:0", "seed": "9", "stop_ms": 1500,
-            "limits": {"sockets": 256}, "settings": SETTINGS, **more}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "seed": "9",
+        "stop_ms": 1500,
+        "limits": {"sockets": 256},
+        "settings": SETTINGS,
+        **more,
+    }
 
 
 def ident(number: int) -> bytes:
@@ -122,9 +148,13 @@
 
 
 @asynccontextmanager
-async def running(deployment: Deployment | None = None, environment: dict[str, str] | None = None,
-                  log: Log = lambda event, **fields: None, clock: Clock | None = None,
-                  **more: Any) -> AsyncIterator[App]:
+async def running(
+    deployment: Deployment | None = None,
+    environment: dict[str, str] | None = None,
+    log: Log = lambda event, **fields: None,
+    clock: Clock | None = None,
+    **more: Any,
+) -> AsyncIterator[App]:
     conf: Config = read_config(raw_config(**more), environment or {})
     app = App(conf, deployment or Deployment(), log, clock)
     await app.start()
@@ -141,11 +171,22 @@
             await asyncio.sleep(0.005)
 
 
-def fields(number: int, key: str | None = None, budget: str = "2000",
-           received: int | None = None, rank: str = "0.9",
-           account: str = "acme") -> list[tuple[str, str]]:
-    named = {"Request-Id": f"{number:016x}", "Received-At": str(received or int(time.time() * 1000)),
-             "Account": account, "Budget-Ms": budget, "Footprint-Kb": "24.5", "Priority-Rank": rank}
+def fields(
+    number: int,
+    key: str | None = None,
+    budget: str = "2000",
+    received: int | None = None,
+    rank: str = "0.9",
+    account: str = "acme",
+) -> list[tuple[str, str]]:
+    named = {
+        "Request-Id": f"{number:016x}",
+        "Received-At": str(received or int(time.time() * 1000)),
+        "Account": account,
+        "Budget-Ms": budget,
+        "Footprint-Kb": "24.5",
+        "Priority-Rank": rank,
+    }
     return [*named.items()] + ([("Once-Key", key)] if key else [])
 
 
@@ -165,8 +206,10 @@
 
     def send(self, number: int, klass: str = "read", body: bytes = b"x", **more: Any) -> None:
         head = "".join(f"{name}: {value}\r\n" for name, value in self.fields(number, **more))
-        self.writer.write(f"POST /call/{klass} HTTP/1.1\r\nHost: h\r\n{head}"
-                          f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        self.writer.write(
+            f"POST /call/{klass} HTTP/1.1\r\nHost: h\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode()
+            + body
+        )
 
     async def answer(self) -> http1.Response:
         while (response := self.parser.next(self.buffer)) is None:
@@ -186,6 +229,7 @@
 
 def at_once(client: HttpClient) -> Callable[[bytes], None]:
     """Writes to the client's socket in this very turn, past its transport."""
+
     def write(data: bytes) -> None:
         with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
             raw.sendall(data)
@@ -201,13 +245,21 @@
         super().__init__(address)
         self.replies, self.secret, self.rest = ajp.ResponseParser(1 << 16), secret, b""
 
-    def send(self, number: int, klass: str = "read", body: bytes = b"x", first: int = ajp.MAX_DATA,
-             **more: Any) -> None:
+    def send(
+        self, number: int, klass: str = "read", body: bytes = b"x", first: int = ajp.MAX_DATA, **more: Any
+    ) -> None:
         """``first``: how much of the body goes along unasked."""
         headers = [(n.encode(), v.encode()) for n, v in self.fields(number, **more)]
-        self.writer.write(ajp.forward_request(
-            b"POST", b"/call/" + klass.encode(), [*headers, (b"Content-Length", b"%d" % len(body))],
-            b"localhost", 8009, self.secret))
+        self.writer.write(
+            ajp.forward_request(
+                b"POST",
+                b"/call/" + klass.encode(),
+                [*headers, (b"Content-Length", b"%d" % len(body))],
+                b"localhost",
+                8009,
+                self.secret,
+            )
+        )
         if body:
             self.writer.write(ajp.body_packet(body[:first]))
         self.rest = body[first:]
@@ -222,7 +274,7 @@
 
     async def answer(self) -> http1.Response:
         while isinstance(message := await self.message(), ajp.WantBody):
-            part, self.rest = self.rest[:message.size], self.rest[message.size:]
+            part, self.rest = self.rest[: message.size], self.rest[message.size :]
             self.writer.write(ajp.body_packet(part))
         assert isinstance(message, ajp.Response)
         return http1.Response(message.status, message.headers, message.body, message.reuse)
@@ -235,8 +287,9 @@
 class AjpServer(Server):
     """A stand-in AJP container; ``act`` decides what becomes of each request."""
 
-    def __init__(self, act: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]],
-                 secret: bytes = b"") -> None:
+    def __init__(
+        self, act: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]], secret: bytes = b""
+    ) -> None:
         super().__init__(self._link)
         self.act, self.secret = act, secret
         self.seen: list[ajp.ForwardRequest] = []
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -22,11 +22,14 @@
     return Deployment(admin=Admin("127.0.0.1:0", TOKEN, None if state is None else str(state)))
 
 
-async def ask(client: HttpClient, method: str, path: str, value: Any = None,
-              auth: str = AUTH) -> tuple[int, Any]:
+async def ask(
+    client: HttpClient, method: str, path: str, value: Any = None, auth: str = AUTH
+) -> tuple[int, Any]:
     body = value if isinstance(value, bytes) else b"" if value is None else orjson.dumps(value)
-    client.writer.write(f"{method} {path} HTTP/1.1\r\nAuthorization: {auth}\r\n"
-                        f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
+    client.writer.write(
+        f"{method} {path} HTTP/1.1\r\nAuthorization: {auth}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+        + body
+    )
     answer = await client.answer()
     return answer.status, orjson.loads(answer.body) if answer.body else None
 
@@ -35,6 +38,7 @@
     def container(name: bytes) -> AjpServer:
         async def act(_: ajp.ForwardRequest) -> bytes:
             return container_answer(200, name)
+
         return AjpServer(act)
 
     async def play() -> None:
@@ -59,10 +63,12 @@
             assert (await client.ask(3, "oddaja", key="k", account="acme")).body == b"one"
             assert (await client.ask(4, "oddaja", key="k", account="other")).body == b"two"
             assert (await ask(admin, "GET", "/v1/counts"))[1] == {
-                t: {"read": {"served": 1}, "oddaja": {"served": 1}} for t in ("acme", "other")}
+                t: {"read": {"served": 1}, "oddaja": {"served": 1}} for t in ("acme", "other")
+            }
             assert (await ask(admin, "DELETE", "/v1/upstreams/u2"))[0] == 409
             assert (await ask(admin, "GET", "/v1/upstreams/u2"))[1]["members"] == [
-                {"host": two.address, "weight": 1.0, "has_secret": True, "open": 0}]
+                {"host": two.address, "weight": 1.0, "has_secret": True, "open": 0}
+            ]
             assert (await ask(admin, "DELETE", "/v1/tenants/other"))[0] == 204
             assert (await client.ask(5, account="other")).status == 400
             assert (await ask(admin, "DELETE", "/v1/upstreams/u2"))[0] == 204
@@ -72,30 +78,50 @@
         async with running(deployment(state)) as app:  # what was changed is there after a restart
             admin = await HttpClient(app.addresses["admin"]).open()
             assert (await ask(admin, "GET", "/v1/tenants"))[1] == [
-                {"name": "acme", "share": 0.7, "quota": 50, "upstream": "u1"}]
+                {"name": "acme", "share": 0.7, "quota": 50, "upstream": "u1"}
+            ]
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("method", "path", "value", "status"), [
-    ("GET", "/v1/nothing", None, 404), ("GET", "/v2/tenants", None, 404), ("GET", "/v1/tenants/", None, 404),
-    ("GET", "/v1/tenants/none", None, 404), ("DELETE", "/v1/upstreams/none", None, 404),
-    ("PUT", "/v1/tenants/none", {}, 404), ("PUT", "/v1/shares", {"none": 0.1}, 404),
-    ("DELETE", "/v1/tenants", None, 405), ("PATCH", "/v1/upstreams/x", {}, 405),
-    ("POST", "/v1/tenants", b"{", 400), ("POST", "/v1/tenants", [1], 400), ("POST", "/v1/tenants", b"", 400),
-    ("POST", "/v1/tenants", {"name": "acme", "share": 0, "quota": 1}, 409),
-    ("POST", "/v1/tenants", {}, 422), ("POST", "/v1/tenants", {"name": "a b"}, 422),
-    ("POST", "/v1/tenants", {"name": "x", "share": 2}, 422),
-    ("POST", "/v1/tenants", {"name": "x", "quota": -1}, 422),
-    ("POST", "/v1/tenants", {"name": "x", "share": 0.2}, 422),  # with acme's whole share it is more than 1
-    ("POST", "/v1/tenants", {"name": "x", "upstream": "none"}, 422),
-    ("POST", "/v1/tenants", {"name": "x", "huh": 1}, 422),
-    ("PATCH", "/v1/tenants/acme", {"name": "other"}, 422), ("PUT", "/v1/shares", {"acme": "half"}, 422),
-    ("POST", "/v1/upstreams", {"name": "u", "members": []}, 422),
-    ("POST", "/v1/upstreams", {"name": "u", "members": [{"host": "nowhere"}]}, 422),
-    ("POST", "/v1/upstreams", {"name": "u", "members": [{"host": "h:1"}, {"host": "h:1"}]}, 422)])
+@pytest.mark.parametrize(
+    ("method", "path", "value", "status"),
+    [
+        ("GET", "/v1/nothing", None, 404),
+        ("GET", "/v2/tenants", None, 404),
+        ("GET", "/v1/tenants/", None, 404),
+        ("GET", "/v1/tenants/none", None, 404),
+        ("DELETE", "/v1/upstreams/none", None, 404),
+        ("PUT", "/v1/tenants/none", {}, 404),
+        ("PUT", "/v1/shares", {"none": 0.1}, 404),
+        ("DELETE", "/v1/tenants", None, 405),
+        ("PATCH", "/v1/upstreams/x", {}, 405),
+        ("POST", "/v1/tenants", b"{", 400),
+        ("POST", "/v1/tenants", [1], 400),
+        ("POST", "/v1/tenants", b"", 400),
+        ("POST", "/v1/tenants", {"name": "acme", "share": 0, "quota": 1}, 409),
+        ("POST", "/v1/tenants", {}, 422),
+        ("POST", "/v1/tenants", {"name": "a b"}, 422),
+        ("POST", "/v1/tenants", {"name": "x", "share": 2}, 422),
+        ("POST", "/v1/tenants", {"name": "x", "quota": -1}, 422),
+        (
+            "POST",
+            "/v1/tenants",
+            {"name": "x", "share": 0.2},
+            422,
+        ),  # with acme's whole share it is more than 1
+        ("POST", "/v1/tenants", {"name": "x", "upstream": "none"}, 422),
+        ("POST", "/v1/tenants", {"name": "x", "huh": 1}, 422),
+        ("PATCH", "/v1/tenants/acme", {"name": "other"}, 422),
+        ("PUT", "/v1/shares", {"acme": "half"}, 422),
+        ("POST", "/v1/upstreams", {"name": "u", "members": []}, 422),
+        ("POST", "/v1/upstreams", {"name": "u", "members": [{"host": "nowhere"}]}, 422),
+        ("POST", "/v1/upstreams", {"name": "u", "members": [{"host": "h:1"}, {"host": "h:1"}]}, 422),
+    ],
+)
 def test_bad_input_gets_a_clear_4xx_and_changes_nothing(
-        method: str, path: str, value: Any, status: int) -> None:
+    method: str, path: str, value: Any, status: int
+) -> None:
     async def play() -> None:
         async with running(deployment()) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
@@ -118,13 +144,19 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("raw", "named"), [
-    ({"admin": {"listen": "127.0.0.1:1", "token": "short"}}, "token"),
-    ({"admin": {"listen": "10.0.0.1:1", "token": TOKEN}}, "loopback"),
-    ({"admin": {"listen": "127.example.org:1", "token": TOKEN}}, "loopback"),
-    ({"ajp": {"listen": "10.0.0.1:1"}}, "secret"),
-    ({"ajp": {"listen": "here"}}, "listen"), ({"ajp": {"listen": "127.0.0.1:1", "port": 2}}, "port"),
-    ({"tenant": [{"name": "a", "upstream": "u"}]}, "upstream"), ({"tennant": []}, "tennant")])
+@pytest.mark.parametrize(
+    ("raw", "named"),
+    [
+        ({"admin": {"listen": "127.0.0.1:1", "token": "short"}}, "token"),
+        ({"admin": {"listen": "10.0.0.1:1", "token": TOKEN}}, "loopback"),
+        ({"admin": {"listen": "127.example.org:1", "token": TOKEN}}, "loopback"),
+        ({"ajp": {"listen": "10.0.0.1:1"}}, "secret"),
+        ({"ajp": {"listen": "here"}}, "listen"),
+        ({"ajp": {"listen": "127.0.0.1:1", "port": 2}}, "port"),
+        ({"tenant": [{"name": "a", "upstream": "u"}]}, "upstream"),
+        ({"tennant": []}, "tennant"),
+    ],
+)
 def test_a_deployment_file_with_faults_is_refused(raw: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named):
         read(raw)
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -117,9 +117,18 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("status", "klass", "expected", "runs"), [
-    (200, "read", 200, 1), (200, "oddaja", 200, 1), (500, "read", 500, 1), (404, "oddaja", 500, 1),
-    (503, "read", 500, 1), (None, "oddaja", 500, 1), (None, "read", 500, 2)])
+@pytest.mark.parametrize(
+    ("status", "klass", "expected", "runs"),
+    [
+        (200, "read", 200, 1),
+        (200, "oddaja", 200, 1),
+        (500, "read", 500, 1),
+        (404, "oddaja", 500, 1),
+        (503, "read", 500, 1),
+        (None, "oddaja", 500, 1),
+        (None, "read", 500, 2),
+    ],
+)
 def test_an_upstreams_answers(status: int | None, klass: str, expected: int, runs: int) -> None:
     async def act(_: ajp.ForwardRequest) -> bytes | None:
         return None if status is None else container_answer(status, b"\x00result")
@@ -149,8 +158,11 @@
     async def play() -> None:
         async with AjpServer(refuse) as gone:
             pass  # nobody listens there any more
-        async with AjpServer(refuse) as full, AjpServer(serve) as good, running(
-                upstream(gone.address, full.address, good.address)) as app:
+        async with (
+            AjpServer(refuse) as full,
+            AjpServer(serve) as good,
+            running(upstream(gone.address, full.address, good.address)) as app,
+        ):
             client = await HttpClient(app.addresses["http"]).open()
             for n in range(1, 4):
                 assert (await client.ask(n, klass, key=f"k{n}" if klass == "oddaja" else None)).body == b"ok"
@@ -162,8 +174,9 @@
 def test_a_run_that_is_stopped_before_its_first_step_ends_too() -> None:
     async def play() -> None:
         ended = list[tuple[bytes, Outcome]]()
-        up = AjpUpstream([Member("127.0.0.1:9")], lambda ident, how, *_: ended.append((ident, how)),
-                         lambda *_, **__: None)
+        up = AjpUpstream(
+            [Member("127.0.0.1:9")], lambda ident, how, *_: ended.append((ident, how)), lambda *_, **__: None
+        )
         up.spawn(b"a", "read", "acme", b"", False, 1.0)
         up.suspend(b"a")
         await until(lambda: ended == [(b"a", Outcome.CANCELLED)] and not up.tasks)
@@ -190,9 +203,20 @@
 CHUNK = ajp.packet(ajp.FROM_CONTAINER, b"\x03" + ajp.text(b"x" * 4000))
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"", b"noise", b"AB\xff\xff", b"\x12\x34\x00\x01\x05", HEADERS + CHUNK * 9, HEADERS + HEADERS,
-    HEADERS + CHUNK[:9], ajp.packet(ajp.FROM_CONTAINER, b"\x04\x00\xc8\x00\x09O"), ajp.CPONG_PACKET * 2])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"",
+        b"noise",
+        b"AB\xff\xff",
+        b"\x12\x34\x00\x01\x05",
+        HEADERS + CHUNK * 9,
+        HEADERS + HEADERS,
+        HEADERS + CHUNK[:9],
+        ajp.packet(ajp.FROM_CONTAINER, b"\x04\x00\xc8\x00\x09O"),
+        ajp.CPONG_PACKET * 2,
+    ],
+)
 def test_a_members_spoilt_answer_ends_its_connection_and_what_must_run_once(spoilt: bytes) -> None:
     """Noise, wrong lengths, endless bodies, silence: the run fails, and the next has a new connection."""
     answers = [spoilt, container_answer(200, b"good")]
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -14,8 +14,17 @@
 LOW = i.ClassSpec("low", i.Effect.SAFE, 1.0, 4.0, 1.0)
 TOP = i.ClassSpec("top", i.Effect.KEYED, 1.0, 4.0, 10.0, window=8.0)
 BASE = i.Settings(
-    classes=(LOW, TOP), cores=2, memory_kb=10_000.0, answer_slack=0.05, drain_grace=2.0, crowd_limit=5.0,
-    crowd_span=1.0, entry_kb=10.0, run_factor=4.0, preemption=i.Preemption.DROP, signal=i.Signal.LEVEL,
+    classes=(LOW, TOP),
+    cores=2,
+    memory_kb=10_000.0,
+    answer_slack=0.05,
+    drain_grace=2.0,
+    crowd_limit=5.0,
+    crowd_span=1.0,
+    entry_kb=10.0,
+    run_factor=4.0,
+    preemption=i.Preemption.DROP,
+    signal=i.Signal.LEVEL,
     heard_for=1.0,
 )
 
@@ -167,6 +176,7 @@
             desk.arrive(n, n % 2)
             desk.until(10 + n * 0.01)
         return desk.said
+
     assert play() == play()
 
 
@@ -220,10 +230,12 @@
     assert i.TurnAway(2, False, 1.0) in desk.arrive(2)
 
 
-@pytest.mark.parametrize(("cores", "crowd", "cold"), [
-    (1, 1.0, False), (1, 1.2, False), (1, 2.0, True), (2, 1.0, True)])
+@pytest.mark.parametrize(
+    ("cores", "crowd", "cold"), [(1, 1.0, False), (1, 1.2, False), (1, 2.0, True), (2, 1.0, True)]
+)
 def test_a_customer_whose_servers_survive_no_crowd_runs_one_request_a_core(
-        cores: int, crowd: float, cold: bool) -> None:
+    cores: int, crowd: float, cold: bool
+) -> None:
     desk = Desk(replace(BASE, cores=cores, crowd_limit=crowd, cold=cold, cold_from=0.24, cold_span=10.0))
     for n in range(4):
         desk.arrive(n)
@@ -245,8 +257,13 @@
     assert any(isinstance(a, i.TurnAway) for a in desk.said)
 
 
-CALLS = replace(BASE, below=i.Below.SHARED, call_share=1.3, call_linger=0.2, classes=(
-    replace(LOW, calls_below=True, skip_worth=0.6), replace(TOP, calls_below=True)))
+CALLS = replace(
+    BASE,
+    below=i.Below.SHARED,
+    call_share=1.3,
+    call_linger=0.2,
+    classes=(replace(LOW, calls_below=True, skip_worth=0.6), replace(TOP, calls_below=True)),
+)
 
 
 def test_calls_keep_to_the_share_and_skip_where_that_still_earns() -> None:
@@ -274,15 +291,18 @@
     assert i.Run(3) in desk.send(i.AtCall(1))
 
 
-@pytest.mark.parametrize("odd", [
-    {"classes": (replace(LOW, worth=0.0), replace(TOP, worth=0.0))},
-    {"classes": (replace(LOW, aim=0.002, deadline=0.004),)},
-    {"cores": 1, "signal": i.Signal.CREDIT, "callers": 0},
-    {"below": i.Below.SHARED, "call_share": 0.0, "classes": (replace(LOW, calls_below=True), TOP)},
-    {"tenants": (i.TenantSpec("t", 0.0, 0.0),), "goal": i.Goal(0.0)},
-    {"cold": True, "cold_span": 0.0},
-    {"entry_kb": 0.0, "run_factor": 1.0, "max_stay_away": 0.0, "heard_for": 0.0},
-])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        {"classes": (replace(LOW, worth=0.0), replace(TOP, worth=0.0))},
+        {"classes": (replace(LOW, aim=0.002, deadline=0.004),)},
+        {"cores": 1, "signal": i.Signal.CREDIT, "callers": 0},
+        {"below": i.Below.SHARED, "call_share": 0.0, "classes": (replace(LOW, calls_below=True), TOP)},
+        {"tenants": (i.TenantSpec("t", 0.0, 0.0),), "goal": i.Goal(0.0)},
+        {"cold": True, "cold_span": 0.0},
+        {"entry_kb": 0.0, "run_factor": 1.0, "max_stay_away": 0.0, "heard_for": 0.0},
+    ],
+)
 def test_odd_but_legal_settings_do_no_harm(odd: dict[str, object]) -> None:
     desk = Desk(replace(BASE, **odd))  # type: ignore[arg-type]
     for n in range(1, 30):
@@ -459,7 +479,7 @@
 def test_any_share_of_calls_lets_each_request_end(share: float) -> None:
     desk = Desk(replace(CALLS, call_share=share, callers=1200))
     for n in range(1, 20):
-        desk.arrive(n, n % 2, caller=10 ** 9 + n, cost=0.0, tenant=7)
+        desk.arrive(n, n % 2, caller=10**9 + n, cost=0.0, tenant=7)
         for run in [a for a in desk.said if isinstance(a, i.Run) and a.id == n]:
             desk.send(i.AtCall(run.id))
         for a in [a for a in desk.said if isinstance(a, i.Call) and a.id in desk.c.live]:
@@ -492,9 +512,15 @@
     assert desk.c.climber.done == 0
 
 
-@pytest.mark.parametrize(("outcome", "cut"), [
-    (i.Outcome.REJECTED, True), (i.Outcome.TIMEOUT, True),
-    (i.Outcome.ERROR, True), (i.Outcome.BROKEN, False)])
+@pytest.mark.parametrize(
+    ("outcome", "cut"),
+    [
+        (i.Outcome.REJECTED, True),
+        (i.Outcome.TIMEOUT, True),
+        (i.Outcome.ERROR, True),
+        (i.Outcome.BROKEN, False),
+    ],
+)
 def test_only_signs_of_a_crowd_cut_the_calls(outcome: i.Outcome, cut: bool) -> None:
     """A link that broke must not keep the calls from a tier that serves."""
     desk = Desk(replace(CALLS, below=i.Below.TIER))
--- a/tests/test_budget_parts.py
+++ b/tests/test_budget_parts.py
@@ -230,9 +230,12 @@
 
 
 def test_a_good_plan_stands() -> None:
-    raw = tables(plan("read", [{"dependency": "a"}, {"dependency": "b", "required": False, "worth": 0.4}],
-                      partial=True),
-                 plan("oddaja", [{"dependency": "b"}], [{"dependency": "a", "write": True}], answer="a"))
+    raw = tables(
+        plan(
+            "read", [{"dependency": "a"}, {"dependency": "b", "required": False, "worth": 0.4}], partial=True
+        ),
+        plan("oddaja", [{"dependency": "b"}], [{"dependency": "a", "write": True}], answer="a"),
+    )
     plans = read_plans(raw, ["u"])
     check_classes(plans, (READ, ONCE))
     assert [c.dependency for c in plans.plan[0].calls()] == ["a", "b"]
@@ -272,24 +275,31 @@
     assert field in where and reason in why, str(caught.value)
 
 
-@pytest.mark.parametrize(("raw", "reason"), [
-    (plan("none", [{"dependency": "a"}]), "no such class"),
-    (plan("read", [{"dependency": "a", "write": True}]), "no effects"),
-    (plan("read", [{"dependency": "a"}], reserve_ms=1000), "nothing of the aim"),
-    (plan("oddaja", [{"dependency": "a"}]), "one write"),
-    (plan("oddaja", [{"dependency": "a", "write": True}], [{"dependency": "b"}]), "alone in the last"),
-    (plan("oddaja", [{"dependency": "b"}, {"dependency": "a", "write": True}]), "alone in the last"),
-    (plan("oddaja", [{"dependency": "b"}], [{**A, "write": True}], partial=True), "never partial"),
-])
+@pytest.mark.parametrize(
+    ("raw", "reason"),
+    [
+        (plan("none", [{"dependency": "a"}]), "no such class"),
+        (plan("read", [{"dependency": "a", "write": True}]), "no effects"),
+        (plan("read", [{"dependency": "a"}], reserve_ms=1000), "nothing of the aim"),
+        (plan("oddaja", [{"dependency": "a"}]), "one write"),
+        (plan("oddaja", [{"dependency": "a", "write": True}], [{"dependency": "b"}]), "alone in the last"),
+        (plan("oddaja", [{"dependency": "b"}, {"dependency": "a", "write": True}]), "alone in the last"),
+        (plan("oddaja", [{"dependency": "b"}], [{**A, "write": True}], partial=True), "never partial"),
+    ],
+)
 def test_what_a_class_does_not_allow_is_refused(raw: dict[str, Any], reason: str) -> None:
     with pytest.raises(PlanError, match=reason):
         check_classes(read_plans(tables(raw), ["u"]), (READ, ONCE))
 
 
-JUNK = st.recursive(st.none() | st.booleans() | st.integers(-2, 2) | st.floats() | st.text(max_size=3),
-                    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-                        st.sampled_from(["name", "call", "stage", "class", "x"]), inner, max_size=3),
-                    max_leaves=12)
+JUNK = st.recursive(
+    st.none() | st.booleans() | st.integers(-2, 2) | st.floats() | st.text(max_size=3),
+    lambda inner: (
+        st.lists(inner, max_size=3)
+        | st.dictionaries(st.sampled_from(["name", "call", "stage", "class", "x"]), inner, max_size=3)
+    ),
+    max_leaves=12,
+)
 
 
 @given(st.fixed_dictionaries({"plan": JUNK, "dependency": JUNK}))
--- a/tests/test_composed.py
+++ b/tests/test_composed.py
@@ -43,30 +43,53 @@
 
 def tables(tariff: str, archive: str, ledger: str, spare: str, **more: Any) -> dict[str, Any]:
     return {
-        "ajp": {"listen": "127.0.0.1:0"}, "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
-        "upstream": [{"name": n, "members": [{"host": at}]}
-                     for n, at in (("tariff", tariff), ("ledger", ledger), ("spare", spare))],
+        "ajp": {"listen": "127.0.0.1:0"},
+        "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
+        "upstream": [
+            {"name": n, "members": [{"host": at}]}
+            for n, at in (("tariff", tariff), ("ledger", ledger), ("spare", spare))
+        ],
         "tenant": [{"name": "acme", "share": 0.5}],
         "dependency": [
             {"name": "tariff", "upstream": "tariff", **more},
             {"name": "spare", "upstream": "spare"},
             {"name": "archive", "kind": "index", "address": archive},
-            {"name": "ledger", "upstream": "ledger"}],
+            {"name": "ledger", "upstream": "ledger"},
+        ],
         "plan": [
-            {"class": "read", "partial": True, "stage": [{"call": [
-                {"dependency": "tariff"}, {"dependency": "archive", "required": False, "worth": 0.3}]}]},
-            {"class": "oddaja", "answer": "ledger", "stage": [
-                {"call": [{"dependency": "tariff"}]},
-                {"call": [{"dependency": "ledger", "write": True, "sends": "answers"}]}]}]}
+            {
+                "class": "read",
+                "partial": True,
+                "stage": [
+                    {
+                        "call": [
+                            {"dependency": "tariff"},
+                            {"dependency": "archive", "required": False, "worth": 0.3},
+                        ]
+                    }
+                ],
+            },
+            {
+                "class": "oddaja",
+                "answer": "ledger",
+                "stage": [
+                    {"call": [{"dependency": "tariff"}]},
+                    {"call": [{"dependency": "ledger", "write": True, "sends": "answers"}]},
+                ],
+            },
+        ],
+    }
 
 
 @asynccontextmanager
-async def site(tariff: Script = ok, archive: Script = ok, ledger: Script = ok,
-               **more: Any) -> AsyncIterator[Site]:
+async def site(
+    tariff: Script = ok, archive: Script = ok, ledger: Script = ok, **more: Any
+) -> AsyncIterator[Site]:
     async with AsyncExitStack() as stack:
         stand_ins: list[StandIn] = [
-            await stack.enter_async_context(make) for make in (
-                AjpStandIn(tariff), IndexStandIn(archive), AjpStandIn(ledger), AjpStandIn(ok))]
+            await stack.enter_async_context(make)
+            for make in (AjpStandIn(tariff), IndexStandIn(archive), AjpStandIn(ledger), AjpStandIn(ok))
+        ]
         deployment = read(tables(*(s.address for s in stand_ins), **more))
         app = await stack.enter_async_context(running(deployment, control="127.0.0.1:0"))
         yield Site(app, *stand_ins)
@@ -86,8 +109,10 @@
 
 async def admin(app: App, method: str, path: str) -> tuple[int, Any]:
     reader, writer = await asyncio.open_connection(*app.addresses["admin"].split(":"))
-    writer.write(f"{method} {path} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {TOKEN}\r\n"
-                 "Connection: close\r\n\r\n".encode())
+    writer.write(
+        f"{method} {path} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {TOKEN}\r\n"
+        "Connection: close\r\n\r\n".encode()
+    )
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
     writer.close()
     return int(head.split()[1]), orjson.loads(body) if body else None
@@ -97,14 +122,17 @@
     async def test() -> None:
         silent = Act("silent")
         async with site(archive=lambda asked: silent if asked.body.startswith(b"partial") else Act()) as s:
-            clients = [await HttpClient(s.app.addresses["http"]).open(),
-                       await AjpClient(s.app.addresses["ajp"]).open()]
+            clients = [
+                await HttpClient(s.app.addresses["http"]).open(),
+                await AjpClient(s.app.addresses["ajp"]).open(),
+            ]
             for n, client in enumerate(clients):
                 whole = await client.ask(10 + n, body=b"whole")
                 assert whole.status == 200 and b"left-out" not in whole.headers
                 assert orjson.loads(whole.body) == {"tariff": {"ok": 1}, "archive": {"ok": 1}}
             answers = await asyncio.gather(
-                *(client.ask(20 + n, body=b"partial") for n, client in enumerate(clients)))
+                *(client.ask(20 + n, body=b"partial") for n, client in enumerate(clients))
+            )
             for answer in answers:
                 assert answer.status == 200 and answer.headers[b"left-out"] == b"archive"
                 assert orjson.loads(answer.body) == {"tariff": {"ok": 1}, "archive": None}
@@ -243,8 +271,9 @@
             client = await HttpClient(s.app.addresses["http"]).open()
             client.send(1)
             await until(lambda: len(s.archive.asked) == 1)
-            s.app.conf = type(s.app.conf)(**{
-                **{f: getattr(s.app.conf, f) for f in s.app.conf.__slots__}, "stop_after": 0.5})
+            s.app.conf = type(s.app.conf)(
+                **{**{f: getattr(s.app.conf, f) for f in s.app.conf.__slots__}, "stop_after": 0.5}
+            )
             s.app.leave()
             answer = await client.answer()
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
@@ -263,15 +292,29 @@
     play(test)
 
 
-@pytest.mark.parametrize(("change", "reason"), [
-    ({"plan": [{"class": "oddaja", "partial": True, "stage": [
-        {"call": [{"dependency": "ledger", "write": True}]}]}]}, "plan[0].partial: oddaja has effects"),
-    ({"plan": [{"class": "none", "stage": [{"call": [{"dependency": "ledger"}]}]}]}, "plan[0].class"),
-    ({"dependency": [{"name": "ledger", "upstream": "nowhere"}]}, "dependency[0].upstream"),
-    ({"dependency": [{"name": "ledger", "upstream": "ledger", "most": 0}]}, "dependency[0].most"),
-])
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        (
+            {
+                "plan": [
+                    {
+                        "class": "oddaja",
+                        "partial": True,
+                        "stage": [{"call": [{"dependency": "ledger", "write": True}]}],
+                    }
+                ]
+            },
+            "plan[0].partial: oddaja has effects",
+        ),
+        ({"plan": [{"class": "none", "stage": [{"call": [{"dependency": "ledger"}]}]}]}, "plan[0].class"),
+        ({"dependency": [{"name": "ledger", "upstream": "nowhere"}]}, "dependency[0].upstream"),
+        ({"dependency": [{"name": "ledger", "upstream": "ledger", "most": 0}]}, "dependency[0].most"),
+    ],
+)
 def test_nothing_starts_with_a_wrong_plan_and_the_field_is_named(
-        change: dict[str, Any], reason: str, tmp_path: Path) -> None:
+    change: dict[str, Any], reason: str, tmp_path: Path
+) -> None:
     import tomli_w
 
     raw = tables("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4") | change
@@ -280,8 +323,14 @@
     config.write_text(json.dumps(raw_config()))
     environment = {**os.environ, "BALANCER_CONFIG": str(config), "SALTCART_DEPLOYMENT": str(file)}
     for command in ([], ["check", str(file), "--config", str(config)]):
-        out = subprocess.run([sys.executable, "-m", "saltcart", *command], cwd=ROOT, env=environment,
-                             capture_output=True, text=True, timeout=60)
+        out = subprocess.run(
+            [sys.executable, "-m", "saltcart", *command],
+            cwd=ROOT,
+            env=environment,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         assert out.returncode == 2 and reason in out.stderr, out.stderr
         assert len(out.stderr.strip().splitlines()) == 1  # one plain line
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -14,10 +14,21 @@
 from tests.standins import HttpClient, Pool, raw_config, running, until
 
 
-@pytest.mark.parametrize(("data", "found"), [
-    (b"", None), (b"check", None), (b"check\n", "check"), (b"check\r\nmore", "check"), (b"\n", ""),
-    (b" drain-on \r\n", "drain-on"), (b"x" * 257, Malformed), (b"x" * 257 + b"\n", Malformed),
-    (b"\x00\n", Malformed), (b"\xff\n", Malformed)])
+@pytest.mark.parametrize(
+    ("data", "found"),
+    [
+        (b"", None),
+        (b"check", None),
+        (b"check\n", "check"),
+        (b"check\r\nmore", "check"),
+        (b"\n", ""),
+        (b" drain-on \r\n", "drain-on"),
+        (b"x" * 257, Malformed),
+        (b"x" * 257 + b"\n", Malformed),
+        (b"\x00\n", Malformed),
+        (b"\xff\n", Malformed),
+    ],
+)
 def test_a_call_is_one_line(data: bytes, found: object) -> None:
     buffer = Buffer()
     buffer.write(data)
@@ -64,9 +75,16 @@
             app.service._answer_all()
             lines = await call(at, b"vars\n")
             assert lines[-1] == "END" and set(lines[:-1]) == {
-                "balancer.fulfilled.read:1|c", "balancer.fulfilled.oddaja:0|c", "balancer.faulted.oddaja:1|c",
-                "balancer.faulted.read:0|c", "balancer.throttled.read:0|c", "balancer.throttled.oddaja:0|c",
-                "balancer.relayed.read:1|c", "balancer.relayed.oddaja:1|c", "balancer.open_requests:0|g"}
+                "balancer.fulfilled.read:1|c",
+                "balancer.fulfilled.oddaja:0|c",
+                "balancer.faulted.oddaja:1|c",
+                "balancer.faulted.read:0|c",
+                "balancer.throttled.read:0|c",
+                "balancer.throttled.oddaja:0|c",
+                "balancer.relayed.read:1|c",
+                "balancer.relayed.oddaja:1|c",
+                "balancer.open_requests:0|g",
+            }
             for _, writer in (silent, half):
                 writer.close()
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -23,8 +23,10 @@
     assert not w.service.requests and not w.service.by_ident
 
 
-@pytest.mark.parametrize(("outcome", "verdict"), [
-    (i.Outcome.ERROR, "failed"), (i.Outcome.CANCELLED, "failed"), (i.Outcome.MOOT, "failed")])
+@pytest.mark.parametrize(
+    ("outcome", "verdict"),
+    [(i.Outcome.ERROR, "failed"), (i.Outcome.CANCELLED, "failed"), (i.Outcome.MOOT, "failed")],
+)
 @pytest.mark.parametrize("klass", ["read", "oddaja"])
 def test_a_run_that_ends_badly_is_answered_once(outcome: i.Outcome, verdict: str, klass: str) -> None:
     w = World()
@@ -125,12 +127,21 @@
     assert w.verdicts(1) == ["failed"] and "overdue" in w.logged
 
 
-@pytest.mark.parametrize(("outcome", "klass", "then"), [
-    (i.Outcome.OK, "oddaja", "supply"), (i.Outcome.OK, "read", "supply"),
-    (i.Outcome.BROKEN, "oddaja", "failed"), (i.Outcome.TIMEOUT, "oddaja", "failed"),
-    (i.Outcome.ERROR, "oddaja", "failed"), (i.Outcome.REJECTED, "oddaja", "call"),
-    (i.Outcome.UNREACHABLE, "oddaja", "call"), (i.Outcome.BROKEN, "read", "call"),
-    (i.Outcome.ERROR, "read", "skip"), (i.Outcome.TIMEOUT, "read", "skip")])
+@pytest.mark.parametrize(
+    ("outcome", "klass", "then"),
+    [
+        (i.Outcome.OK, "oddaja", "supply"),
+        (i.Outcome.OK, "read", "supply"),
+        (i.Outcome.BROKEN, "oddaja", "failed"),
+        (i.Outcome.TIMEOUT, "oddaja", "failed"),
+        (i.Outcome.ERROR, "oddaja", "failed"),
+        (i.Outcome.REJECTED, "oddaja", "call"),
+        (i.Outcome.UNREACHABLE, "oddaja", "call"),
+        (i.Outcome.BROKEN, "read", "call"),
+        (i.Outcome.ERROR, "read", "skip"),
+        (i.Outcome.TIMEOUT, "read", "skip"),
+    ],
+)
 def test_how_a_call_ended(outcome: i.Outcome, klass: str, then: str) -> None:
     w = World()
     w.arrive(1, klass)
@@ -184,8 +195,7 @@
     assert w.verdicts(1) == w.verdicts(2) == ["failed"] and len(w.spawned()) == 1
 
 
-@pytest.mark.parametrize("fields", [
-    {"klass": "nothing"}, {"account": "c"}, {"key": None}, {"number": 1}])
+@pytest.mark.parametrize("fields", [{"klass": "nothing"}, {"account": "c"}, {"key": None}, {"number": 1}])
 def test_what_breaks_the_protocol_is_not_taken(fields: dict[str, object]) -> None:
     w = World()
     w.arrive(1)
@@ -249,8 +259,7 @@
     assert w.service.gauge_values == {"cpu_busy": 0.25, "runnable": 3.0}
 
 
-@pytest.mark.parametrize(("again", "named"), [
-    ({"body": b"another"}, "body"), ({"number": 1}, "id")])
+@pytest.mark.parametrize(("again", "named"), [({"body": b"another"}, "body"), ({"number": 1}, "id")])
 @pytest.mark.parametrize("over", [False, True])
 def test_a_key_serves_only_tries_of_its_own_request(again: dict[str, Any], named: str, over: bool) -> None:
     """A client that repeats another's key or id must not be served that one's result."""
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -27,8 +27,9 @@
         self.under_way = set[bytes]()
         self.called = set[bytes]()
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         assert ident not in self.started, "spawned twice"
         assert not self.answers[ident], "run after its answer"
         assert self.reached[ident] <= self.drained + SETTINGS.drain_grace, "run too late in a drain"
@@ -68,8 +69,14 @@
             keyed = rng.random() < 0.5
             if keyed:
                 self.key[ident] = b"%d" % rng.randrange(6)
-            self.arrive(self.number, "oddaja" if keyed else "read", self.key.get(ident),
-                        received=self.reached[ident], budget=budget, standing=rng.random())
+            self.arrive(
+                self.number,
+                "oddaja" if keyed else "read",
+                self.key.get(ident),
+                received=self.reached[ident],
+                budget=budget,
+                standing=rng.random(),
+            )
         elif what < 0.55 and self.service.requests:
             r = rng.choice(list(self.service.requests.values()))
             self.gone.add(r.ask.ident)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -17,8 +17,12 @@
 def customer(classes: list[dict[str, Any]], tenants: list[str] | None = None, **extra: Any) -> dict[str, Any]:
     """The platform's settings with this customer's classes and tenants in the place of the first one's."""
     tenants = ["acme"] if tenants is None else tenants
-    return {**SETTINGS, "services": classes, "extra": {**SETTINGS["extra"], **extra},
-            "orgs": [{"name": name, "quotaPerS": 9.0, "share": 1 / len(tenants)} for name in tenants]}
+    return {
+        **SETTINGS,
+        "services": classes,
+        "extra": {**SETTINGS["extra"], **extra},
+        "orgs": [{"name": name, "quotaPerS": 9.0, "share": 1 / len(tenants)} for name in tenants],
+    }
 
 
 def service(name: str = "read", effect: str = "read_like", **more: Any) -> dict[str, Any]:
@@ -26,12 +30,20 @@
 
 
 @pytest.mark.parametrize("front", ["http", "ajp"])
-@pytest.mark.parametrize(("klass", "path", "account"), [
-    ("Termin.v2", "Termin.v2", "Jadrolinija 1"), ("vaga+tara", "vaga+tara", "Kava & \u010caj, d.o.o."),
-    ("a~b:c@d", "a~b:c@d", "x" * 200), ("pla\u0107anje", "pla%C4%87anje", "#1"), ("50%", "50%25", "\u00e4"),
-    ("pla\u0107anje", "pla\u0107anje", "A/B")])
+@pytest.mark.parametrize(
+    ("klass", "path", "account"),
+    [
+        ("Termin.v2", "Termin.v2", "Jadrolinija 1"),
+        ("vaga+tara", "vaga+tara", "Kava & \u010caj, d.o.o."),
+        ("a~b:c@d", "a~b:c@d", "x" * 200),
+        ("pla\u0107anje", "pla%C4%87anje", "#1"),
+        ("50%", "50%25", "\u00e4"),
+        ("pla\u0107anje", "pla\u0107anje", "A/B"),
+    ],
+)
 def test_names_have_any_characters_that_the_settings_have(
-        front: str, klass: str, path: str, account: str) -> None:
+    front: str, klass: str, path: str, account: str
+) -> None:
     async def play() -> None:
         settings = customer([service(klass)], ["other", account])
         async with Pool() as pool, running(BOTH_FRONTS, pool=pool.address, settings=settings) as app:
@@ -46,18 +58,25 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("changed", "named"), [
-    ({"services": [service("")]}, "services[0]: field name"),
-    ({"services": [service("two words")]}, "services[0]: field name"),
-    ({"services": [service("a\r\nspawn")]}, "services[0]: field name"),
-    ({"services": [service(), service()]}, "services[1]: field name"),
-    ({"orgs": [{"name": "a"}, {"name": "a"}]}, "orgs[1]: field name"),
-    ({"orgs": [{"name": " a"}]}, "orgs[0]: field name"), ({"orgs": [{"name": "a\n"}]}, "orgs[0]: field name"),
-    ({"quantum": 10 ** 400}, "quantum is out of range"),
-    ({"quantum": float("inf")}, "quantum is out of range"),
-    ({"extra": {**SETTINGS["extra"], "cores": 10 ** 30}}, "field cores"),
-    ({"services": [service(memorySpan=1e300)]}, "memorySpan is out of range"),
-    ({"services": []}, "services"), ({"quantum": 0}, "quantum"), ({"contract": {}}, "answerSlack")])
+@pytest.mark.parametrize(
+    ("changed", "named"),
+    [
+        ({"services": [service("")]}, "services[0]: field name"),
+        ({"services": [service("two words")]}, "services[0]: field name"),
+        ({"services": [service("a\r\nspawn")]}, "services[0]: field name"),
+        ({"services": [service(), service()]}, "services[1]: field name"),
+        ({"orgs": [{"name": "a"}, {"name": "a"}]}, "orgs[1]: field name"),
+        ({"orgs": [{"name": " a"}]}, "orgs[0]: field name"),
+        ({"orgs": [{"name": "a\n"}]}, "orgs[0]: field name"),
+        ({"quantum": 10**400}, "quantum is out of range"),
+        ({"quantum": float("inf")}, "quantum is out of range"),
+        ({"extra": {**SETTINGS["extra"], "cores": 10**30}}, "field cores"),
+        ({"services": [service(memorySpan=1e300)]}, "memorySpan is out of range"),
+        ({"services": []}, "services"),
+        ({"quantum": 0}, "quantum"),
+        ({"contract": {}}, "answerSlack"),
+    ],
+)
 def test_a_setting_that_cannot_hold_is_named(changed: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError) as found:
         read_config(raw_config(settings={**SETTINGS, **changed}))
@@ -85,7 +104,8 @@
     "a single core": {"classes": [service()], "cores": 1, "memLimitKb": 400.0},
     "short deadlines": {"classes": [service(onTime=0.05, deadline=0.2)]},
     "a namesake of another effect": {
-        "classes": [service("oddaja"), service("pregled-statusa", "non_idempotent")]},
+        "classes": [service("oddaja"), service("pregled-statusa", "non_idempotent")]
+    },
     "no free value, no stop": {"classes": [service()], "signal": "none", "preemption": "none"},
     "a credit": {"classes": [service()], "signal": "credit", "passesDeadline": False},
 }
@@ -94,13 +114,16 @@
 @pytest.mark.parametrize("name", CUSTOMERS)
 def test_the_rules_hold_under_other_customers_settings(name: str) -> None:
     """Served, a further try, no word of the pool by the due time, a drain: with the least there may be."""
+
     async def play() -> None:
         wanted = dict(CUSTOMERS[name])
         classes, tenants = wanted.pop("classes"), wanted.pop("tenants", None)
         settings = customer(classes, tenants, **wanted)
         keyed = {c["name"]: c["effect"] == "idempotency_key" for c in classes}
-        async with Pool() as pool, running(
-                pool=pool.address, settings=settings, limits={"sockets": 64, "memory_mb": 1}) as app:
+        async with (
+            Pool() as pool,
+            running(pool=pool.address, settings=settings, limits={"sockets": 64, "memory_mb": 1}) as app,
+        ):
             client = await HttpClient(app.addresses["http"]).open()
             for n, (klass, has_key) in enumerate(keyed.items(), 1):
                 key = "k" if has_key else None
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -15,24 +15,40 @@
 from saltcart.budget.plan import check_classes, read_plans
 from saltcart.budget.run import Ended, GiveUp, Order, Orders, Send
 
-CLASSES = (i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0),
-           i.ClassSpec("two", i.Effect.SAFE, 1.0, 3.0, 1.0),
-           i.ClassSpec("late", i.Effect.SAFE, 1.0, 3.0, 1.0, late_worth=0.5),
-           i.ClassSpec("oddaja", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0))
+CLASSES = (
+    i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0),
+    i.ClassSpec("two", i.Effect.SAFE, 1.0, 3.0, 1.0),
+    i.ClassSpec("late", i.Effect.SAFE, 1.0, 3.0, 1.0, late_worth=0.5),
+    i.ClassSpec("oddaja", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0),
+)
 OK, ERROR, REJECTED, TIMEOUT = i.Outcome.OK, i.Outcome.ERROR, i.Outcome.REJECTED, i.Outcome.TIMEOUT
 
 
 def desk(**dependencies: dict[str, Any]) -> Desk:
-    named = {name: {"name": name, "upstream": "u", **dependencies.get(name, {})}
-             for name in ("must", "may", "spare", "write", *dependencies)}
+    named = {
+        name: {"name": name, "upstream": "u", **dependencies.get(name, {})}
+        for name in ("must", "may", "spare", "write", *dependencies)
+    }
     must = {"dependency": "must"}
     may = {"dependency": "may", "required": False, "worth": 0.4, "remember": 6.0}
-    raw = {"dependency": list(named.values()), "plan": [
-        {"class": "read", "partial": True, "stage": [{"call": [must, may]}]},
-        *({"class": name, "partial": True, "stage": [{"call": [may]}, {"call": [must]}]}
-          for name in ("late", "two")),
-        {"class": "oddaja", "answer": "write", "stage": [
-            {"call": [must]}, {"call": [{"dependency": "write", "write": True, "sends": "answers"}]}]}]}
+    raw = {
+        "dependency": list(named.values()),
+        "plan": [
+            {"class": "read", "partial": True, "stage": [{"call": [must, may]}]},
+            *(
+                {"class": name, "partial": True, "stage": [{"call": [may]}, {"call": [must]}]}
+                for name in ("late", "two")
+            ),
+            {
+                "class": "oddaja",
+                "answer": "write",
+                "stage": [
+                    {"call": [must]},
+                    {"call": [{"dependency": "write", "write": True, "sends": "answers"}]},
+                ],
+            },
+        ],
+    }
     plans = read_plans(raw, ["u"])
     check_classes(plans, CLASSES)
     return Desk(plans, 1, CLASSES)
@@ -258,8 +274,10 @@
 
 def test_a_hedge_answers_in_the_place_of_a_slow_first_attempt() -> None:
     table = Table()
-    raw = {"dependency": [{"name": "a", "upstream": "u"}], "plan": [
-        {"class": "read", "stage": [{"call": [{"dependency": "a", "hedge": True}]}]}]}
+    raw = {
+        "dependency": [{"name": "a", "upstream": "u"}],
+        "plan": [{"class": "read", "stage": [{"call": [{"dependency": "a", "hedge": True}]}]}],
+    }
     table.desk = Desk(read_plans(raw, ["u"]), 1, CLASSES)
     for _ in range(40):
         table.play()
@@ -325,9 +343,13 @@
     assert done == [b"1", b"2", b"2"]
 
 
-STEP = st.tuples(st.sampled_from(["start", "reply", "tick", "stop", "press", "hasten"]),
-                 st.floats(0, 0.4), st.sampled_from(list(i.Outcome)), st.integers(0, 30),
-                 st.sampled_from([c.name for c in CLASSES]))
+STEP = st.tuples(
+    st.sampled_from(["start", "reply", "tick", "stop", "press", "hasten"]),
+    st.floats(0, 0.4),
+    st.sampled_from(list(i.Outcome)),
+    st.integers(0, 30),
+    st.sampled_from([c.name for c in CLASSES]),
+)
 
 
 @given(st.lists(STEP, max_size=80))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -27,7 +27,17 @@
 from tests.fakes import ONCE, READ, World
 from tests.fakes import SETTINGS as CORE
 from tests.standins import (
-    BOTH_FRONTS, CLIENTS, SETTINGS, HttpClient, Pool, Server, at_once, ident, raw_config, running, until,
+    BOTH_FRONTS,
+    CLIENTS,
+    SETTINGS,
+    HttpClient,
+    Pool,
+    Server,
+    at_once,
+    ident,
+    raw_config,
+    running,
+    until,
 )
 from tests.test_sockets import logged, start
 
@@ -63,9 +73,15 @@
     logged: list[tuple[str, Any]] = []
 
     async def play() -> None:
-        async with Server(accepting) as announce, Pool() as pool, running(
-                pool=pool.address, announce=announce.address,
-                log=lambda event, **more: logged.append((event, more.get("name")))) as app:
+        async with (
+            Server(accepting) as announce,
+            Pool() as pool,
+            running(
+                pool=pool.address,
+                announce=announce.address,
+                log=lambda event, **more: logged.append((event, more.get("name"))),
+            ) as app,
+        ):
             assert (await (await HttpClient(app.addresses["http"]).open()).ask(1)).status == 200
             await until(lambda: len(announce.writers) >= 1)
             assert ("loop-died", dies) in logged
@@ -143,10 +159,8 @@
     unix = Unix()
 
     async def play() -> None:
-        async with Pool() as pool, running(
-                BOTH_FRONTS, clock=Clock(unix), pool=pool.address) as app:
-            one, two = [await CLIENTS[front](app.addresses[front]).open()
-                        for _ in range(2)]
+        async with Pool() as pool, running(BOTH_FRONTS, clock=Clock(unix), pool=pool.address) as app:
+            one, two = [await CLIENTS[front](app.addresses[front]).open() for _ in range(2)]
             assert (await one.ask(1, "oddaja", key="k", received=unix.stamp())).status == 200
             pool.auto = False
             two.send(2, budget="700", received=unix.stamp())
@@ -172,10 +186,13 @@
 @pytest.mark.parametrize(("ago", "status"), [(-4.0, 200), (-6.0, 400), (0.0, 200), (59.0, 503), (130.0, 503)])
 def test_how_long_ago_a_request_may_have_come_is_the_settings_to_say(ago: float, status: int) -> None:
     """A customer's deadline may be longer than a minute: what is still in time is a request."""
+
     async def play() -> None:
         services = [{**SETTINGS["services"][0], "deadline": 90.0, "onTime": 50.0}]
-        async with Pool() as pool, running(
-                pool=pool.address, settings={**SETTINGS, "services": services}) as app:
+        async with (
+            Pool() as pool,
+            running(pool=pool.address, settings={**SETTINGS, "services": services}) as app,
+        ):
             client = await HttpClient(app.addresses["http"]).open()
             received = int((time.time() - ago) * 1000)
             assert (await client.ask(1, budget="90000", received=received)).status == status
@@ -192,11 +209,11 @@
     logged: list[str] = []
 
     async def play() -> None:
-        async with Pool() as pool, running(
-                BOTH_FRONTS, pool=pool.address,
-                log=lambda event, **_: logged.append(event)) as app:
-            clients = [await CLIENTS[front](app.addresses[front]).open()
-                       for _ in range(3)]
+        async with (
+            Pool() as pool,
+            running(BOTH_FRONTS, pool=pool.address, log=lambda event, **_: logged.append(event)) as app,
+        ):
+            clients = [await CLIENTS[front](app.addresses[front]).open() for _ in range(3)]
             for n in range(1, 9):
                 assert (await clients[0].ask(n)).status == 200
             pool.auto = False
@@ -222,8 +239,10 @@
     logged: list[str] = []
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(
-                pool=pool.address, log=lambda event, **_: logged.append(event)) as app:
+        async with (
+            Pool(auto=False) as pool,
+            running(pool=pool.address, log=lambda event, **_: logged.append(event)) as app,
+        ):
             read, once = [await HttpClient(app.addresses["http"]).open() for _ in range(2)]
             pool.quiet = True
             read.send(1)
@@ -342,7 +361,8 @@
 
 @pytest.mark.parametrize("how", ["says nothing", "dies at once", "dies when it is asked", "tells late"])
 def test_an_old_process_that_does_not_tell_its_keys_leaves_them_in_doubt(
-        how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("saltcart.succession.ANSWER_WAIT", 0.2)
 
     async def play() -> None:
@@ -368,8 +388,11 @@
         with socket.create_server(("127.0.0.1", 0)) as held:
             environment = {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
             async with Pool() as pool:
-                app = App(read_config(raw_config(pool=pool.address), environment), Deployment(),
-                          lambda event, **_: None)
+                app = App(
+                    read_config(raw_config(pool=pool.address), environment),
+                    Deployment(),
+                    lambda event, **_: None,
+                )
                 served = asyncio.create_task(serve())
                 await app.start()
                 try:
@@ -395,7 +418,8 @@
 @pytest.mark.parametrize("klass", ["read", "oddaja"])
 @pytest.mark.parametrize("before_stop", [0.119, 0.05, 0.0, -0.5])
 def test_what_comes_once_all_is_answered_before_the_stop_is_refused_at_once(
-        klass: str, before_stop: float) -> None:
+    klass: str, before_stop: float
+) -> None:
     w = World(replace(CORE, drain_grace=5.0, classes=tuple(replace(c, aim=0.3) for c in CORE.classes)))
     w.arrive(1, klass)
     w.service.leave(2.0)
@@ -442,6 +466,7 @@
 
 def test_a_request_that_waits_at_the_socket_while_a_turn_is_long_is_read_before_the_idle_close() -> None:
     """A crossing within 50 ms is the balancer's to send again; in a longer turn it would be lost."""
+
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             listener = app.fronts["http"]
@@ -499,7 +524,8 @@
 
 
 def test_a_hangup_and_a_notice_during_the_start_are_followed_or_end_it_before_anything_was_read(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as free:
             listen = "{}:{}".format(*free.getsockname())
@@ -518,12 +544,13 @@
 
 @pytest.mark.parametrize("front", ["http", "ajp"])
 @pytest.mark.parametrize(
-    "moment", ["half a body", "half-close behind it", "reset in the run", "two, then a reset"])
+    "moment", ["half a body", "half-close behind it", "reset in the run", "two, then a reset"]
+)
 def test_a_client_that_ends_at_an_odd_moment_leaves_nothing_behind(front: str, moment: str) -> None:
     """A close is the protocol's word that nobody waits; bytes of a further request change nothing in it."""
+
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(
-                BOTH_FRONTS, pool=pool.address) as app:
+        async with Pool(auto=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             service, listener = app.service, app.fronts[front]
             client = await CLIENTS[front](app.addresses[front]).open()
             if moment == "half a body":
@@ -567,15 +594,20 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.readline():
                 heard.append((await reader.readuntil(b"}")).rpartition(b"{")[2])
-                answer = {"says 500": b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                          "says noise": b"\0" * 5000,
-                          "closes behind it": b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"}
+                answer = {
+                    "says 500": b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                    "says noise": b"\0" * 5000,
+                    "closes behind it": b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n",
+                }
                 writer.write(b"HTTP/1.1 204 No Content\r\n\r\n" if len(heard) > 4 else answer.get(how, b""))
                 if how == "resets" and len(heard) <= 4:
                     writer.transport.abort()
 
-        async with Server(serve) as announce, Pool() as pool, running(
-                pool=pool.address, announce=announce.address) as app:
+        async with (
+            Server(serve) as announce,
+            Pool() as pool,
+            running(pool=pool.address, announce=announce.address) as app,
+        ):
             await until(lambda: len(heard) > 6)
             app.service.withdraw(True)
             await until(lambda: b"false" in heard[-1])
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -15,7 +15,8 @@
 
 async def start(*command: str, **env: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", *command, cwd=ROOT, stdout=asyncio.subprocess.PIPE, env={**os.environ, **env})
+        sys.executable, "-m", *command, cwd=ROOT, stdout=asyncio.subprocess.PIPE, env={**os.environ, **env}
+    )
 
 
 def test_an_answer_is_composed_of_the_toy_dependencies_and_may_be_partial(tmp_path: Path) -> None:
@@ -28,10 +29,14 @@
         for port, address in zip((8011, 8012, 8013), addresses):
             deployment = deployment.replace(f"127.0.0.1:{port}", address)
         (tmp_path / "config.json").write_text(
-            json.dumps({**config, **dict.fromkeys(("listen", "control"), "127.0.0.1:0")}))
+            json.dumps({**config, **dict.fromkeys(("listen", "control"), "127.0.0.1:0")})
+        )
         (tmp_path / "saltcart.toml").write_text(deployment)
-        program = await start("saltcart", BALANCER_CONFIG=str(tmp_path / "config.json"),
-                              SALTCART_DEPLOYMENT=str(tmp_path / "saltcart.toml"))
+        program = await start(
+            "saltcart",
+            BALANCER_CONFIG=str(tmp_path / "config.json"),
+            SALTCART_DEPLOYMENT=str(tmp_path / "saltcart.toml"),
+        )
         try:
             assert program.stdout is not None
             while (line := json.loads(await program.stdout.readline())).get("front") != "http":
@@ -67,8 +72,11 @@
         free = dict.fromkeys(("listen", "control"), "127.0.0.1:0")
         (tmp_path / "config.json").write_text(json.dumps({**config, **free}))
         (tmp_path / "saltcart.toml").write_text(deployment.replace("127.0.0.1:8010", address))
-        program = await start("saltcart", BALANCER_CONFIG=str(tmp_path / "config.json"),
-                              SALTCART_DEPLOYMENT=str(tmp_path / "saltcart.toml"))
+        program = await start(
+            "saltcart",
+            BALANCER_CONFIG=str(tmp_path / "config.json"),
+            SALTCART_DEPLOYMENT=str(tmp_path / "saltcart.toml"),
+        )
         assert program.stdout is not None
         fronts: dict[str, str] = {}
         while len(fronts) < 4:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -22,9 +22,17 @@
 WAIT = 30.0  # seconds that a busy machine may take for what takes three
 
 
-@pytest.mark.parametrize(("rule", "expected"), [
-    (Rule(), (0.0,)), (Rule(drop=1.0), ()), (Rule(cut=True), ()), (Rule(delay=0.2), (0.2,)),
-    (Rule(duplicate=1.0, delay=0.1), (0.1, pytest.approx(0.15))), (Rule(reorder=1.0), (0.05,))])
+@pytest.mark.parametrize(
+    ("rule", "expected"),
+    [
+        (Rule(), (0.0,)),
+        (Rule(drop=1.0), ()),
+        (Rule(cut=True), ()),
+        (Rule(delay=0.2), (0.2,)),
+        (Rule(duplicate=1.0, delay=0.1), (0.1, pytest.approx(0.15))),
+        (Rule(reorder=1.0), (0.05,)),
+    ],
+)
 def test_a_rule_does_what_it_says(rule: Rule, expected: tuple[float, ...]) -> None:
     assert fate(rule, random.Random(1)) == Passed(expected)
     assert fate(Rule(stall=True), random.Random(1)) == Passed((), keep=True)
@@ -93,11 +101,16 @@
 def test_no_datagram_goes_where_a_peer_says_but_to_loopback() -> None:
     async def play() -> None:
         logged = list[tuple[str, dict[str, object]]]()
-        gossip = Gossip(MemberSettings("127.0.0.1:0", "c"), "me", 1,
-                        lambda event, **fields: logged.append((event, fields)))
+        gossip = Gossip(
+            MemberSettings("127.0.0.1:0", "c"),
+            "me",
+            1,
+            lambda event, **fields: logged.append((event, fields)),
+        )
         at = (await gossip.open()).split(":")
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            asyncio.DatagramProtocol, remote_addr=(at[0], int(at[1])))
+            asyncio.DatagramProtocol, remote_addr=(at[0], int(at[1]))
+        )
         stranger = Record("x", "somewhere.invalid:9", 1)
         transport.sendto(m.encode(m.Packet(m.WIRE, "c", stranger, m.Ping(1))))
         transport.sendto(b"\xc1 no packet")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -161,8 +161,9 @@
             self.join(f"i{n:02}")
 
     def join(self, name: str) -> None:
-        self.instances[name] = Together(self.conf, self.hosts, name, random.Random(name), Port(self, name),
-                                        lambda host: 1.0, self.now)
+        self.instances[name] = Together(
+            self.conf, self.hosts, name, random.Random(name), Port(self, name), lambda host: 1.0, self.now
+        )
         if len(self.instances) > 1:  # what it missed comes with the next comparison
             other = next(i for n, i in self.instances.items() if n != name)
             self.instances[name].tables = {k: dict(v) for k, v in other.tables.items()}
@@ -289,9 +290,14 @@
     one.posted(1.0, "fleet/members/x", b"\xc1")  # no topic of ours
 
 
-@pytest.mark.parametrize(("raw", "reason"), [
-    ({}, "fleet: .*upstream"), ({"upstream": "u", "classes": 0}, "fleet.classes"),
-    ({"upstream": "u", "klasses": 2}, "klasses")])
+@pytest.mark.parametrize(
+    ("raw", "reason"),
+    [
+        ({}, "fleet: .*upstream"),
+        ({"upstream": "u", "classes": 0}, "fleet.classes"),
+        ({"upstream": "u", "klasses": 2}, "klasses"),
+    ],
+)
 def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
     with pytest.raises(WireError, match=reason):
         read_fleet(raw)
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -59,7 +59,9 @@
     members = [(m.host, m.weight, m.secret) for u in found for m in u.members]
     assert [u.name for u in found] == ["lb"]
     assert members == [("10.0.0.1:8010", 2.0, ""), ("two.example.org:8010", 0.5, 'a"b')]
-    assert str(report) == """\
+    assert (
+        str(report)
+        == """\
 w:3: status has no member left
 w:13: not carried over: worker.two.socket_timeout
 w:15: worker old is out of use and left out
@@ -68,6 +70,7 @@
 w:20: worker spare is not listed and was left out
 w:21: not a setting: nonsense
 """
+    )
 
 
 def test_balancers() -> None:
@@ -75,8 +78,11 @@
     found = apache.read("h", APACHE, report)
     assert [(u.name, [(m.host, m.weight, m.secret) for m in u.members]) for u in found] == [
         ("declarations", [("10.0.0.1:8010", 2.0, ""), ("10.0.0.2:8009", 1.0, "s3cret")]),
-        ("other", [("h:9", 1.0, "")])]
-    assert str(report) == """\
+        ("other", [("h:9", 1.0, "")]),
+    ]
+    assert (
+        str(report)
+        == """\
 h:1: not carried over: ProxyRequests Off
 h:4: not carried over: route=a
 h:7: not an AJP member: http://10.0.0.3
@@ -89,14 +95,19 @@
 h:14: empty has no member left
 h:14: section without its end: balancer://empty
 """
+    )
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("worker.list=a\nworker.a.reference=worker.b\nworker.b.reference=worker.a\n", "no such template"),
-    ("worker.list=a\nworker.a.port=99999\n", "not a host and port"),
-    ("worker.list=a b\nworker.a.host=$(who)\n", "unknown variable"),
-    ("worker.lb.type=lb\nworker.lb.balance_workers=a\nworker.a.host=h\n", "worker.list is missing"),
-    ("worker.list=a/b\nworker.a/b.host=h\n", "not a setting")])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("worker.list=a\nworker.a.reference=worker.b\nworker.b.reference=worker.a\n", "no such template"),
+        ("worker.list=a\nworker.a.port=99999\n", "not a host and port"),
+        ("worker.list=a b\nworker.a.host=$(who)\n", "unknown variable"),
+        ("worker.lb.type=lb\nworker.lb.balance_workers=a\nworker.a.host=h\n", "worker.list is missing"),
+        ("worker.list=a/b\nworker.a/b.host=h\n", "not a setting"),
+    ],
+)
 def test_what_is_wrong_in_workers_is_reported(text: str, said: str) -> None:
     report = Report()
     modjk.read("w", text, report)
@@ -107,8 +118,12 @@
     files = {"workers.properties": WORKERS, "httpd.conf": APACHE}
     for name, text in files.items():
         (tmp_path / name).write_text(text)
-    done = subprocess.run([sys.executable, "-m", "saltcart.importer", *(str(tmp_path / n) for n in files)],
-                          capture_output=True, text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "saltcart.importer", *(str(tmp_path / n) for n in files)],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert done.returncode == 1 and len(done.stderr.splitlines()) == 18
     read = deployment.read(tomllib.loads(done.stdout))
     assert [u.name for u in read.upstreams] == ["lb", "declarations", "other"]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -76,10 +76,17 @@
     assert seen[3:] == pytest.approx([0.1, 0.1, 0.2])
 
 
-@pytest.mark.parametrize(("trouble", "outcome", "took"), [
-    (Trouble(0, 1, slower=9), Outcome.OK, 0.9), (Trouble(0, 1, errors=1.0), Outcome.ERROR, 0.025),
-    (Trouble(0, 1, silent=True), Outcome.TIMEOUT, None), (Trouble(0, 1, late=3.0), Outcome.OK, 3.1),
-    (Trouble(0, 1, flap=0.4), Outcome.OK, 0.1), (Trouble(5, 6, silent=True), Outcome.OK, 0.1)])
+@pytest.mark.parametrize(
+    ("trouble", "outcome", "took"),
+    [
+        (Trouble(0, 1, slower=9), Outcome.OK, 0.9),
+        (Trouble(0, 1, errors=1.0), Outcome.ERROR, 0.025),
+        (Trouble(0, 1, silent=True), Outcome.TIMEOUT, None),
+        (Trouble(0, 1, late=3.0), Outcome.OK, 3.1),
+        (Trouble(0, 1, flap=0.4), Outcome.OK, 0.1),
+        (Trouble(5, 6, silent=True), Outcome.OK, 0.1),
+    ],
+)
 def test_troubles_do_what_they_say(trouble: Trouble, outcome: Outcome, took: float | None) -> None:
     fate = dependency(1, trouble).fate(0.5, 0)
     assert fate.outcome is outcome and fate.took == (None if took is None else pytest.approx(took))
@@ -119,7 +126,7 @@
     workers = tmp_path / "workers.properties"
     workers.write_text("worker.list=w\nworker.w.type=ajp13\nworker.w.host=127.0.0.1\nworker.w.port=8009\n")
     imported = runner.invoke(cli, ["import", str(workers)])
-    assert imported.exit_code == 0 and '127.0.0.1:8009' in imported.output
+    assert imported.exit_code == 0 and "127.0.0.1:8009" in imported.output
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_text('[[upstream]]\nname = "u"\nmembers = [{ host = "127.0.0.1:8009" }]\n')
     bad.write_text("[[upstream]]\nname = 3\n")
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -43,20 +43,26 @@
 
 def sites(capacity: float = 20.0) -> Sites:
     """Two zones in one region and one in another, two members each."""
-    return Sites(Backend(f"{z}{m}", z, r, capacity) for z, r in (("a", "x"), ("b", "x"), ("c", "y"))
-                 for m in "12")
+    return Sites(
+        Backend(f"{z}{m}", z, r, capacity) for z, r in (("a", "x"), ("b", "x"), ("c", "y")) for m in "12"
+    )
 
 
 A, B, C = range(3)
 
 
-def heard(demand: tuple[float, ...] = (20.0, 20.0, 20.0), ago: tuple[float, ...] = (0.1, 0.1, 0.1),
-          grades: Mapping[int, Mapping[int, float]] | None = None,
-          ends: Mapping[int, Mapping[int, tuple[float, float]]] | None = None,
-          odds: float = PROVEN) -> dict[int, Heard]:
+def heard(
+    demand: tuple[float, ...] = (20.0, 20.0, 20.0),
+    ago: tuple[float, ...] = (0.1, 0.1, 0.1),
+    grades: Mapping[int, Mapping[int, float]] | None = None,
+    ends: Mapping[int, Mapping[int, tuple[float, float]]] | None = None,
+    odds: float = PROVEN,
+) -> dict[int, Heard]:
     told, seen = grades or {}, ends or {}
-    return {z: Heard(ago[z], Summary(z, 3, demand[z], dict(told.get(z, {})), dict(seen.get(z, {})), odds))
-            for z in range(3)}
+    return {
+        z: Heard(ago[z], Summary(z, 3, demand[z], dict(told.get(z, {})), dict(seen.get(z, {})), odds))
+        for z in range(3)
+    }
 
 
 # ---- shares -----------------------------------------------------------------------------------
@@ -65,10 +71,14 @@
 THREE = st.lists(st.floats(0, 80), min_size=3, max_size=3)
 
 
-@given(THREE, THREE,
-       st.dictionaries(st.tuples(st.integers(0, 2), st.integers(0, 2)), st.floats(0, 1), max_size=6))
+@given(
+    THREE,
+    THREE,
+    st.dictionaries(st.tuples(st.integers(0, 2), st.integers(0, 2)), st.floats(0, 1), max_size=6),
+)
 def test_rows_add_up_and_no_zone_is_sent_more_than_it_has_room_for(
-        demand: list[float], room: list[float], trust: dict[tuple[int, int], float]) -> None:
+    demand: list[float], room: list[float], trust: dict[tuple[int, int], float]
+) -> None:
     rows = allocate(sites(), demand, room, trust)
     for t in range(3):
         inflow = sum(demand[o] * row_of(rows, o).get(t, 0) / WHOLE for o in range(3) if demand[o] > 1e-9)
@@ -302,8 +312,14 @@
 def test_a_plan_is_read_as_it_was_written_and_what_is_none_is_malformed() -> None:
     plan = Plan(1000.0, {A: {B: 400, C: 100}}, [Trust(A, A, 0, 1, 1015.0, 900, 1000.0)])
     assert read_plan(encode(plan), 3) == plan and plan.refused(A) == 500 and plan.row(B) == {B: WHOLE}
-    for wrong in (b"", b"\x01", encode(Plan(rows={9: {A: 1}})), encode(Plan(rows={A: {A: 1001}})),
-                  encode(Plan(rows={A: {7: 1}})), encode(Plan(trust=[Trust(0, 9)]))):
+    for wrong in (
+        b"",
+        b"\x01",
+        encode(Plan(rows={9: {A: 1}})),
+        encode(Plan(rows={A: {A: 1001}})),
+        encode(Plan(rows={A: {7: 1}})),
+        encode(Plan(trust=[Trust(0, 9)])),
+    ):
         with pytest.raises(Malformed):
             read_plan(wrong, 3)
 
@@ -508,8 +524,16 @@
         for n in range(3 * each):
             zone = "abc"[n % 3]
             name = f"i{n}"
-            self.instances[name] = Locality(CONF, sites(), name, zone, random.Random(n),
-                                            Port(self, name, zone), lambda host: 1.0, self.now)
+            self.instances[name] = Locality(
+                CONF,
+                sites(),
+                name,
+                zone,
+                random.Random(n),
+                Port(self, name, zone),
+                lambda host: 1.0,
+                self.now,
+            )
 
     def hears(self, one: str, other: str) -> bool:
         return (one in self.apart) == (other in self.apart)
@@ -539,8 +563,11 @@
         self.town, self.name, self.zone = town, name, zone
 
     def speakers(self) -> Mapping[str, str]:
-        return firsts(Record(n, "h:1", 1, zone=i.zone) for n, i in self.town.instances.items()
-                      if self.town.hears(self.zone, i.zone))
+        return firsts(
+            Record(n, "h:1", 1, zone=i.zone)
+            for n, i in self.town.instances.items()
+            if self.town.hears(self.zone, i.zone)
+        )
 
     def post(self, topic: str, data: bytes) -> None:
         town = self.town
@@ -721,8 +748,16 @@
     """Twenty instances with one end of each member: none could tell, all together can."""
     collector = Collector(A, 2, CONF)
     for n in range(20):
-        collector.take(5.0, f"i{n}", Report(1.0, {A: (1.0, 2.0)}, {A: (1, 1), B: (1, 0)},
-                                            {0: (0, 1, 0.0), 1: (1, 0, 0.05), 7: (0, 1, 0.0)}))
+        collector.take(
+            5.0,
+            f"i{n}",
+            Report(
+                1.0,
+                {A: (1.0, 2.0)},
+                {A: (1, 1), B: (1, 0)},
+                {0: (0, 1, 0.0), 1: (1, 0, 0.05), 7: (0, 1, 0.0)},
+            ),
+        )
     summary = collector.summary(5.0)
     assert summary.parts == {0: 0, 1: 100} and summary.grades[A] == 0.5
     assert summary.ends == {A: (20.0, 20.0), B: (20.0, 0.0)} and summary.odds == 0.0
@@ -737,9 +772,13 @@
 
 
 MEMBER = {"listen": "127.0.0.1:0", "cluster": "c", "zone": "a"}
-UPSTREAM = {"name": "work", "members": [
-    {"host": "127.0.0.1:1", "zone": "a", "region": "x", "capacity": 5},
-    {"host": "127.0.0.1:2", "zone": "b", "region": "x", "capacity": 5}]}
+UPSTREAM = {
+    "name": "work",
+    "members": [
+        {"host": "127.0.0.1:1", "zone": "a", "region": "x", "capacity": 5},
+        {"host": "127.0.0.1:2", "zone": "b", "region": "x", "capacity": 5},
+    ],
+}
 
 
 def deployment(**more: object) -> dict[str, object]:
@@ -752,21 +791,38 @@
     assert read(deployment()).locality == CONF
 
 
-@pytest.mark.parametrize(("more", "reason"), [
-    ({"locality": {"upstream": "work", "hold": 0}}, "locality.hold"),
-    ({"locality": {"upstream": "work", "holds": 1}}, "holds"),
-    ({"locality": {"upstream": "other"}}, "locality.upstream: no such upstream"),
-    ({"locality": {}}, "upstream"),
-    ({"member": {**MEMBER, "enabled": False}}, r"through \[member\]"),
-    ({"member": {**MEMBER, "zone": "z"}}, "member.zone"),
-    ({"upstream": [{"name": "work", "members": [{"host": "127.0.0.1:1", "zone": "a"}]}]},
-     "a zone and a capacity"),
-    ({"upstream": [{"name": "work", "members": [
-        {"host": "127.0.0.1:1", "zone": "a", "region": "x", "capacity": 1},
-        {"host": "127.0.0.1:2", "zone": "a", "region": "y", "capacity": 1}]}]}, "in two regions"),
-    ({"locality": {"upstream": "work", "recover_most": 1.0}}, "locality.recover_most"),
-    ({"locality": {"upstream": "work", "limit_pressed": 0.5}}, "locality.limit_pressed"),
-    ({"locality": {"upstream": "work", "stale": 0.6}}, "locality.stale")])
+@pytest.mark.parametrize(
+    ("more", "reason"),
+    [
+        ({"locality": {"upstream": "work", "hold": 0}}, "locality.hold"),
+        ({"locality": {"upstream": "work", "holds": 1}}, "holds"),
+        ({"locality": {"upstream": "other"}}, "locality.upstream: no such upstream"),
+        ({"locality": {}}, "upstream"),
+        ({"member": {**MEMBER, "enabled": False}}, r"through \[member\]"),
+        ({"member": {**MEMBER, "zone": "z"}}, "member.zone"),
+        (
+            {"upstream": [{"name": "work", "members": [{"host": "127.0.0.1:1", "zone": "a"}]}]},
+            "a zone and a capacity",
+        ),
+        (
+            {
+                "upstream": [
+                    {
+                        "name": "work",
+                        "members": [
+                            {"host": "127.0.0.1:1", "zone": "a", "region": "x", "capacity": 1},
+                            {"host": "127.0.0.1:2", "zone": "a", "region": "y", "capacity": 1},
+                        ],
+                    }
+                ]
+            },
+            "in two regions",
+        ),
+        ({"locality": {"upstream": "work", "recover_most": 1.0}}, "locality.recover_most"),
+        ({"locality": {"upstream": "work", "limit_pressed": 0.5}}, "locality.limit_pressed"),
+        ({"locality": {"upstream": "work", "stale": 0.6}}, "locality.stale"),
+    ],
+)
 def test_what_cannot_stand_is_told_with_field_and_reason(more: dict[str, object], reason: str) -> None:
     with pytest.raises(ConfigError, match=reason):
         read(deployment(**more))
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -24,8 +24,13 @@
 
 CONF = MemberSettings("127.0.0.1:0", "test")
 RECORDS = st.builds(
-    Record, name=st.sampled_from("abcde"), address=st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
-    incarnation=st.integers(1, 4), state=st.sampled_from(list(State)), zone=st.sampled_from(["", "z"]))
+    Record,
+    name=st.sampled_from("abcde"),
+    address=st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
+    incarnation=st.integers(1, 4),
+    state=st.sampled_from(list(State)),
+    zone=st.sampled_from(["", "z"]),
+)
 
 
 def table(view: View) -> dict[str, Record]:
@@ -44,7 +49,8 @@
 
 @given(st.lists(RECORDS, max_size=12), st.randoms(use_true_random=False))
 def test_views_that_heard_the_same_are_the_same_in_whatever_order(
-        records: list[Record], luck: random.Random) -> None:
+    records: list[Record], luck: random.Random
+) -> None:
     shuffled = records + records[: len(records) // 2]  # and some of it twice
     luck.shuffle(shuffled)
     one, other = fill(records), fill(shuffled)
@@ -60,7 +66,8 @@
     for record in records:
         held = view.get(record.name)
         assert held is not None and held.incarnation == max(
-            r.incarnation for r in records if r.name == record.name)
+            r.incarnation for r in records if r.name == record.name
+        )
 
 
 @given(st.lists(RECORDS, max_size=8), st.lists(RECORDS, max_size=8))
@@ -175,8 +182,9 @@
 
     def join(self, number: int, born: int = 1000, name: str | None = None) -> Detector:
         address = f"127.0.0.1:{number}"
-        made = Detector(self.conf, name or f"m{number}", address, random.Random(self.rng.random()), self.now,
-                        born)
+        made = Detector(
+            self.conf, name or f"m{number}", address, random.Random(self.rng.random()), self.now, born
+        )
         self.members[address] = made
         return made
 
@@ -196,7 +204,8 @@
 
     def agree(self, *names: str) -> bool:
         return all({r.name for r in d.view if r.present} == set(names) for d in self.members.values()) and (
-            len({d.view.digest for d in self.members.values()}) == 1)
+            len({d.view.digest for d in self.members.values()}) == 1
+        )
 
     def state(self, observer: int, name: str) -> State | None:
         record = self.members[f"127.0.0.1:{observer}"].view.get(name)
@@ -272,8 +281,11 @@
     del net.members["127.0.0.1:3"]
     net.run(8)
     assert [net.state(n, "m3") for n in (1, 2, 4)] == [State.LEFT] * 3
-    assert not any(c.record.name == "m3" and c.record.state == State.SUSPECT
-                   for d in net.members.values() for c in d.view.history)
+    assert not any(
+        c.record.name == "m3" and c.record.state == State.SUSPECT
+        for d in net.members.values()
+        for c in d.view.history
+    )
 
 
 def test_one_that_restarts_within_the_suspicion_time_is_the_newer_one() -> None:
@@ -315,8 +327,14 @@
 def test_another_fleet_is_not_mixed_in() -> None:
     net = Net(3)
     net.run(3)
-    stranger = Detector(MemberSettings("127.0.0.1:0", "other", seeds=("127.0.0.1:1",)), "x", "127.0.0.1:8",
-                        random.Random(2), net.now, 1000)
+    stranger = Detector(
+        MemberSettings("127.0.0.1:0", "other", seeds=("127.0.0.1:1",)),
+        "x",
+        "127.0.0.1:8",
+        random.Random(2),
+        net.now,
+        1000,
+    )
     net.members["127.0.0.1:8"] = stranger
     net.run(5)
     assert net.state(1, "x") is None and stranger.view.present == 1
@@ -338,8 +356,9 @@
     for n in range(400):
         first.view.merge(Record(f"far{n:03}", f"127.0.0.1:{n + 1000}", 1), net.now)
     newcomer = net.join(2)
-    net.lost = lambda sender, receiver, packet: not isinstance(
-        packet.message, (m.Digest, m.Parts, m.Records))  # comparisons alone
+    net.lost = lambda sender, receiver, packet: (
+        not isinstance(packet.message, (m.Digest, m.Parts, m.Records))
+    )  # comparisons alone
     net.run(6, lambda: newcomer.view.present >= 402)
     assert newcomer.view.present == 402
 
@@ -348,11 +367,15 @@
 
 
 MESSAGES = st.one_of(
-    st.builds(m.Ping, st.integers(0, 1 << 40)), st.builds(m.Ack, st.integers(0, 1 << 40)),
-    st.builds(m.Ask, st.integers(0, 99), st.just("n"), st.just("h:1")), st.builds(m.Nack, st.integers(0, 99)),
-    st.just(m.Tell()), st.builds(m.Digest, st.integers(0, (1 << 64) - 1)),
+    st.builds(m.Ping, st.integers(0, 1 << 40)),
+    st.builds(m.Ack, st.integers(0, 1 << 40)),
+    st.builds(m.Ask, st.integers(0, 99), st.just("n"), st.just("h:1")),
+    st.builds(m.Nack, st.integers(0, 99)),
+    st.just(m.Tell()),
+    st.builds(m.Digest, st.integers(0, (1 << 64) - 1)),
     st.builds(m.Parts, st.lists(st.integers(0, (1 << 64) - 1), max_size=64)),
-    st.builds(m.Records, st.lists(st.integers(0, 63), max_size=64)))
+    st.builds(m.Records, st.lists(st.integers(0, 63), max_size=64)),
+)
 
 
 @given(RECORDS, MESSAGES, st.lists(RECORDS, max_size=5))
@@ -380,10 +403,16 @@
     member.tick(102.0)
 
 
-@pytest.mark.parametrize("packet", [
-    m.Packet(2, "test", Record("a", "h:1", 1), m.Tell()), m.Packet(1, "t", Record("", "h:1", 1), m.Tell()),
-    m.Packet(1, "t", Record("a" * 65, "h:1", 1), m.Tell()), m.Packet(1, "t", Record("a", "h:1", 0), m.Tell()),
-    m.Packet(1, "t", Record("a", "h:1", 1, 9), m.Tell())])
+@pytest.mark.parametrize(
+    "packet",
+    [
+        m.Packet(2, "test", Record("a", "h:1", 1), m.Tell()),
+        m.Packet(1, "t", Record("", "h:1", 1), m.Tell()),
+        m.Packet(1, "t", Record("a" * 65, "h:1", 1), m.Tell()),
+        m.Packet(1, "t", Record("a", "h:1", 0), m.Tell()),
+        m.Packet(1, "t", Record("a", "h:1", 1, 9), m.Tell()),
+    ],
+)
 def test_what_no_member_says_is_malformed(packet: m.Packet) -> None:
     with pytest.raises(Malformed):
         m.decode(m.encode(packet))
@@ -395,15 +424,19 @@
     assert len(m.encode(m.Packet(m.WIRE, "t", record, m.Tell(), [record]))) - empty <= record.size()
 
 
-@pytest.mark.parametrize(("raw", "reason"), [
-    ({}, "member: Object missing required field `listen`"),
-    ({"listen": "127.0.0.1:0", "cluster": "c", "probe_evry": 1}, "probe_evry"),
-    ({"listen": "here", "cluster": "c"}, "member.listen"),
-    ({"listen": "127.0.0.1:99999", "cluster": "c"}, "member.listen: no such port"),
-    ({"listen": "10.0.0.1:7000", "cluster": "c"}, "member.listen: packets are not signed"),
-    ({"listen": "127.0.0.1:0", "cluster": "c", "probe_wait": 0.5}, "member.probe_wait"),
-    ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["10.0.0.1:7"]}, r"member.seeds\[0\]: packets"),
-    ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["x"]}, r"member.seeds\[0\]")])
+@pytest.mark.parametrize(
+    ("raw", "reason"),
+    [
+        ({}, "member: Object missing required field `listen`"),
+        ({"listen": "127.0.0.1:0", "cluster": "c", "probe_evry": 1}, "probe_evry"),
+        ({"listen": "here", "cluster": "c"}, "member.listen"),
+        ({"listen": "127.0.0.1:99999", "cluster": "c"}, "member.listen: no such port"),
+        ({"listen": "10.0.0.1:7000", "cluster": "c"}, "member.listen: packets are not signed"),
+        ({"listen": "127.0.0.1:0", "cluster": "c", "probe_wait": 0.5}, "member.probe_wait"),
+        ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["10.0.0.1:7"]}, r"member.seeds\[0\]: packets"),
+        ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["x"]}, r"member.seeds\[0\]"),
+    ],
+)
 def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
     with pytest.raises(WireError, match=reason):
         read_member(raw)
@@ -422,8 +455,16 @@
     for count in (5, 1000):
         roster = Roster(Record(f"m{n}", f"127.0.0.1:{n + 1}", 1) for n in range(count))
         member = Detector(CONF, "m0", "127.0.0.1:1", random.Random(1), 0.0, 1, roster)
-        member.received(0.0, m.Packet(m.WIRE, "test", Record("m1", "127.0.0.1:2", 1), m.Tell(), [
-            Record("m2", "127.0.0.1:3", 1, State.SUSPECT, by="m1")]))
+        member.received(
+            0.0,
+            m.Packet(
+                m.WIRE,
+                "test",
+                Record("m1", "127.0.0.1:2", 1),
+                m.Tell(),
+                [Record("m2", "127.0.0.1:3", 1, State.SUSPECT, by="m1")],
+            ),
+        )
         spans.append(member.suspicions["m2"].least)
     assert spans[0] == pytest.approx(CONF.suspect_for * CONF.probe_every)
     assert ceil(spans[1] / spans[0]) == 3
--- a/tests/test_members_model.py
+++ b/tests/test_members_model.py
@@ -47,11 +47,15 @@
 
 
 def test_without_the_rule_of_trying_oneself_and_without_waiting_the_healthy_die(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A suspicion that nobody may shorten or clear by knocking is what the guards are held against."""
     monkeypatch.setattr(Detector, "_knock", lambda *_: None)
-    monkeypatch.setattr(Detector, "_ended", lambda self, name, suspicion: (
-        self._declare(name) if self.suspicions.get(name) is suspicion else None))
+    monkeypatch.setattr(
+        Detector,
+        "_ended",
+        lambda self, name, suspicion: self._declare(name) if self.suspicions.get(name) is suspicion else None,
+    )
     conf = MemberSettings("127.0.0.1:0", "model", suspect_for=1.0, suspect_most=1.0)
     net = model.Swim(Day("loss", 15, 60.0, loss=0.4), 1, conf)
     assert net.run().deaths > 0
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -27,8 +27,9 @@
     def __init__(self, app: App) -> None:
         self.service = app.service
 
-    def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float,
-              aim: float) -> None:
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
         outcome = Outcome.ERROR if int(ident, 16) % 11 == 0 else Outcome.OK
         self.service.timers.at(self.service.now + TAKES, self.service.run_ended, ident, outcome, TAKES, body)
 
@@ -46,8 +47,12 @@
 async def play(ajp_first: bool) -> list[tuple[str, str, str]]:
     """Protocol, class and verdict of each request, in the order in which they were sent."""
     now = 5_000.0
-    app = App(read_config(raw_config()), Deployment(ajp=AjpFront("127.0.0.1:0")), lambda *_, **__: None,
-              clock=Clock(lambda: now, lambda: now))
+    app = App(
+        read_config(raw_config()),
+        Deployment(ajp=AjpFront("127.0.0.1:0")),
+        lambda *_, **__: None,
+        clock=Clock(lambda: now, lambda: now),
+    )
     app.runs = Work(app)
     await app.start()
     taken = list[bytes]()
@@ -62,8 +67,13 @@
 
     async def ask(client: HttpClient, number: int, klass: str) -> int:
         await client.open()
-        answer = await client.ask(number, klass, key=f"{number:x}" if klass == "oddaja" else None,
-                                  received=int(now * 1000), rank=f"0.{number * 617 % 1000:03}")
+        answer = await client.ask(
+            number,
+            klass,
+            key=f"{number:x}" if klass == "oddaja" else None,
+            received=int(now * 1000),
+            rank=f"0.{number * 617 % 1000:03}",
+        )
         client.drop()
         return answer.status
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -73,7 +73,8 @@
 
 @pytest.mark.parametrize("front", CLIENTS)
 def test_a_request_that_waits_at_a_new_connection_in_a_long_turn_is_read_before_its_time_is_over(
-        front: str) -> None:
+    front: str,
+) -> None:
     async def play() -> None:
         async with Pool() as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             listener = app.fronts[front]
@@ -94,7 +95,8 @@
 
 @pytest.mark.parametrize("front", CLIENTS)
 def test_bytes_behind_the_last_answer_of_a_connection_reset_nothing(
-        front: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    front: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The answer says that the connection ends; what crosses it stands unread at the socket."""
     monkeypatch.setattr(ServerConnection, "LINGER", 60.0)  # what ends it is the client's close
 
@@ -119,7 +121,8 @@
 
 @pytest.mark.parametrize("end", ["idle", "half-closed"])
 def test_answers_that_are_never_read_do_not_hold_a_descriptor(
-        end: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    end: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Listener, "READ_WAIT", 0.02)
 
     async def play() -> None:
@@ -148,7 +151,8 @@
 
 @pytest.mark.parametrize("ended", ["end", "close"])
 def test_a_long_answer_that_is_read_slowly_is_not_cut_off(
-        ended: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    ended: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(ServerConnection, "LINGER", 0.0)
     monkeypatch.setattr(Listener, "READ_WAIT", 60.0)
 
@@ -169,7 +173,8 @@
 
 
 def test_a_call_that_waits_takes_the_place_of_one_given_up_while_it_connected(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     begun: list[bytes] = []
 
     async def connect(client: IndexClient, call: Call) -> None:
@@ -191,11 +196,13 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("end", "told"), [
-    (i.Outcome.OK, "served"), (i.Outcome.ERROR, "failed"), (None, "failed")])
+@pytest.mark.parametrize(
+    ("end", "told"), [(i.Outcome.OK, "served"), (i.Outcome.ERROR, "failed"), (None, "failed")]
+)
 @pytest.mark.parametrize("closed", ["before the stop", "handed over"])
 def test_a_further_try_of_what_has_run_is_never_refused_also_where_nothing_is_taken_any_more(
-        end: i.Outcome | None, told: str, closed: str) -> None:
+    end: i.Outcome | None, told: str, closed: str
+) -> None:
     w = World()
     w.arrive(1)
     assert w.spawned() == [ident(1)]
@@ -230,8 +237,10 @@
 @pytest.mark.parametrize("sockets", [64, 100, 128, 256, 512, 1024])
 def test_balancers_may_hold_half_of_the_descriptors_however_few_there_are(sockets: int) -> None:
     async def play() -> None:
-        async with Pool() as pool, running(
-                pool=pool.address, control="127.0.0.1:0", limits={"sockets": sockets}) as app:
+        async with (
+            Pool() as pool,
+            running(pool=pool.address, control="127.0.0.1:0", limits={"sockets": sockets}) as app,
+        ):
             listeners: list[Listener] = app.listeners
             assert app.index is None and app.fronts["http"].most >= sockets // 2
             assert sum(one.most for one in listeners) <= sockets - max(16, sockets // 16)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,8 +21,21 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-TOOLS = ("click", "hdrh", "matplotlib", "msgspec", "numpy", "saltcart.budget", "saltcart.fleet",
-         "saltcart.lab", "saltcart.locality", "saltcart.member", "saltcart.storm", "simpy", "xxhash")
+TOOLS = (
+    "click",
+    "hdrh",
+    "matplotlib",
+    "msgspec",
+    "numpy",
+    "saltcart.budget",
+    "saltcart.fleet",
+    "saltcart.lab",
+    "saltcart.locality",
+    "saltcart.member",
+    "saltcart.storm",
+    "simpy",
+    "xxhash",
+)
 
 
 def held_sockets(pid: int) -> set[str]:
@@ -56,13 +69,15 @@
 
         async with Pool() as pool, Server(announce) as registry, Server(announce) as index:
             config = tmp_path / "config.json"
-            config.write_text(json.dumps(raw_config(pool=pool.address, announce=registry.address,
-                                                    index=index.address)))
+            config.write_text(
+                json.dumps(raw_config(pool=pool.address, announce=registry.address, index=index.address))
+            )
             scratch = tmp_path / "scratch"
             scratch.mkdir()
             environment = {"PATH": os.environ["PATH"], "BALANCER_CONFIG": str(config), "TMPDIR": str(scratch)}
             shell = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", DEPLOY["run"], cwd=ROOT, env=environment, stdout=asyncio.subprocess.PIPE)
+                "/bin/sh", "-c", DEPLOY["run"], cwd=ROOT, env=environment, stdout=asyncio.subprocess.PIPE
+            )
             assert shell.stdout is not None
             try:
                 told = dict[str, dict[str, str]]()
@@ -84,8 +99,11 @@
                 assert len(own) == 2 and all(len(row) == 7 for row in own)
                 assert held == held & (set(tcp) | set(unix))
                 # No ring, no socket that listens in the file system.
-                assert not [fd for fd in Path(f"/proc/{shell.pid}/fd").iterdir()
-                            if "io_uring" in (os.readlink(fd) if fd.exists() else "")]
+                assert not [
+                    fd
+                    for fd in Path(f"/proc/{shell.pid}/fd").iterdir()
+                    if "io_uring" in (os.readlink(fd) if fd.exists() else "")
+                ]
                 assert not [p for p in scratch.rglob("*") if p.is_socket()]
                 client.drop()
             finally:
@@ -103,8 +121,10 @@
 
 def test_the_service_starts_without_the_tools() -> None:
     """Plans, models and the command line must cost a service that has none of them no time or memory."""
-    script = ("import sys; import saltcart.__main__, saltcart.app;"
-              f"print([m for m in {TOOLS!r} if m in sys.modules])")
+    script = (
+        "import sys; import saltcart.__main__, saltcart.app;"
+        f"print([m for m in {TOOLS!r} if m in sys.modules])"
+    )
     out = subprocess.run([sys.executable, "-c", script], cwd=ROOT, check=True, capture_output=True, text=True)
     assert out.stdout.strip() == "[]"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,9 +17,23 @@
     i.ClassSpec("once", i.Effect.UNSAFE, 1.5, 4.0, 2.0, late_worth=0.3),
 )
 BASE = i.Settings(
-    classes=CLASSES, cores=2, memory_kb=900.0, answer_slack=0.06, drain_grace=1.0, crowd_limit=4.0,
-    crowd_span=1.0, cold_from=0.3, cold_span=5.0, run_factor=4.0, entry_kb=10.0, heard_for=1.0,
-    below=i.Below.SHARED, call_share=2.0, call_span=5.0, call_linger=0.2, step=0.005,
+    classes=CLASSES,
+    cores=2,
+    memory_kb=900.0,
+    answer_slack=0.06,
+    drain_grace=1.0,
+    crowd_limit=4.0,
+    crowd_span=1.0,
+    cold_from=0.3,
+    cold_span=5.0,
+    run_factor=4.0,
+    entry_kb=10.0,
+    heard_for=1.0,
+    below=i.Below.SHARED,
+    call_share=2.0,
+    call_span=5.0,
+    call_linger=0.2,
+    step=0.005,
 )
 
 
@@ -49,7 +63,8 @@
             self.apply(a)
         memory = sum(
             self.size[r] * (1 if how in ("held", "join") else self.s.run_factor)
-            for r, how in self.state.items())
+            for r, how in self.state.items()
+        )
         memory += self.s.entry_kb * sum(until > self.now for _, until in self.kept.values())
         assert memory <= self.s.memory_kb
         on_core = sum(how == "run" for how in self.state.values())
@@ -116,8 +131,18 @@
         holder, until = self.kept.get(self.effect[r], (0, 0.0))
         same = holder if holder and self.reach[r] <= until else None
         self.owed[r], self.state[r] = due, "held"
-        self.send(i.Arrived(r, k, self.size[r], self.rng.random(), unread, patience, repeat_of=same,
-                            caller=self.rng.randrange(3)))
+        self.send(
+            i.Arrived(
+                r,
+                k,
+                self.size[r],
+                self.rng.random(),
+                unread,
+                patience,
+                repeat_of=same,
+                caller=self.rng.randrange(3),
+            )
+        )
 
     def finish(self, r: int, outcome: i.Outcome) -> None:
         if outcome in (i.Outcome.OK, i.Outcome.ERROR) and r in self.owed:
@@ -143,8 +168,10 @@
                 self.state[r] = "wait"
                 self.send(i.AtCall(r))
         elif what < 0.66 and (r := self.one(("call",))) is not None and not hang:
-            how = self.rng.choice(list(i.Outcome)[:1] * 4 + [
-                i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.REJECTED, i.Outcome.BROKEN])
+            how = self.rng.choice(
+                list(i.Outcome)[:1] * 4
+                + [i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.REJECTED, i.Outcome.BROKEN]
+            )
             self.state[r] = "run" if how is i.Outcome.OK else "wait"
             self.send(i.CallEnded(r, how, 0.05))
         elif (r := self.one(("run", "stopped", "join", "wait", "call"))) is not None:
@@ -165,9 +192,13 @@
 
 
 OPTIONS: dict[str, Any] = {
-    "preemption": st.sampled_from(i.Preemption), "signal": st.sampled_from(i.Signal), "cold": st.booleans(),
-    "call_share": st.sampled_from([0.3, 2.0, 9.0]), "cores": st.integers(1, 4),
-    "below": st.sampled_from(i.Below), "fresh": st.sampled_from([0.0, 1.0]),
+    "preemption": st.sampled_from(i.Preemption),
+    "signal": st.sampled_from(i.Signal),
+    "cold": st.booleans(),
+    "call_share": st.sampled_from([0.3, 2.0, 9.0]),
+    "cores": st.integers(1, 4),
+    "below": st.sampled_from(i.Below),
+    "fresh": st.sampled_from([0.0, 1.0]),
 }
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -124,8 +124,11 @@
             writer.write(b"%b HIT %d\r\n%b\r\n" % (words[1], len(body), body))
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, Server(proxy) as index, running(
-                pool=pool.address, index=index.address) as app:
+        async with (
+            Pool(auto=False) as pool,
+            Server(proxy) as index,
+            running(pool=pool.address, index=index.address) as app,
+        ):
             for n, question in ((1, b"\r\n?"), (2, b"break")):
                 client = await HttpClient(app.addresses["http"]).open()
                 client.send(n, "oddaja", key=f"k{n}")
@@ -143,17 +146,34 @@
 
 
 BAD = [
-    ("Request-Id", "12"), ("Request-Id", "x" * 16), ("Received-At", "0"), ("Received-At", "now"),
-    ("Received-At", "99999999999999"), ("Budget-Ms", "-1"), ("Budget-Ms", "1e9"), ("Budget-Ms", "99999999"),
-    ("Footprint-Kb", "0"), ("Footprint-Kb", "2000"), ("Footprint-Kb", "nan"), ("Priority-Rank", "1"),
-    ("Priority-Rank", "-0.1"), ("Sent-By", "4.5"), ("Sent-By", "-4"), ("Work-Estimate", "1e3"),
-    ("Account", "nobody"), ("Account", ""), ("Once-Key", "a b"), ("Resource-Key", "\x7f"),
-    ("Footprint-Kb", None)]
+    ("Request-Id", "12"),
+    ("Request-Id", "x" * 16),
+    ("Received-At", "0"),
+    ("Received-At", "now"),
+    ("Received-At", "99999999999999"),
+    ("Budget-Ms", "-1"),
+    ("Budget-Ms", "1e9"),
+    ("Budget-Ms", "99999999"),
+    ("Footprint-Kb", "0"),
+    ("Footprint-Kb", "2000"),
+    ("Footprint-Kb", "nan"),
+    ("Priority-Rank", "1"),
+    ("Priority-Rank", "-0.1"),
+    ("Sent-By", "4.5"),
+    ("Sent-By", "-4"),
+    ("Work-Estimate", "1e3"),
+    ("Account", "nobody"),
+    ("Account", ""),
+    ("Once-Key", "a b"),
+    ("Resource-Key", "\x7f"),
+    ("Footprint-Kb", None),
+]
 
 
 @pytest.mark.parametrize("front", ["http", "ajp"])
 def test_every_field_is_held_to_its_form_and_range(front: str) -> None:
     """What no request can say never reaches the core, on either front."""
+
     async def play() -> None:
         async with Pool() as pool, running(Deployment(ajp=AjpFront("127.0.0.1:0")), pool=pool.address) as app:
             for name, value in BAD:
@@ -168,12 +188,16 @@
 
 def test_a_silent_pool_costs_no_answer() -> None:
     """One final answer by the due time, whatever the pool does; refusals say when to come back."""
+
     async def play() -> None:
         async with Pool(auto=False) as pool, running(pool=pool.address) as app:
             clients = [await HttpClient(app.addresses["http"]).open() for _ in range(120)]
-            answers = await asyncio.gather(*(
-                c.ask(n, "oddaja" if n % 2 else "read", key=f"k{n}", budget="800")
-                for n, c in enumerate(clients, 1)))
+            answers = await asyncio.gather(
+                *(
+                    c.ask(n, "oddaja" if n % 2 else "read", key=f"k{n}", budget="800")
+                    for n, c in enumerate(clients, 1)
+                )
+            )
             assert {a.status for a in answers} <= {500, 503}
             assert all(b"back-off-ms" in a.headers for a in answers if a.status == 503)
             # No death by crowding: never more on the cores than they survive, though nothing ever ends.
@@ -210,14 +234,19 @@
         return port
 
 
-async def start(config: Path, raw: dict[str, Any], fds: tuple[int, ...] = (), /,
-                **env: str) -> asyncio.subprocess.Process:
+async def start(
+    config: Path, raw: dict[str, Any], fds: tuple[int, ...] = (), /, **env: str
+) -> asyncio.subprocess.Process:
     config.write_text(json.dumps(raw))
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return await asyncio.create_subprocess_shell(
-        run.replace(".venv/bin/python", sys.executable), cwd=ROOT, stdout=asyncio.subprocess.PIPE,
-        stderr=asyncio.subprocess.PIPE, pass_fds=fds,
-        env={**os.environ, "BALANCER_CONFIG": str(config), **env})
+        run.replace(".venv/bin/python", sys.executable),
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+        pass_fds=fds,
+        env={**os.environ, "BALANCER_CONFIG": str(config), **env},
+    )
 
 
 def test_the_program_serves_drains_and_ends(tmp_path: Path) -> None:
@@ -245,6 +274,7 @@
 
 def test_a_hangup_moves_the_program_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     """SIGHUP, from the first moment on and repeated: runs go on, and notices are numbered on."""
+
     async def play() -> None:
         async with Pool(auto=False) as old, Pool(auto=False) as new, Server(silent) as index:
             path = tmp_path / "c.json"
@@ -291,12 +321,20 @@
             pass
 
 
-@pytest.mark.parametrize(("raw", "env", "named"), [
-    ({"listen": 5}, {}, "listen"), ({"settings": {}}, {}, "extra"), ({"seed": "xyz"}, {}, "xyz"),
-    ({}, {"SALTCART_DEPLOYMENT": "/does/not/exist"}, "exist"),
-    ({}, {"BALANCER_CONFIG": "/not/there"}, "there"), ({"listen": "127.0.0.1:1000000"}, {}, "listen")])
+@pytest.mark.parametrize(
+    ("raw", "env", "named"),
+    [
+        ({"listen": 5}, {}, "listen"),
+        ({"settings": {}}, {}, "extra"),
+        ({"seed": "xyz"}, {}, "xyz"),
+        ({}, {"SALTCART_DEPLOYMENT": "/does/not/exist"}, "exist"),
+        ({}, {"BALANCER_CONFIG": "/not/there"}, "there"),
+        ({"listen": "127.0.0.1:1000000"}, {}, "listen"),
+    ],
+)
 def test_a_bad_configuration_ends_with_one_plain_line(
-        tmp_path: Path, raw: dict[str, Any], env: dict[str, str], named: str) -> None:
+    tmp_path: Path, raw: dict[str, Any], env: dict[str, str], named: str
+) -> None:
     async def play() -> None:
         program = await start(tmp_path / "c.json", {**raw_config(), **raw}, **env)
         _, err = await program.communicate()
--- a/tests/test_storm_parts.py
+++ b/tests/test_storm_parts.py
@@ -26,8 +26,17 @@
 from saltcart.storm.weather import Sky, Weather
 
 SETTINGS = Settings(
-    classes=(ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0),), cores=4, memory_kb=1e5, answer_slack=0.1,
-    drain_grace=1.0, crowd_limit=8.0, crowd_span=2.0, cold_from=0.25, cold_span=8.0, cold=True)
+    classes=(ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0),),
+    cores=4,
+    memory_kb=1e5,
+    answer_slack=0.1,
+    drain_grace=1.0,
+    crowd_limit=8.0,
+    crowd_span=2.0,
+    cold_from=0.25,
+    cold_span=8.0,
+    cold=True,
+)
 # Spread as fingerprints are: the tables rest on it, and nobody can choose digests for a seed not known.
 DIGESTS = st.integers(0, (1 << 64) - 1).map(lambda n: xxhash.xxh3_64_intdigest(n.to_bytes(8, "little")))
 
@@ -43,16 +52,22 @@
     of = Fingerprints(7).of
     first = of("acme", "oddaja", b"k", None, b"body")
     assert first == of("acme", "oddaja", b"k", None, b"body")
-    others = [of("acmf", "oddaja", b"k", None, b"body"), of("acme", "read", b"k", None, b"body"),
-              of("acme", "oddaja", b"l", None, b"body"), of("acme", "oddaja", b"k", "s", b"body"),
-              of("acme", "oddaja", b"k", None, b"bodz"), of("acm", "eoddaja", b"k", None, b"body"),
-              Fingerprints(8).of("acme", "oddaja", b"k", None, b"body")]
+    others = [
+        of("acmf", "oddaja", b"k", None, b"body"),
+        of("acme", "read", b"k", None, b"body"),
+        of("acme", "oddaja", b"l", None, b"body"),
+        of("acme", "oddaja", b"k", "s", b"body"),
+        of("acme", "oddaja", b"k", None, b"bodz"),
+        of("acm", "eoddaja", b"k", None, b"body"),
+        Fingerprints(8).of("acme", "oddaja", b"k", None, b"body"),
+    ]
     assert len({first, *others}) == len(others) + 1
 
 
 @given(st.lists(st.tuples(DIGESTS, st.floats(0, 5)), max_size=200))
 def test_what_was_seen_is_known_for_its_span_and_forgotten_after_twice_that(
-        steps: list[tuple[int, float]]) -> None:
+    steps: list[tuple[int, float]],
+) -> None:
     seen, now, added = Seen(10.0, 14), 0.0, dict[int, float]()
     for digest, gap in steps:
         now += gap
@@ -356,8 +371,10 @@
     assert d.bytes() <= 1 << 20 and len(d.calendar.places) <= 60 / BUCKET + 20
 
 
-@pytest.mark.parametrize(("raw", "reason"), [
-    ({"horizon": 0.1}, "storm.horizon"), ({"grace": "x"}, "storm.grace"), ({"hroizon": 3}, "hroizon")])
+@pytest.mark.parametrize(
+    ("raw", "reason"),
+    [({"horizon": 0.1}, "storm.horizon"), ({"grace": "x"}, "storm.grace"), ({"hroizon": 3}, "hroizon")],
+)
 def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
     with pytest.raises(WireError, match=reason):
         read_storm(raw)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -302,7 +302,7 @@
 def test_a_rolling_deploy_over_the_return_breaks_nothing() -> None:
     seen = play("room+deploy", "storm", deploy=True)
     assert (seen.twice, seen.held_back) == (0, 0)
-    assert lab.mean(seen.worth[int(lab.OUT_AT + lab.OUT_FOR):]) > 0.6
+    assert lab.mean(seen.worth[int(lab.OUT_AT + lab.OUT_FOR) :]) > 0.6
 
 
 def test_callers_that_all_obey_do_not_come_back_together() -> None:
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -35,8 +35,10 @@
     assert read == replace(ENTRY, holder=0)
 
 
-@pytest.mark.parametrize("raw", [
-    b"", b"{", b"[]\n", b"5\n", b'{"v":2,"say":"take"}\n', b'{"v":1}\n', b'{"v":1,"say":4}\n', b"\xff\n"])
+@pytest.mark.parametrize(
+    "raw",
+    [b"", b"{", b"[]\n", b"5\n", b'{"v":2,"say":"take"}\n', b'{"v":1}\n', b'{"v":1,"say":4}\n', b"\xff\n"],
+)
 def test_a_packet_that_cannot_be_read_is_malformed(raw: bytes) -> None:
     with pytest.raises(Malformed):
         wire.decode(raw)
@@ -56,9 +58,18 @@
     assert wire.to_load(wire.decode(wire.encode(wire.of_load(load, 7)))) == (load, 7)
 
 
-@pytest.mark.parametrize(("name", "value"), [
-    ("on_core", "4"), ("on_core", -1), ("calling", None), ("memory_kb", float("nan")), ("calling", True),
-    ("memory_kb", 1e13), ("connections", [1])])
+@pytest.mark.parametrize(
+    ("name", "value"),
+    [
+        ("on_core", "4"),
+        ("on_core", -1),
+        ("calling", None),
+        ("memory_kb", float("nan")),
+        ("calling", True),
+        ("memory_kb", 1e13),
+        ("connections", [1]),
+    ],
+)
 def test_a_load_out_of_its_form_is_malformed(name: str, value: object) -> None:
     with pytest.raises(Malformed):
         wire.to_load(wire.Packet("beside", {**wire.of_load(Beside(), 0).fields, name: value}))
@@ -137,17 +148,25 @@
 
 # No request of theirs ends by its time, however slow the machine is.
 PATIENT: dict[str, Any] = {
-    "settings": {**SETTINGS, "services": [
-        {**s, "onTime": 60.0, "deadline": 120.0, "memorySpan": 60.0} for s in SETTINGS["services"]]},
-    "stop_ms": 20_000}
+    "settings": {
+        **SETTINGS,
+        "services": [
+            {**s, "onTime": 60.0, "deadline": 120.0, "memorySpan": 60.0} for s in SETTINGS["services"]
+        ],
+    },
+    "stop_ms": 20_000,
+}
 
 
 def test_connections_and_keys_move_to_the_new_process(platform: dict[str, str]) -> None:
     address = at(platform)
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, Pool() as other, running(
-                None, platform, pool=pool.address, **PATIENT) as old:
+        async with (
+            Pool(auto=False) as pool,
+            Pool() as other,
+            running(None, platform, pool=pool.address, **PATIENT) as old,
+        ):
             idle, busy, keyed, half = [await HttpClient(address).open() for _ in range(4)]
             for client in (idle, busy, keyed):
                 client.changed["Budget-Ms"] = "60000"
@@ -225,7 +244,8 @@
 
 
 def test_an_old_process_that_is_told_to_stop_drains_if_the_new_one_dies(
-        platform: dict[str, str], monkeypatch: pytest.MonkeyPatch) -> None:
+    platform: dict[str, str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A release may stop both at once: what waits at the platform's socket must still be answered."""
     monkeypatch.setattr(succession, "LEAST_STAY", 10.0)
     address = at(platform)
@@ -250,6 +270,7 @@
 
 def test_what_is_new_finds_room_while_others_come_over() -> None:
     """The old process's connections count, yet nobody is turned back at the door for them."""
+
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address, limits={"sockets": 200}) as app:
             listener = app.listeners[0]
@@ -266,19 +287,24 @@
 
     async def play() -> None:
         limits = {"sockets": 200}
-        async with Pool() as pool, Pool() as other, running(
-                None, platform, pool=pool.address, limits=limits) as old:
+        async with (
+            Pool() as pool,
+            Pool() as other,
+            running(None, platform, pool=pool.address, limits=limits) as old,
+        ):
             crowd = await asyncio.gather(*(HttpClient(address).open() for _ in range(150)))
             most = old.fronts["http"].most
             await until(lambda: len(old.fronts["http"].connections) == most)
             before, highest = len(os.listdir("/proc/self/fd")), 0
             async with running(None, platform, pool=other.address, limits=limits) as new:
+
                 def moved() -> bool:
                     nonlocal highest
                     highest = max(highest, len(os.listdir("/proc/self/fd")))
                     both = len(old.fronts["http"].connections) + len(new.fronts["http"].connections)
                     assert both <= most + Listener.COMING
                     return not old.fronts["http"].connections
+
                 await until(moved)
                 await until(lambda: not new.fronts["http"].beside)
                 assert highest < before + 60  # not twice the flood
@@ -338,7 +364,8 @@
 
 @pytest.mark.parametrize(("fd", "folder", "status"), [("abc", "", 2), ("99", "", 2), ("99", "/not/there", 2)])
 def test_a_descriptor_that_is_no_listener_ends_with_one_plain_line(
-        fd: str, folder: str, status: int, tmp_path: Path) -> None:
+    fd: str, folder: str, status: int, tmp_path: Path
+) -> None:
     async def play() -> None:
         program = await start(tmp_path / "c.json", raw_config(), BALANCER_LISTEN_FD=fd, TMPDIR=folder)
         _, err = await program.communicate()
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -26,16 +26,26 @@
 FORWARD = ajp.forward_request(b"POST", b"/call/read", [(b"Content-Length", b"5")], b"h", 80)
 
 
-@pytest.mark.parametrize(("front", "data", "answer"), [
-    ("http", b"", b""), ("http", HEAD, b"HTTP/1.1 408"), ("http", b"\r\n", b""),
-    ("http", HEAD + b"Content-Length: 5\r\n\r\nab", b"HTTP/1.1 408"),
-    ("http", HEAD + b"Content-Length: 60000000\r\n\r\n" + b"x" * 200_000, b"HTTP/1.1 413"),
-    ("http", HEAD + b"A: " + b"x" * 200_000, b"HTTP/1.1 431"),
-    ("http", b"GET /ping HTTP/1.1\r\n\r\n" + HEAD, b"HTTP/1.1 200"),
-    ("ajp", b"", b""), ("ajp", FORWARD[:9], b"AB"), ("ajp", FORWARD, b"AB"),
-    ("ajp", FORWARD + ajp.body_packet(b"ab"), b"AB"), ("ajp", b"\x12\x34\xff\xff", b"AB")])
+@pytest.mark.parametrize(
+    ("front", "data", "answer"),
+    [
+        ("http", b"", b""),
+        ("http", HEAD, b"HTTP/1.1 408"),
+        ("http", b"\r\n", b""),
+        ("http", HEAD + b"Content-Length: 5\r\n\r\nab", b"HTTP/1.1 408"),
+        ("http", HEAD + b"Content-Length: 60000000\r\n\r\n" + b"x" * 200_000, b"HTTP/1.1 413"),
+        ("http", HEAD + b"A: " + b"x" * 200_000, b"HTTP/1.1 431"),
+        ("http", b"GET /ping HTTP/1.1\r\n\r\n" + HEAD, b"HTTP/1.1 200"),
+        ("ajp", b"", b""),
+        ("ajp", FORWARD[:9], b"AB"),
+        ("ajp", FORWARD, b"AB"),
+        ("ajp", FORWARD + ajp.body_packet(b"ab"), b"AB"),
+        ("ajp", b"\x12\x34\xff\xff", b"AB"),
+    ],
+)
 def test_what_never_becomes_a_request_is_refused_or_closed_in_time(
-        front: str, data: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    front: str, data: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Listener, "READ_WAIT", 0.4)
 
     async def play() -> None:
@@ -47,7 +57,7 @@
                 got = await reader.read(12)
             except ConnectionResetError:  # it sent on after its answer
                 got = answer
-            assert got[:len(answer)] == answer
+            assert got[: len(answer)] == answer
             assert answer or not got
             await until(lambda: not any(x.connections for x in app.listeners))
             assert not pool.spawned
@@ -75,13 +85,17 @@
 
 def test_silent_connections_make_way_for_requests() -> None:
     """Descriptors are kept for balancers, the pool and the index, however many connect and say nothing."""
+
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address, limits={"sockets": 64}) as app:
             listener = app.listeners[0]
             good = await HttpClient(app.addresses["http"]).open()
             assert (await good.ask(1)).status == 200
-            crowd = await asyncio.gather(*(  # at once: those that make way are told of some turns later
-                HttpClient(app.addresses["http"]).open() for _ in range(3 * listener.most)))
+            crowd = await asyncio.gather(
+                *(  # at once: those that make way are told of some turns later
+                    HttpClient(app.addresses["http"]).open() for _ in range(3 * listener.most)
+                )
+            )
             await until(lambda: not listener.resting and len(listener.awaiting) == listener.most)
             assert len(listener.connections) <= listener.most < 64 - 24
             late = await HttpClient(app.addresses["http"]).open()
@@ -137,6 +151,7 @@
 def writes(data: bytes) -> Spoil:
     async def act(writer: asyncio.StreamWriter, ident: bytes) -> None:
         writer.write(data.replace(b"ID", ident))
+
     return act
 
 
@@ -152,8 +167,15 @@
 
 
 SPOILT = [
-    writes(b"\x00\xff noise\r\n"), writes(b"x" * 100_000), writes(b"ID HIT 3\r\nlonger\r\n"),
-    writes(b"ID HIT 9\r\nshort\r\n"), writes(b"ID HIT -1\r\n"), writes(b"ID WHAT\r\n"), reset, endless]
+    writes(b"\x00\xff noise\r\n"),
+    writes(b"x" * 100_000),
+    writes(b"ID HIT 3\r\nlonger\r\n"),
+    writes(b"ID HIT 9\r\nshort\r\n"),
+    writes(b"ID HIT -1\r\n"),
+    writes(b"ID WHAT\r\n"),
+    reset,
+    endless,
+]
 
 
 async def play_call(spoil: Spoil, klass: str, pool: Pool, calls: list[bytes]) -> int:
@@ -181,8 +203,9 @@
         pool.notice(b"blocked " + ident(1), b"?")
 
         async def finish() -> None:
-            await until(lambda: pool.bodies[ident(1)] == b"good" or any(
-                t.startswith(b"pass") for t in pool.told))
+            await until(
+                lambda: pool.bodies[ident(1)] == b"good" or any(t.startswith(b"pass") for t in pool.told)
+            )
             pool.finish(ident(1))
 
         finishing = asyncio.create_task(finish())
@@ -194,7 +217,8 @@
 @pytest.mark.parametrize("spoil", SPOILT)
 @pytest.mark.parametrize("klass", ["read", "oddaja"])
 def test_a_spoilt_reply_ends_the_connection_and_the_call_has_run(
-        spoil: Spoil, klass: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    spoil: Spoil, klass: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """What is safe to repeat is called again or goes on without; what must run once is not."""
     monkeypatch.setattr(index, "STALL", 0.05)
 
@@ -208,9 +232,14 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("good", [
-    b"ID HIT 4\r\ngood\r\nID HIT 4\r\ngood\r\n", b"0123456789abcdef HIT 2\r\nno\r\nID HIT 4\r\ngood\r\n",
-    b"nobody SHED\r\nID HIT 4\r\ngood\r\nnobody SLOW\r\n"])
+@pytest.mark.parametrize(
+    "good",
+    [
+        b"ID HIT 4\r\ngood\r\nID HIT 4\r\ngood\r\n",
+        b"0123456789abcdef HIT 2\r\nno\r\nID HIT 4\r\ngood\r\n",
+        b"nobody SHED\r\nID HIT 4\r\ngood\r\nnobody SLOW\r\n",
+    ],
+)
 def test_a_good_reply_counts_whatever_stands_beside_it(good: bytes) -> None:
     async def play() -> None:
         async with Pool(auto=False) as pool:
@@ -262,7 +291,8 @@
 
 @pytest.mark.parametrize("error", [ConnectionResetError, ConnectionRefusedError, TimeoutError])
 def test_a_connection_that_was_never_made_proves_that_the_call_never_ran(
-        error: type[OSError], monkeypatch: pytest.MonkeyPatch) -> None:
+    error: type[OSError], monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Nothing of the call was written, however connecting failed: even what must run once may go again."""
     failures = [error] * 2
 
@@ -346,6 +376,7 @@
 
 def test_a_link_that_breaks_in_a_notice_loses_nothing() -> None:
     """Notices in pieces, twice under one number, with remarks between them, and cut in the middle."""
+
     async def play() -> None:
         async with Pool(auto=False) as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -18,7 +18,7 @@
     buffer, out = Buffer(64), list[Any]()
     try:
         for at in range(0, len(data), step):
-            buffer.write(data[at:at + step])
+            buffer.write(data[at : at + step])
             while (message := read(buffer)) is not None:
                 out.append(message)
     except Malformed as error:
@@ -37,8 +37,10 @@
 CASES: list[tuple[bytes, list[Any]]] = [
     (GET + GET, [(b"GET", b"/ping", b"", True)] * 2),
     (b"\r\n" + GET, [(b"GET", b"/ping", b"", True)]),
-    (b"POST /call/x HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\n" + GET,
-     [(b"POST", b"/call/x", b"\r\n\r\n", True), (b"GET", b"/ping", b"", True)]),
+    (
+        b"POST /call/x HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\n" + GET,
+        [(b"POST", b"/call/x", b"\r\n\r\n", True), (b"GET", b"/ping", b"", True)],
+    ),
     (b"GET /a HTTP/1.1\r\nConnection: Keep-Alive, Close\r\n\r\n", [(b"GET", b"/a", b"", False)]),
     (b"GET /a HTTP/1.0\r\n\r\n", [(b"GET", b"/a", b"", False)]),
     (b"GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", [(b"GET", b"/a", b"", True)]),
@@ -70,10 +72,17 @@
     assert [m if isinstance(m, int) else (m.method, m.target, m.body, m.keep_alive) for m in got] == expected
 
 
-@pytest.mark.parametrize(("data", "expected"), [
-    (http1.response(204) + http1.response(200, b"x", (("A", "b"),), True),
-     [(204, b"", True), (200, b"x", False)]),
-    (b"HTTP/1.1 99 X\r\n\r\n", [400]), (b"ICY 200 OK\r\n\r\n", [400])])
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (
+            http1.response(204) + http1.response(200, b"x", (("A", "b"),), True),
+            [(204, b"", True), (200, b"x", False)],
+        ),
+        (b"HTTP/1.1 99 X\r\n\r\n", [400]),
+        (b"ICY 200 OK\r\n\r\n", [400]),
+    ],
+)
 def test_http_responses(data: bytes, expected: list[Any]) -> None:
     got = feed(http1.ResponseParser(100).next, data, 1)
     assert [m if isinstance(m, int) else (m.status, m.body, m.keep_alive) for m in got] == expected
@@ -96,21 +105,32 @@
     (forward(method=b"PATCH"), [(b"PATCH", b"/call/x", b"")]),
     (forward((b"Request-Id", b"1"), (b"Host", b"h")) * 2, [(b"POST", b"/call/x", b"")] * 2),
     (forward(LONG) + ajp.body_packet(b"hello"), [(b"POST", b"/call/x", b"hello")]),
-    (forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b"llo"),
-     [ajp.MoreBody(ajp.get_body_chunk(3)), (b"POST", b"/call/x", b"hello")]),
-    (forward((b"Transfer-Encoding", b"chunked")) + ajp.body_packet(b"hi") + ajp.body_packet(b""),
-     [ajp.MoreBody(ajp.get_body_chunk(2048))] * 2 + [(b"POST", b"/call/x", b"hi")]),
+    (
+        forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b"llo"),
+        [ajp.MoreBody(ajp.get_body_chunk(3)), (b"POST", b"/call/x", b"hello")],
+    ),
+    (
+        forward((b"Transfer-Encoding", b"chunked")) + ajp.body_packet(b"hi") + ajp.body_packet(b""),
+        [ajp.MoreBody(ajp.get_body_chunk(2048))] * 2 + [(b"POST", b"/call/x", b"hi")],
+    ),
     (ajp.CPING_PACKET + raw(b"\x07") + raw(b"\x08") + ajp.CPING_PACKET, [ajp.Ping(), ajp.Ping()]),
     (forward(LONG) + ajp.body_packet(b"hello!"), [413]),
-    (forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b""),
-     [ajp.MoreBody(ajp.get_body_chunk(3)), 400]),
+    (
+        forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b""),
+        [ajp.MoreBody(ajp.get_body_chunk(3)), 400],
+    ),
     (forward((b"Content-Length", b"2049")), [413]),
     (forward((b"Content-Length", b"x")), [400]),
-    (forward(LONG, LONG), [400]), (forward(LONG, (b"Transfer-Encoding", b"chunked")), [400]),
+    (forward(LONG, LONG), [400]),
+    (forward(LONG, (b"Transfer-Encoding", b"chunked")), [400]),
     (forward(uri=b"x"), [400]),
     (ajp.forward_request(b"GET", b"/", [], b"h", 80), [403]),
-    (b"AB\x00\x01\x0a", [400]), (b"\x12\x34\xff\xff", [400]), (raw(b""), [400]), (raw(b"\x63"), [400]),
-    (raw(b"\x02\x63"), [400]), (raw(b"\x02\x02\x00\x08HTTP"), [400]),
+    (b"AB\x00\x01\x0a", [400]),
+    (b"\x12\x34\xff\xff", [400]),
+    (raw(b""), [400]),
+    (raw(b"\x63"), [400]),
+    (raw(b"\x02\x63"), [400]),
+    (raw(b"\x02\x02\x00\x08HTTP"), [400]),
     (forward()[:-1].replace(b"\x00\x57", b"\x00\x57", 1), []),
     (b"GET / HTTP/1.1\r\n\r\n", [400]),
 ]
@@ -126,12 +146,19 @@
 ANSWER = ajp.response(200, b"OK", [(b"Set-Cookie", b"a"), (b"X", b"y")], b"z" * 20_000, True)
 
 
-@pytest.mark.parametrize(("data", "expected"), [
-    (ANSWER * 2, [(200, 20_000, True)] * 2),
-    (ajp.CPONG_PACKET + ajp.get_body_chunk(9), [ajp.Pong(), ajp.WantBody(9)]),
-    (ANSWER[:-6] + ajp.packet(b"AB", b"\x03\x00\x01x\x00") + ANSWER[-6:], [400]),  # longer than it said
-    (ajp.packet(b"AB", b"\x05\x01"), [400]), (ajp.packet(b"AB", b"\x03\x00\x01x\x00"), [400]),
-    (ajp.packet(b"AB", b"\x04\x00"), [400]), (ajp.packet(b"AB", b""), [400]), (b"\x12\x34\x00\x00", [400])])
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (ANSWER * 2, [(200, 20_000, True)] * 2),
+        (ajp.CPONG_PACKET + ajp.get_body_chunk(9), [ajp.Pong(), ajp.WantBody(9)]),
+        (ANSWER[:-6] + ajp.packet(b"AB", b"\x03\x00\x01x\x00") + ANSWER[-6:], [400]),  # longer than it said
+        (ajp.packet(b"AB", b"\x05\x01"), [400]),
+        (ajp.packet(b"AB", b"\x03\x00\x01x\x00"), [400]),
+        (ajp.packet(b"AB", b"\x04\x00"), [400]),
+        (ajp.packet(b"AB", b""), [400]),
+        (b"\x12\x34\x00\x00", [400]),
+    ],
+)
 def test_ajp_responses(data: bytes, expected: list[Any]) -> None:
     got = feed(ajp.ResponseParser(30_000).next, data, 999)
     assert [(m.status, len(m.body), m.reuse) if isinstance(m, ajp.Response) else m for m in got] == expected
@@ -141,25 +168,43 @@
 
 
 @pytest.mark.parametrize("step", [1, 100_000])
-@pytest.mark.parametrize(("data", "expected"), [
-    (b"bound EMPTY 1500\r\n", [pool.Bound(False, 1.5), b"poll 1\r\n"]),
-    (b"finished 1 a PASS 20 2\r\n\r\n\r\nblocked 2 b 0\r\n\r\n",
-     [pool.Finished(b"a", b"PASS", 0.02, b"\r\n"), pool.Blocked(b"b", 2, b"")]),
-    (b"finished 1 a KILLED 20 0\r\n\r\n" * 2, [pool.Finished(b"a", b"KILLED", 0.02, b"")]),
-    (b"chatter 5 hm\r\nblocked 5 b 0\r\n\r\nblocked 6 b 0\r\n\r\n",
-     [pool.Blocked(b"b", 5, b""), pool.Blocked(b"b", 6, b"")]),
-    (b"chatter 1 " + b"x" * 5000 + b"\r\nblocked 1 b 0\r\n\r\nchatter 2 " + b"y" * 1020
-     + b"\r\nblocked 2 b 0\r\n\r\n",
-     [pool.Blocked(b"b", 1, b""), pool.Blocked(b"b", 2, b"")]),  # a remark of any length means nothing
-    (b"polled 0 0.5 3\r\nunknown spawn x\r\n", [pool.Polled((0.5, 3.0)), pool.Unknown(b"spawn", b"x")]),
-    (b"finished x a PASS 1 1\r\nx\r\n", [400]), (b"finished 1 a PASS 1\r\n", [400]), (b"dance\r\n", [400]),
-    (b"finished 1 a PASS 1 99999\r\n", [400]), (b"finished 1 a PASS 1 1\r\nxyz", [400]),
-    (b"bound WARM 1\r\n", [400]), (b"polled\r\n", [400]), (b"x" * 2000, [400])])
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"bound EMPTY 1500\r\n", [pool.Bound(False, 1.5), b"poll 1\r\n"]),
+        (
+            b"finished 1 a PASS 20 2\r\n\r\n\r\nblocked 2 b 0\r\n\r\n",
+            [pool.Finished(b"a", b"PASS", 0.02, b"\r\n"), pool.Blocked(b"b", 2, b"")],
+        ),
+        (b"finished 1 a KILLED 20 0\r\n\r\n" * 2, [pool.Finished(b"a", b"KILLED", 0.02, b"")]),
+        (
+            b"chatter 5 hm\r\nblocked 5 b 0\r\n\r\nblocked 6 b 0\r\n\r\n",
+            [pool.Blocked(b"b", 5, b""), pool.Blocked(b"b", 6, b"")],
+        ),
+        (
+            b"chatter 1 "
+            + b"x" * 5000
+            + b"\r\nblocked 1 b 0\r\n\r\nchatter 2 "
+            + b"y" * 1020
+            + b"\r\nblocked 2 b 0\r\n\r\n",
+            [pool.Blocked(b"b", 1, b""), pool.Blocked(b"b", 2, b"")],
+        ),  # a remark of any length means nothing
+        (b"polled 0 0.5 3\r\nunknown spawn x\r\n", [pool.Polled((0.5, 3.0)), pool.Unknown(b"spawn", b"x")]),
+        (b"finished x a PASS 1 1\r\nx\r\n", [400]),
+        (b"finished 1 a PASS 1\r\n", [400]),
+        (b"dance\r\n", [400]),
+        (b"finished 1 a PASS 1 99999\r\n", [400]),
+        (b"finished 1 a PASS 1 1\r\nxyz", [400]),
+        (b"bound WARM 1\r\n", [400]),
+        (b"polled\r\n", [400]),
+        (b"x" * 2000, [400]),
+    ],
+)
 def test_pool_messages(data: bytes, expected: list[Any], step: int) -> None:
     session, buffer, out = pool.Session(), Buffer(64), list[Any]()
     try:
         for at in range(0, len(data), step):
-            buffer.write(data[at:at + step])
+            buffer.write(data[at : at + step])
             out += session.messages(buffer)
     except Malformed as error:
         out.append(error.status)
@@ -188,16 +233,31 @@
     # Run a stands at a second call already, so the reply to its first must not be given to that one.
     out = hears(b"blocked 2 a 0\r\n\r\npolled 4\r\n")
     assert out == [
-        pool.Blocked(b"a", 2, b""), sent[0], pool.Lost(b"k"), b"spawn l c 1\r\nx\r\n", pool.Polled(())]
+        pool.Blocked(b"a", 2, b""),
+        sent[0],
+        pool.Lost(b"k"),
+        b"spawn l c 1\r\nx\r\n",
+        pool.Polled(()),
+    ]
 
 
 @pytest.mark.parametrize("step", [1, 100_000])
-@pytest.mark.parametrize(("data", "expected"), [
-    (b"a HIT 2\r\n\r\n\r\nb SHED\r\n", [(b"a", b"HIT", b"\r\n"), (b"b", b"SHED", b"")]),
-    (b"a SLOW\r\nb NOBODY\r\nc BROKEN\r\n",
-     [(b"a", b"SLOW", b""), (b"b", b"NOBODY", b""), (b"c", b"BROKEN", b"")]),
-    (b"a MAYBE\r\n", [400]), (b"a HIT\r\n", [400]), (b"a HIT x\r\n", [400]), (b"a HIT 99999\r\n", [400]),
-    (b"a HIT 1\r\nxyz", [400]), (b"x" * 2000, [400])])
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"a HIT 2\r\n\r\n\r\nb SHED\r\n", [(b"a", b"HIT", b"\r\n"), (b"b", b"SHED", b"")]),
+        (
+            b"a SLOW\r\nb NOBODY\r\nc BROKEN\r\n",
+            [(b"a", b"SLOW", b""), (b"b", b"NOBODY", b""), (b"c", b"BROKEN", b"")],
+        ),
+        (b"a MAYBE\r\n", [400]),
+        (b"a HIT\r\n", [400]),
+        (b"a HIT x\r\n", [400]),
+        (b"a HIT 99999\r\n", [400]),
+        (b"a HIT 1\r\nxyz", [400]),
+        (b"x" * 2000, [400]),
+    ],
+)
 def test_index_replies(data: bytes, expected: list[Any], step: int) -> None:
     assert feed(listed(index.ReplyParser().messages), data, step) == expected
 
@@ -211,11 +271,20 @@
 
 
 MACHINES: list[Callable[[], Callable[[Buffer], Any]]] = [
-    lambda: http1.RequestParser(99).next, lambda: http1.ResponseParser(99).next,
-    lambda: ajp.RequestParser(99).next, lambda: ajp.ResponseParser(99).next,
-    lambda: listed(pool.Session().messages), lambda: listed(index.ReplyParser().messages)]
-SEEDS = [GET, forward(LONG) + ajp.body_packet(b"he"), ANSWER[:99], b"finished 1 a PASS 1 1\r\nx\r\n",
-         b"a HIT 1\r\nx\r\n"]
+    lambda: http1.RequestParser(99).next,
+    lambda: http1.ResponseParser(99).next,
+    lambda: ajp.RequestParser(99).next,
+    lambda: ajp.ResponseParser(99).next,
+    lambda: listed(pool.Session().messages),
+    lambda: listed(index.ReplyParser().messages),
+]
+SEEDS = [
+    GET,
+    forward(LONG) + ajp.body_packet(b"he"),
+    ANSWER[:99],
+    b"finished 1 a PASS 1 1\r\nx\r\n",
+    b"a HIT 1\r\nx\r\n",
+]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -35,13 +35,21 @@
 PASSED = {"front": "http", "rests": True, "age": 1.5}
 
 MEMBER = Record("m1", "127.0.0.1:7946", 1000, State.ALIVE, "kranj", "si", "m1")
-NEWS = [Record("m2", "127.0.0.1:7947", 2000, State.SUSPECT, "kranj", "si", "m1"),
-        Record("m3", "127.0.0.1:7948", 3000, State.DEAD)]
+NEWS = [
+    Record("m2", "127.0.0.1:7947", 2000, State.SUSPECT, "kranj", "si", "m1"),
+    Record("m3", "127.0.0.1:7948", 3000, State.DEAD),
+]
 MESSAGES: dict[str, messages.Message] = {
-    "ping": messages.Ping(7), "ack": messages.Ack(7), "ask": messages.Ask(8, "m2", "127.0.0.1:7947"),
-    "nack": messages.Nack(8), "tell": messages.Tell(), "digest": messages.Digest(1 << 63),
-    "parts": messages.Parts([0, 1, 1 << 63]), "records": messages.Records([0, 63]),
-    "give": messages.Give("load", b"\x01\x02")}
+    "ping": messages.Ping(7),
+    "ack": messages.Ack(7),
+    "ask": messages.Ask(8, "m2", "127.0.0.1:7947"),
+    "nack": messages.Nack(8),
+    "tell": messages.Tell(),
+    "digest": messages.Digest(1 << 63),
+    "parts": messages.Parts([0, 1, 1 << 63]),
+    "records": messages.Records([0, 63]),
+    "give": messages.Give("load", b"\x01\x02"),
+}
 
 
 def handover_packet(name: str) -> bytes:
@@ -55,12 +63,17 @@
 # ---- handover ---------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("name", "packet"), [
-    ("take", handover.Packet("take", {})), ("yours", handover.Packet("yours", {})),
-    ("entry", handover.of_entry(KEY, False, CLOCK_AHEAD)),
-    ("gone", handover.of_entry(KEY, True, CLOCK_AHEAD)),
-    ("beside", handover.of_load(LOAD, CONNECTIONS)),
-    ("connection", handover.Packet("connection", PASSED, b"POST /call"))])
+@pytest.mark.parametrize(
+    ("name", "packet"),
+    [
+        ("take", handover.Packet("take", {})),
+        ("yours", handover.Packet("yours", {})),
+        ("entry", handover.of_entry(KEY, False, CLOCK_AHEAD)),
+        ("gone", handover.of_entry(KEY, True, CLOCK_AHEAD)),
+        ("beside", handover.of_load(LOAD, CONNECTIONS)),
+        ("connection", handover.Packet("connection", PASSED, b"POST /call")),
+    ],
+)
 def test_a_handover_packet_is_written_and_read_as_before(name: str, packet: handover.Packet) -> None:
     assert handover.encode(packet) == handover_packet(name)
     assert handover.decode(handover_packet(name)) == packet
@@ -89,8 +102,10 @@
 
 
 def test_a_process_of_this_release_answers_the_recorded_take(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """What it sends: each key, its load, and the word that the place is the successor's."""
+
     async def play() -> list[bytes]:
         with socket.create_server(("127.0.0.1", 0)) as held:
             environment = {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
@@ -132,7 +147,7 @@
     member = Detector(settings, "m9", "127.0.0.1:7999", random.Random(1), 100.0, 9000)
     member.drain()
     member.received(100.0, messages.decode(datagram("ping")))
-    (address, answer), = member.drain()
+    ((address, answer),) = member.drain()
     assert address == MEMBER.address and messages.encode(answer) == datagram("answer-to-ping")
 
 
@@ -146,7 +161,9 @@
     tenant, upstream = registry.tenants["a"], registry.upstreams["u1"]
     assert (tenant.share, tenant.quota, tenant.upstream) == (0.25, 50, "u1")
     assert [(m.host, m.weight, m.secret) for m in upstream.members] == [
-        ("127.0.0.1:8010", 2, "s3"), ("127.0.0.1:8011", 1.0, "")]
+        ("127.0.0.1:8010", 2, "s3"),
+        ("127.0.0.1:8011", 1.0, ""),
+    ]
     os.unlink(path)
     registry.set_shares({})
     assert path.read_bytes() == recorded.read_bytes()
