--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -11,7 +11,7 @@
 
 from saltcart.wire import ajp
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 WORK = 0.1  # seconds
 
@@ -30,7 +30,7 @@
                     await asyncio.sleep(WORK)
                     print(message.uri.decode(), message.headers.get(b"account", b"-").decode(), flush=True)
                     writer.write(ajp.response(200, b"OK", [], message.body.upper(), True))
-    except (ConnectionError, Malformed):
+    except (ConnectionError, MalformedMessageError):
         pass
     finally:
         writer.close()
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -39,7 +39,7 @@
 Reply = tuple[int, Any]
 
 
-class Problem(Exception):
+class ApiError(Exception):
     """What is wrong with the request, and the status that says so."""
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
@@ -90,7 +90,7 @@
             self._authorise(headers)
             status, value = self._dispatch(method, target.partition("?")[0], headers, body)
             return status, b"" if status == 204 else orjson.dumps(value), {}
-        except Problem as problem:
+        except ApiError as problem:
             return problem.status, orjson.dumps({"error": str(problem)}), problem.headers
         except WireError as error:  # a field of the wrong kind, or a whole that can't stand
             return 422, orjson.dumps({"error": str(error)}), {}
@@ -98,28 +98,28 @@
     def _authorise(self, headers: Mapping[bytes, bytes]) -> None:
         scheme, _, token = headers.get(b"authorization", b"").partition(b" ")
         if scheme.lower() != b"bearer" or not hmac.compare_digest(token.strip(), self.token):
-            raise Problem(401, "a bearer token is needed", **{"WWW-Authenticate": "Bearer"})
+            raise ApiError(401, "a bearer token is needed", **{"WWW-Authenticate": "Bearer"})
 
     def _dispatch(self, method: str, path: str, headers: Mapping[bytes, bytes], body: bytes) -> Reply:
         if not path.startswith("/v1/"):
-            raise Problem(404, "no such resource")
+            raise ApiError(404, "no such resource")
         kind, slash, name = path.removeprefix("/v1/").partition("/")
         route = self.routes.get(kind + slash)
         if route is None or "/" in name or (slash and not name):
-            raise Problem(404, "no such resource")
+            raise ApiError(404, "no such resource")
         if method not in route:
-            raise Problem(405, f"{method} is not for this resource", Allow=", ".join(route))
+            raise ApiError(405, f"{method} is not for this resource", Allow=", ".join(route))
         arguments: list[Any] = [name] if slash else []
         if method in ("POST", "PUT", "PATCH"):
             form = headers.get(b"content-type", b"application/json").partition(b";")[0].strip().lower()
             if form != b"application/json":
-                raise Problem(415, "the body is not application/json")
+                raise ApiError(415, "the body is not application/json")
             try:
                 value = orjson.loads(body)
             except orjson.JSONDecodeError as error:
-                raise Problem(400, f"the body is not JSON: {error}") from None
+                raise ApiError(400, f"the body is not JSON: {error}") from None
             if not isinstance(value, dict):
-                raise Problem(400, "the body is not an object")
+                raise ApiError(400, "the body is not an object")
             arguments.append(value)
         return route[method](*arguments)
 
@@ -164,7 +164,7 @@
 
     def _tenant(self, name: str) -> dict[str, Any]:
         if name not in self.registry.tenants:
-            raise Problem(404, f"no such tenant: {name}")
+            raise ApiError(404, f"no such tenant: {name}")
         return asdict(self.registry.tenants[name])
 
     def tenants(self) -> Reply:
@@ -176,7 +176,7 @@
     def post_tenant(self, raw: dict[str, Any]) -> Reply:
         tenant = read_tenant(raw, "tenant")
         if tenant.name in self.registry.tenants:
-            raise Problem(409, f"this tenant is there already: {tenant.name}")
+            raise ApiError(409, f"this tenant is there already: {tenant.name}")
         self.registry.put_tenant(tenant)
         return 201, asdict(tenant)
 
@@ -184,7 +184,7 @@
         self._tenant(name)
         tenant = read_tenant({"name": name, **raw}, "tenant")
         if tenant.name != name:
-            raise Problem(422, "a tenant's name can't be changed")
+            raise ApiError(422, "a tenant's name can't be changed")
         self.registry.put_tenant(tenant)
         return 200, asdict(tenant)
 
@@ -210,7 +210,7 @@
 
     def _upstream(self, name: str) -> dict[str, Any]:
         if name not in self.registry.upstreams:
-            raise Problem(404, f"no such upstream: {name}")
+            raise ApiError(404, f"no such upstream: {name}")
         u, runs = self.registry.upstreams[name], self.registry.runs
         under_way = {} if runs is None else runs.open_runs(name)
         return {
@@ -235,7 +235,7 @@
     def post_upstream(self, raw: dict[str, Any]) -> Reply:
         upstream = read_upstream(raw, "upstream")
         if upstream.name in self.registry.upstreams:
-            raise Problem(409, f"this upstream is there already: {upstream.name}")
+            raise ApiError(409, f"this upstream is there already: {upstream.name}")
         self.registry.put_upstream(upstream)
         return 201, self._upstream(upstream.name)
 
@@ -243,7 +243,7 @@
         self._upstream(name)
         upstream = read_upstream({"name": name, **raw}, "upstream")
         if upstream.name != name:
-            raise Problem(422, "an upstream's name can't be changed")
+            raise ApiError(422, "an upstream's name can't be changed")
         self.registry.put_upstream(upstream)
         return 200, self._upstream(name)
 
@@ -251,6 +251,6 @@
         self._upstream(name)
         users = [t.name for t in self.registry.tenants.values() if t.upstream == name]
         if users:
-            raise Problem(409, f"this upstream is in use by {', '.join(users)}")
+            raise ApiError(409, f"this upstream is in use by {', '.join(users)}")
         self.registry.remove_upstream(name)
         return 204, None
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -5,7 +5,7 @@
 from saltcart.admin.api import Api
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import http1
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 MAX_BODY = 65536
 
@@ -30,7 +30,7 @@
                     request.body,
                 )
                 self._write(status, body, fields, request.keep_alive)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self._write(error.status, b'{"error":"malformed request"}', {}, False)
 
     def _write(self, status: int, body: bytes, fields: dict[str, str], keep_alive: bool) -> None:
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -28,7 +28,7 @@
 GAUGES_LAST = 1.0  # gauges polled longer ago than this, and than two turns, tell nothing of now
 
 
-class Unacceptable(Exception):
+class InvalidRequestError(Exception):
     """The request breaks the protocol: nothing was taken, the front says so to its client."""
 
 
@@ -125,16 +125,16 @@
         now = self._read_clock()
         k = self.klass.get(ask.klass)
         if k is None:
-            raise Unacceptable("no such class")
+            raise InvalidRequestError("no such class")
         tenant = self.tenant.get(ask.account)
         if tenant is None and (self.tenant or self.hosted):
-            raise Unacceptable("no such account")
+            raise InvalidRequestError("no such account")
         if ask.ident in self.by_ident:
-            raise Unacceptable("this id is in use")
+            raise InvalidRequestError("this id is in use")
         spec = self.settings.classes[k]
         key = (ask.account, ask.klass, ask.key) if spec.effect is i.Effect.KEYED and ask.key else None
         if key is None and spec.effect is i.Effect.KEYED:
-            raise Unacceptable("this class needs a key")
+            raise InvalidRequestError("this class needs a key")
         unread = max(0.0, now - ask.received)
         # No caller waits longer than its class's deadline: nothing is held or timed for longer than that.
         due = ask.received + min(spec.deadline, spec.deadline if ask.budget is None else ask.budget)
@@ -143,9 +143,9 @@
         if entry is not None:
             # Whoever guesses or repeats a key must not be served what another's request has led to.
             if entry.digest != digest(ask.body):
-                raise Unacceptable("this key came with another body")
+                raise InvalidRequestError("this key came with another body")
             if ask.ident in entry.idents:
-                raise Unacceptable("this id was used before")
+                raise InvalidRequestError("this id was used before")
             self.keys.note(entry, ask.ident)
         new = key is not None and entry is None
         doubted = new and self.repeats.doubted(r.came)
--- a/saltcart/fleet/classes.py
+++ b/saltcart/fleet/classes.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from saltcart.schema import unpack
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 PARTS = 32  # posts that a table is told in: a change is told in the parts that it concerns
 
@@ -72,8 +72,8 @@
 
 
 def read_part(data: bytes, classes: int) -> dict[int, int]:
-    """``Malformed`` for what is no part of a table of so many classes."""
+    """``MalformedMessageError`` for what is no part of a table of so many classes."""
     out = unpack(_decoder, data, "part of a table")
     if any(not 0 <= c < classes for c in out.values()):
-        raise Malformed("a table with a class that there is not")
+        raise MalformedMessageError("a table with a class that there is not")
     return out
--- a/saltcart/fleet/instance.py
+++ b/saltcart/fleet/instance.py
@@ -109,7 +109,7 @@
         return sum(self.members[h] for h in self._subset())
 
     def posted(self, now: float, topic: str, data: bytes) -> None:
-        """``Malformed`` for a post that is none."""
+        """``MalformedMessageError`` for a post that is none."""
         for kind in (MEMBERS, INSTANCES):
             if topic.startswith(kind) and topic.removeprefix(kind).isdecimal():
                 part = int(topic.removeprefix(kind))
@@ -139,7 +139,7 @@
     # ---- telling ------------------------------------------------------------------------------
 
     def given(self, now: float, sender: Record, topic: str, data: bytes) -> None:
-        """``Malformed`` for a report that is none."""
+        """``MalformedMessageError`` for a report that is none."""
         if topic == REPORT:
             self.reports[sender.name] = now, unpack(_tolds, data, "report")
 
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -6,11 +6,11 @@
 from math import ceil
 
 from saltcart.core.ports import Answer, Verdict
-from saltcart.core.service import Service, Unacceptable
+from saltcart.core.service import Service, InvalidRequestError
 from saltcart.front.fields import read_ask
 from saltcart.interface import Entry
 from saltcart.net.listener import Listener, ServerConnection
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 STATUS = {Verdict.SERVED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 500}
 CLOSE_ON_ANSWER = 0.25  # idle times below this end the connection with the answer, not after it
@@ -135,7 +135,7 @@
                     return
             else:
                 self.again()
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.cut_off(error.status, str(error).encode())
             return
         # What follows an open request waits in the buffer; a full one stops the reading.
@@ -196,7 +196,7 @@
                 ask.last = self.last
                 self.open = self.taking = True
                 number = self.service.arrive(ask, self.reply)
-            except Unacceptable as error:
+            except InvalidRequestError as error:
                 self.open = False
                 self.respond(400, str(error).encode())
             else:
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -7,7 +7,7 @@
 from saltcart.core.service import Service
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire.control import next_call, statsd
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 CONNECTIONS = 24  # beyond these the one that has been silent longest makes way
 FIGURES = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
@@ -22,7 +22,7 @@
         try:
             call = next_call(self.buffer)
             answer = None if call is None else self.answer(call)
-        except Malformed as error:
+        except MalformedMessageError as error:
             answer = f"ERR {error}\n"
         if answer is not None:
             self.listener.leave(self)
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from saltcart.core.ports import Ask
-from saltcart.core.service import Service, Unacceptable
+from saltcart.core.service import Service, InvalidRequestError
 
 MAX_BODY = 2048
 # What no request can say, unless the settings' longest deadline allows more: milliseconds that a caller waits
@@ -33,17 +33,17 @@
     text = headers.get(name)
     if text is None:
         if default is None:
-            raise Unacceptable(f"{name.decode()} is missing")
+            raise InvalidRequestError(f"{name.decode()} is missing")
         return default
     if not form.match(text) or not low <= float(text) <= high:
-        raise Unacceptable(f"{name.decode()} is not a number in its range")
+        raise InvalidRequestError(f"{name.decode()} is not a number in its range")
     return float(text)
 
 
 def name(text: bytes) -> str:
     """A class or tenant as the settings write it, whatever characters a customer puts into names."""
     if len(text) > LONGEST_NAME:
-        raise Unacceptable("class or account is no name")
+        raise InvalidRequestError("class or account is no name")
     try:
         return text.decode()
     except UnicodeDecodeError:  # a sender that writes its fields in the older way
@@ -51,24 +51,25 @@
 
 
 def read_ask(path: bytes, headers: Mapping[bytes, bytes], body: bytes, service: Service) -> Ask:
-    """A request as the core takes it, by the core's clock; ``Unacceptable`` names the field that is wrong.
+    """Build the core's request from header fields; times are by the core's clock.
 
-    Every figure is held to its range: one that is not would be served on terms that no request has.
+    ``InvalidRequestError`` names the field that is wrong.  Every figure is held to its range: one outside it
+    would be served on terms that no request has.
     """
     if len(body) > MAX_BODY:
-        raise Unacceptable("the body is too long")
+        raise InvalidRequestError("the body is too long")
     ident = headers.get(b"request-id", b"")
     if not IDENT.match(ident):
-        raise Unacceptable("request-id is not 16 hex digits")
+        raise InvalidRequestError("request-id is not 16 hex digits")
     part = path.partition(b"?")[0].rpartition(b"/")[2]
     klass = name(ESCAPE.sub(lambda found: bytes([int(found[1], 16)]), part))
     account = name(headers.get(b"account", b""))
     key = headers.get(b"once-key")
     if key is not None and not KEY.match(key):
-        raise Unacceptable("once-key is malformed")
+        raise InvalidRequestError("once-key is malformed")
     subject = headers.get(b"resource-key")
     if subject is not None and not PRINTABLE.match(subject):
-        raise Unacceptable("resource-key is malformed")
+        raise InvalidRequestError("resource-key is malformed")
     longest = max(LONGEST, 2000 * service.longest)
     budget = number(headers, b"budget-ms", math.nan, 0, longest)
     cost = number(headers, b"work-estimate", math.nan, 0, longest)
--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -16,7 +16,7 @@
 from saltcart.lab.dependency import ModelDependency
 from saltcart.net.base import Connection
 from saltcart.wire import ajp
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 from saltcart.wire.lines import LineReader, number
 
 
@@ -123,7 +123,7 @@
                                 int(named[b"budget-ms"]),
                             )
                         )
-        except Malformed:
+        except MalformedMessageError:
             self.abort()
 
     def answer(self, asked: Asked, act: Act) -> bytes:
@@ -150,7 +150,7 @@
                     self.take(Asked(words[1], b"", body, number(words, 2)))
                 else:
                     self.owner.given_up.append(words[1])
-        except Malformed:
+        except MalformedMessageError:
             self.abort()
 
     def answer(self, asked: Asked, act: Act) -> bytes:
--- a/saltcart/locality/instance.py
+++ b/saltcart/locality/instance.py
@@ -67,12 +67,12 @@
     # ---- what others say ----------------------------------------------------------------------
 
     def given(self, now: float, sender: Record, topic: str, data: bytes) -> None:
-        """``Malformed`` for a report that is none."""
+        """``MalformedMessageError`` for a report that is none."""
         if topic == REPORT and sender.zone == self.zone:
             self.collector.take(now, sender.name, read_report(data))
 
     def posted(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
-        """``Malformed`` for a post that is none."""
+        """``MalformedMessageError`` for a post that is none."""
         if topic == PLAN:
             plan = read_plan(data, len(self.sites.zones))
             if (number, by) > (self.number, self.by):
--- a/saltcart/locality/plan.py
+++ b/saltcart/locality/plan.py
@@ -21,7 +21,7 @@
 from saltcart.locality.settings import LocalitySettings
 from saltcart.locality.sites import Sites
 from saltcart.schema import unpack
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 WHOLE = 1000  # shares are whole thousandths, so that all come to the same ones
 FELL = 100  # thousandths less than was trusted: a fall, not chance
@@ -94,7 +94,7 @@
 
 
 def read_plan(data: bytes, zones: int) -> Plan:
-    """``Malformed`` for what is no plan of so many zones."""
+    """``MalformedMessageError`` for what is no plan of so many zones."""
     plan = unpack(_decoder, data, "plan")
     for origin, row in plan.rows.items():
         if (
@@ -102,9 +102,9 @@
             or any(not 0 <= t < zones or s < 0 for t, s in row.items())
             or (sum(row.values()) > WHOLE)
         ):
-            raise Malformed(f"a plan with a row amiss: zone {origin}")
+            raise MalformedMessageError(f"a plan with a row amiss: zone {origin}")
     if any(not (0 <= t.origin < zones and 0 <= t.target < zones) for t in plan.trust):
-        raise Malformed("a plan with trust in no zone")
+        raise MalformedMessageError("a plan with trust in no zone")
     return plan
 
 
--- a/saltcart/member/messages.py
+++ b/saltcart/member/messages.py
@@ -10,7 +10,7 @@
 from saltcart.member.board import MOST_DATA, Post
 from saltcart.member.record import Record, State
 from saltcart.schema import unpack
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 WIRE = 1
 MOST_BYTES = 1200  # of a datagram: under what any network carries in one piece
@@ -90,18 +90,18 @@
 
 
 def decode(data: bytes) -> Packet:
-    """``Malformed`` says what is wrong with a datagram."""
+    """``MalformedMessageError`` says what is wrong with a datagram."""
     packet = unpack(_decoder, data, "packet")
     if packet.wire != WIRE:
-        raise Malformed(f"wire version {packet.wire}")
+        raise MalformedMessageError(f"wire version {packet.wire}")
     for record in (packet.sender, *packet.news):
         if (
             not 0 < len(record.name) <= NAME
             or not 0 <= record.state <= State.LEFT
             or not (0 < record.incarnation < 1 << 62)
         ):
-            raise Malformed(f"record of {record.name[:NAME]!r}")
+            raise MalformedMessageError(f"record of {record.name[:NAME]!r}")
     for post in packet.posts:
         if not 0 < len(post.topic) <= NAME or len(post.data) > MOST_DATA or not 0 < post.number < 1 << 62:
-            raise Malformed(f"post on {post.topic[:NAME]!r}")
+            raise MalformedMessageError(f"post on {post.topic[:NAME]!r}")
     return packet
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -17,7 +17,7 @@
 from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
 from saltcart.wire import ajp
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 CONNECT_WAIT, PING_WAIT = 1.0, 0.5
 MAX_RESULT = 4096
@@ -26,7 +26,7 @@
 REST = 2.0  # a member that refused a connection is left alone this long, if others are there
 
 
-class NeverRan(Exception):
+class NeverStartedError(Exception):
     """The member proved that it did not run the request."""
 
 
@@ -61,8 +61,8 @@
                 elif self.answer is not None and not self.answer.done():
                     self.answer.set_result(message)
                 else:
-                    raise Malformed("an answer to nothing")
-        except Malformed:
+                    raise MalformedMessageError("an answer to nothing")
+        except MalformedMessageError:
             self.close()
 
     def closed(self) -> None:
@@ -171,7 +171,7 @@
             try:
                 response = await self._forward(member, ident, klass, account, body, once, until)
                 good = response.status == 200
-            except NeverRan:
+            except NeverStartedError:
                 refused = True
                 continue
             except OSError as error:
@@ -255,5 +255,5 @@
         except (OSError, TimeoutError) as error:
             member.rests_until = loop.time() + REST
             self.log("member-refused", member=member.host, error=str(error))
-            raise NeverRan from None  # no byte of the request was sent
+            raise NeverStartedError from None  # no byte of the request was sent
         return made
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -10,7 +10,7 @@
 from saltcart.net.alive import Kept
 from saltcart.net.base import Connection, address
 from saltcart.wire import http1
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 EVERY, WAIT, RETRY = 0.9, 0.7, 0.2
 
@@ -24,7 +24,7 @@
     def received(self) -> None:
         try:
             response = self.parser.next(self.buffer)
-        except Malformed:
+        except MalformedMessageError:
             self.close()
             return
         if response is not None and not self.answer.done():
--- a/saltcart/net/boarded.py
+++ b/saltcart/net/boarded.py
@@ -9,7 +9,7 @@
 from saltcart.member.record import Record
 from saltcart.net.alive import Turns
 from saltcart.net.gossip import Gossip
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 TICK = 0.05  # seconds; what is due is decided by the decisions' own intervals
 
@@ -36,11 +36,11 @@
         raise NotImplementedError
 
     def heard(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
-        """A newer post; ``Malformed`` for one that is none of its topic."""
+        """A newer post; ``MalformedMessageError`` for one that is none of its topic."""
         raise NotImplementedError
 
     def given(self, now: float, sender: Record, topic: str, data: bytes) -> None:
-        """Something for this instance alone; ``Malformed`` as well."""
+        """Something for this instance alone; ``MalformedMessageError`` as well."""
         raise NotImplementedError
 
     # ---- the decisions' port ------------------------------------------------------------------
@@ -59,11 +59,11 @@
     def on_post(self, post: Post) -> None:
         try:
             self.heard(self.loop.time(), post.topic, post.number, post.by, post.data)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.log("board-malformed", sender=post.by, topic=post.topic, error=str(error))
 
     def on_given(self, sender: Record, topic: str, data: bytes) -> None:
         try:
             self.given(self.loop.time(), sender, topic, data)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.log("board-malformed", sender=sender.name, topic=topic, error=str(error))
--- a/saltcart/net/gossip.py
+++ b/saltcart/net/gossip.py
@@ -15,7 +15,7 @@
 from saltcart.member.settings import LOOPBACK, MemberSettings
 from saltcart.member.view import Change
 from saltcart.net.base import address
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 if TYPE_CHECKING:
     from saltcart.net.boarded import Boarded
@@ -80,9 +80,9 @@
             return
         try:
             if len(data) > MOST_DATAGRAM:
-                raise Malformed("datagram too long")
+                raise MalformedMessageError("datagram too long")
             packet = messages.decode(data)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.malformed += 1
             if self.malformed <= TAKEN:
                 self.log("member-malformed", peer=str(addr), error=str(error))
--- a/saltcart/net/handover.py
+++ b/saltcart/net/handover.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 from saltcart.wire.handover import MAX_PACKET, Packet, decode, encode
 
 MAX_PATH = 100  # a longer one does not fit a Unix address
@@ -91,7 +91,7 @@
             return
         try:
             self.received(decode(data), fds[0] if fds else None)
-        except Malformed:
+        except MalformedMessageError:
             if fds:
                 os.close(fds[0])
             self.close()
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -14,7 +14,7 @@
 from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
 from saltcart.wire import index as wire
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 # Only SHED and NOBODY prove that the call never ran, and a connection that was never made.
 ENDS = {
@@ -63,7 +63,7 @@
                 # A second copy, or a reply to what was given up or never asked, stands for nothing.
                 if self.call is not None and reply.ident == self.call.ident:
                     self.client.ended(self.call, ENDS[reply.end], reply.body)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.spoilt(str(error))
         else:
             if self.parser.partial(self.buffer):  # a length that does not fit: what is missing never comes
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -8,7 +8,7 @@
 from saltcart.interface import Outcome
 from saltcart.net.base import Link, LinkConnection, address
 from saltcart.wire import pool as wire
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 # A link on which nothing is heard for this long, though it is polled, is of no use: whoever was there has
 # gone without a word.  Counted in turns of ``TURN`` at most, so that a pause of the machine is no silence.
@@ -63,7 +63,7 @@
                     self.send(message)
                 else:
                     self.link.apply(message)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.link.log("pool-malformed", error=str(error))
             self.link.session.lost()
             self.abort()
--- a/saltcart/schema.py
+++ b/saltcart/schema.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from saltcart.settings import WireError
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 T = TypeVar("T")
 
@@ -30,8 +30,8 @@
 
 
 def unpack(decoder: msgspec.msgpack.Decoder[T], data: bytes, what: str) -> T:
-    """A peer's message; ``Malformed`` says that it is no ``what``, and why."""
+    """A peer's message; ``MalformedMessageError`` says that it is no ``what``, and why."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise Malformed(f"not a {what}: {error}") from None
+        raise MalformedMessageError(f"not a {what}: {error}") from None
--- a/saltcart/succession.py
+++ b/saltcart/succession.py
@@ -24,7 +24,7 @@
 from saltcart.net.index import IndexClient
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import handover as wire
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 ANSWER_WAIT = 4.0  # an old process that says nothing for this long is not waited for: its keys are lost
 LOOK = 0.02  # connections that came or became free meanwhile are passed this often
@@ -125,7 +125,7 @@
                     while not self.fronts:
                         await asyncio.sleep(LOOK)
             await self.fronts[str(f.get("front"))].attach(sock, packet.data, f.get("rests") is True, age)
-        except (OSError, KeyError, TimeoutError, Malformed) as error:
+        except (OSError, KeyError, TimeoutError, MalformedMessageError) as error:
             sock.close()
             self.log("connection-lost", error=repr(error))
 
@@ -158,7 +158,7 @@
         if fd is not None:
             os.close(fd)  # none is wanted from this side
         if packet.say != "take" or self.after is not None:
-            raise Malformed("handover: not now")
+            raise MalformedMessageError("handover: not now")
         self.after, self.load = link, None
         self.doorway.close()
         if self.announcer is not None:
--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 MAX_PACKET, HEADER = 8192, 4
 MAX_CHUNK = MAX_PACKET - HEADER - 4  # of a SEND_BODY_CHUNK: code, length and a closing zero
@@ -108,7 +108,7 @@
     def raw(self, count: int) -> bytes:
         data = self.data[self.at : self.at + count]
         if len(data) != count:
-            raise Malformed("payload too short")
+            raise MalformedMessageError("payload too short")
         self.at += count
         return data
 
@@ -125,7 +125,7 @@
             return b""
         data = self.raw(length)
         if self.byte() != 0 or b"\0" in data or b"\r" in data or b"\n" in data:
-            raise Malformed("string")
+            raise MalformedMessageError("string")
         return data
 
     def name(self, coded: tuple[bytes, ...]) -> bytes:
@@ -134,7 +134,7 @@
         if word >> 8 != 0xA0:
             return self.text(word).lower()
         if not 0 < word & 0xFF <= len(coded):
-            raise Malformed("header code")
+            raise MalformedMessageError("header code")
         return coded[(word & 0xFF) - 1]
 
 
@@ -159,7 +159,7 @@
     head = buffer.peek(HEADER)
     length = int.from_bytes(head[2:], "big")
     if head[:2] != magic or length > MAX_PACKET - HEADER:
-        raise Malformed("packet header")
+        raise MalformedMessageError("packet header")
     if len(buffer) < HEADER + length:
         return None
     buffer.consume(HEADER)
@@ -202,7 +202,7 @@
 def read_forward(p: Payload) -> ForwardRequest:
     method = p.byte()
     if method != STORED_METHOD and not 0 < method <= len(METHODS):
-        raise Malformed("method")
+        raise MalformedMessageError("method")
     p.text()  # protocol
     uri = p.text()
     for _ in range(3):  # remote address, remote host, server name
@@ -214,7 +214,7 @@
         name, value = p.name(REQUEST_HEADERS), p.text()
         if name in headers:
             if name == b"content-length":
-                raise Malformed("repeated content-length")
+                raise MalformedMessageError("repeated content-length")
             value = headers[name] + b", " + value
         headers[name] = value
     attributes: dict[str, bytes] = {}
@@ -226,10 +226,10 @@
         elif code in ATTRIBUTES:
             attributes[ATTRIBUTES[code]] = p.text()
         else:
-            raise Malformed("attribute")
+            raise MalformedMessageError("attribute")
     named = attributes.get("stored_method", b"") if method == STORED_METHOD else METHODS[method - 1]
     if not named or not uri.startswith(b"/"):
-        raise Malformed("method or uri")
+        raise MalformedMessageError("method or uri")
     return ForwardRequest(named, uri, headers, attributes)
 
 
@@ -248,7 +248,7 @@
             if self.request is not None:
                 message = self._body(payload)
             elif not payload:
-                raise Malformed("empty packet")
+                raise MalformedMessageError("empty packet")
             elif payload[0] == CPING:
                 return Ping()
             elif payload[0] in (SHUTDOWN, PING):
@@ -256,7 +256,7 @@
             elif payload[0] == FORWARD_REQUEST:
                 message = self._forward(Payload(payload[1:]))
             else:
-                raise Malformed("prefix code")
+                raise MalformedMessageError("prefix code")
             if message is not None:
                 return message
         return None
@@ -264,14 +264,14 @@
     def _forward(self, p: Payload) -> ForwardRequest | MoreBody | None:
         request = read_forward(p)
         if self.secret and not hmac.compare_digest(request.attributes.get("secret", b""), self.secret):
-            raise Malformed("secret", 403)
+            raise MalformedMessageError("secret", 403)
         if b"content-length" in request.headers and b"transfer-encoding" in request.headers:
-            raise Malformed("two lengths at once")  # they may hide a second request in the body
+            raise MalformedMessageError("two lengths at once")  # they may hide a second request in the body
         length = request.headers.get(b"content-length", b"0")
         if not length.isdigit() or len(length) > 9:
-            raise Malformed("content-length")
+            raise MalformedMessageError("content-length")
         if int(length) > self.max_body:
-            raise Malformed("body too long", 413)
+            raise MalformedMessageError("body too long", 413)
         untold = b"content-length" not in request.headers and b"transfer-encoding" in request.headers
         if not untold and not int(length):
             return request
@@ -286,16 +286,16 @@
             p = Payload(payload)
             data = p.raw(p.integer())
             if p.at != len(payload):
-                raise Malformed("body packet")
+                raise MalformedMessageError("body packet")
         self.body += data
         if len(self.body) > (self.max_body if self.length < 0 else self.length):
-            raise Malformed("body too long", 413)
+            raise MalformedMessageError("body too long", 413)
         if len(self.body) == self.length or (self.length < 0 and not data):
             request, self.request = self.request, None
             request.body = bytes(self.body)
             return request
         if not data:
-            raise Malformed("body cut short")
+            raise MalformedMessageError("body cut short")
         left = self.max_body if self.length < 0 else self.length - len(self.body)
         return MoreBody(get_body_chunk(left))
 
@@ -415,13 +415,13 @@
             elif code == SEND_BODY_CHUNK and self.head is not None:
                 self.body += p.raw(p.integer())  # the closing zero is optional
                 if len(self.body) > self.max_body:
-                    raise Malformed("body too long")
+                    raise MalformedMessageError("body too long")
             elif code == END_RESPONSE and self.head is not None:
                 (status, headers), self.head = self.head, None
                 told = headers.get(b"content-length")
                 if told is not None and told != b"%d" % len(self.body):
-                    raise Malformed("body cut short")  # an answer that is not whole is none
+                    raise MalformedMessageError("body cut short")  # an answer that is not whole is none
                 return Response(status, headers, bytes(self.body), p.byte() == 1)
             else:
-                raise Malformed("prefix code")
+                raise MalformedMessageError("prefix code")
         return None
--- a/saltcart/wire/buffer.py
+++ b/saltcart/wire/buffer.py
@@ -6,7 +6,7 @@
 KEPT = 8192  # bytes of room that an empty buffer keeps
 
 
-class Overflow(Exception):
+class BufferOverflowError(Exception):
     """More unread bytes than the connection may hold."""
 
 
@@ -27,7 +27,7 @@
             self.compact()
         if len(self.data) - self.end < least:
             if len(self) + least > self.limit:
-                raise Overflow
+                raise BufferOverflowError
             self.data.extend(bytes(min(self.limit, 2 * len(self.data) + least) - len(self.data)))
         return memoryview(self.data)[self.end :]
 
--- a/saltcart/wire/control.py
+++ b/saltcart/wire/control.py
@@ -3,21 +3,24 @@
 from __future__ import annotations
 
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 MAX_LINE = 256
 
 
 def next_call(buffer: Buffer) -> str | None:
-    """The line without its end, or None while it is not whole; ``Malformed`` where it never will be."""
+    """The line without its end, or None while it is not whole.
+
+    ``MalformedMessageError`` where it never will be.
+    """
     at = buffer.find(b"\n")
     if at > MAX_LINE or (at < 0 and len(buffer) > MAX_LINE):
-        raise Malformed("line too long")
+        raise MalformedMessageError("line too long")
     if at < 0:
         return None
     line = buffer.take(at + 1).rstrip(b"\r\n")
     if not line.isascii() or not line.decode("ascii").isprintable():
-        raise Malformed("not a line of text")
+        raise MalformedMessageError("not a line of text")
     return line.decode("ascii").strip()
 
 
--- a/saltcart/wire/errors.py
+++ b/saltcart/wire/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """``status`` is the answer it gets where the protocol has one; the connection ends either way."""
 
     def __init__(self, text: str, status: int = 400) -> None:
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -8,7 +8,7 @@
 
 from saltcart.core.keys import Entry
 from saltcart.interface import Beside
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 VERSION = 1
 MAX_PACKET = 65536
@@ -32,9 +32,10 @@
         fields = orjson.loads(head)
         version, say = fields.pop("v"), fields.pop("say")
     except (ValueError, KeyError, AttributeError, TypeError) as error:
-        raise Malformed(f"handover: {error!r}") from None
+        raise MalformedMessageError(f"handover: {error!r}") from None
     if version != VERSION or not isinstance(say, str):
-        raise Malformed(f"handover: version {version!r}")  # the other process is of a release too far away
+        # The other process is of a release too far away.
+        raise MalformedMessageError(f"handover: version {version!r}")
     return Packet(say, fields, data)
 
 
@@ -72,7 +73,7 @@
             packet.data if f["good"] else None,
         )
     except (KeyError, AttributeError, TypeError, ValueError) as error:
-        raise Malformed(f"handover: {error!r}") from None
+        raise MalformedMessageError(f"handover: {error!r}") from None
 
 
 def of_load(load: Beside, connections: int) -> Packet:
@@ -90,5 +91,5 @@
 def real(value: object) -> float:
     """A figure of nought or more; what another release may send must not upset the module."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < 1e12:
-        raise Malformed("handover: not a figure")
+        raise MalformedMessageError("handover: not a figure")
     return value
--- a/saltcart/wire/http1.py
+++ b/saltcart/wire/http1.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 MAX_HEAD, MAX_HEADERS = 8192, 64
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
@@ -59,16 +59,16 @@
 def read_headers(lines: list[bytes]) -> dict[bytes, bytes]:
     """Header fields by lower-case name; what repeats is joined by a comma, except where that would lie."""
     if len(lines) > MAX_HEADERS:
-        raise Malformed("too many header fields", 431)
+        raise MalformedMessageError("too many header fields", 431)
     headers: dict[bytes, bytes] = {}
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not TOKEN.match(name) or b"\r" in value or b"\n" in value or b"\0" in value:
-            raise Malformed("header field")
+            raise MalformedMessageError("header field")
         name, value = name.lower(), value.strip(b" \t")
         if name in headers:
             if name in (b"content-length", b"host", b"transfer-encoding"):
-                raise Malformed(f"repeated {name.decode()}")
+                raise MalformedMessageError(f"repeated {name.decode()}")
             value = headers[name] + b", " + value
         headers[name] = value
     return headers
@@ -82,12 +82,12 @@
 def body_length(headers: dict[bytes, bytes], limit: int) -> int:
     if b"transfer-encoding" in headers:
         # Both lengths at once may hide a second request in the first one's body (RFC 9112, 6.1).
-        raise Malformed("transfer coding", 400 if b"content-length" in headers else 501)
+        raise MalformedMessageError("transfer coding", 400 if b"content-length" in headers else 501)
     text = headers.get(b"content-length", b"0")
     if not DIGITS.match(text):
-        raise Malformed("content-length")
+        raise MalformedMessageError("content-length")
     if int(text) > limit:
-        raise Malformed("body too long", 413)
+        raise MalformedMessageError("body too long", 413)
     return int(text)
 
 
@@ -103,7 +103,7 @@
         if self.head is None:
             at = buffer.find(b"\r\n\r\n", self.searched)
             if at > MAX_HEAD or (at < 0 and len(buffer) > MAX_HEAD):
-                raise Malformed("head too long", 431)
+                raise MalformedMessageError("head too long", 431)
             if at < 0:
                 self.searched = max(0, len(buffer) - 3)
                 return None
@@ -123,7 +123,10 @@
     """The server's half."""
 
     def next(self, buffer: Buffer) -> Request | None:
-        """The next whole request, or None while there is none; ``Malformed`` ends the connection."""
+        """The next whole request, or None while there is none.
+
+        ``MalformedMessageError`` ends the connection.
+        """
         while self.head is None and buffer.peek(2) == b"\r\n":  # empty lines before a request are ignored
             buffer.consume(2)
         message = self._message(buffer)
@@ -131,9 +134,9 @@
             return None
         first, headers, body = message
         if len(first) != 3 or not TOKEN.match(first[0]) or not first[1].startswith(b"/"):
-            raise Malformed("request line")
+            raise MalformedMessageError("request line")
         if first[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-            raise Malformed("version", 505)
+            raise MalformedMessageError("version", 505)
         return Request(first[0], first[1], headers, body, keeps_alive(first[2], headers))
 
 
@@ -146,7 +149,7 @@
             return None
         first, headers, body = message
         if len(first) < 2 or first[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not STATUS.match(first[1]):
-            raise Malformed("status line")
+            raise MalformedMessageError("status line")
         return Response(int(first[1]), headers, body, keeps_alive(first[0], headers))
 
 
--- a/saltcart/wire/index.py
+++ b/saltcart/wire/index.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 from saltcart.wire.lines import LineReader, number
 
 ENDS = (b"HIT", b"SHED", b"BROKEN", b"SLOW", b"NOBODY")
@@ -36,7 +36,7 @@
     @staticmethod
     def _length(words: list[bytes]) -> int | None:
         if len(words) < 2 or words[1] not in ENDS:
-            raise Malformed("no such reply")
+            raise MalformedMessageError("no such reply")
         return number(words, 2) if words[1] == b"HIT" else None
 
     def partial(self, buffer: Buffer) -> bool:
--- a/saltcart/wire/lines.py
+++ b/saltcart/wire/lines.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 MAX_LINE, MAX_BODY = 1024, 16384
 
 
 def number(words: list[bytes], at: int) -> int:
     if len(words) <= at or not words[at].isdigit() or len(words[at]) > 18:
-        raise Malformed(f"{words[0][:20]!r}: field {at} is not a number")
+        raise MalformedMessageError(f"{words[0][:20]!r}: field {at} is not a number")
     return int(words[at])
 
 
@@ -38,20 +38,20 @@
             try:
                 line = buffer.line(MAX_LINE)
             except ValueError as error:
-                raise Malformed(str(error)) from None
+                raise MalformedMessageError(str(error)) from None
             if line is None:
                 return None
             self.words = line.split(b" ")
             self.length = self.length_of(self.words)
             if self.length is not None and self.length > MAX_BODY:
-                raise Malformed("body too long")
+                raise MalformedMessageError("body too long")
         body = b""
         if self.length is not None:
             if len(buffer) < self.length + 2:
                 return None
             body = buffer.take(self.length)
             if buffer.take(2) != b"\r\n":
-                raise Malformed("body without its end")
+                raise MalformedMessageError("body without its end")
         words, self.words = self.words, None
         return words, body
 
--- a/saltcart/wire/pool.py
+++ b/saltcart/wire/pool.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 from saltcart.wire.lines import LineReader, number
 
 
@@ -155,13 +155,13 @@
         try:
             return float(words[at])
         except (IndexError, ValueError):
-            raise Malformed(f"{words[0][:20]!r}: field {at} is not a number") from None
+            raise MalformedMessageError(f"{words[0][:20]!r}: field {at} is not a number") from None
 
     def _message(self, words: list[bytes], body: bytes) -> Iterator[Message | bytes]:
         verb = words[0]
         if verb in (b"finished", b"blocked"):
             if len(words) != (6 if verb == b"finished" else 4):
-                raise Malformed(f"{verb[:20]!r}: fields")
+                raise MalformedMessageError(f"{verb[:20]!r}: fields")
             notice, ident = number(words, 1), words[2]
             if notice <= self.last:  # applied already: the replay of a new link overlaps what was read
                 return
@@ -185,19 +185,19 @@
             yield Polled(tuple(self._real(words, n) for n in range(2, len(words))))
         elif verb == b"bound":
             if len(words) < 2 or words[1] not in (b"EMPTY", b"LOADED"):
-                raise Malformed("bound: no such state")
+                raise MalformedMessageError("bound: no such state")
             self.mark += 1
             self.barrier = self.mark
             yield Bound(words[1] == b"LOADED", self._real(words, 2) / 1000)
             yield b"poll %d\r\n" % self.mark
         elif verb == b"unknown":
             if len(words) < 3:
-                raise Malformed("unknown: field missing")
+                raise MalformedMessageError("unknown: field missing")
             yield Unknown(words[1], words[2])
         elif verb == b"chatter":
             pass  # its number counts for nothing: taken as read, it could hide a notice under the same one
         else:
-            raise Malformed(f"{verb[:20]!r}: no such message")
+            raise MalformedMessageError(f"{verb[:20]!r}: no such message")
 
     def _again(self) -> Iterator[Message | bytes]:
         """The commands that the old link may have swallowed; a run that must not start twice is given up."""
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 from saltcart.net.listener import Listener
 from saltcart.wire import control
 from saltcart.wire.buffer import Buffer
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 from tests.standins import HttpClient, Pool, raw_config, running, until
 
 
@@ -23,17 +23,17 @@
         (b"check\r\nmore", "check"),
         (b"\n", ""),
         (b" drain-on \r\n", "drain-on"),
-        (b"x" * 257, Malformed),
-        (b"x" * 257 + b"\n", Malformed),
-        (b"\x00\n", Malformed),
-        (b"\xff\n", Malformed),
+        (b"x" * 257, MalformedMessageError),
+        (b"x" * 257 + b"\n", MalformedMessageError),
+        (b"\x00\n", MalformedMessageError),
+        (b"\xff\n", MalformedMessageError),
     ],
 )
 def test_a_call_is_one_line(data: bytes, found: object) -> None:
     buffer = Buffer()
     buffer.write(data)
-    if found is Malformed:
-        with pytest.raises(Malformed):
+    if found is MalformedMessageError:
+        with pytest.raises(MalformedMessageError):
             control.next_call(buffer)
     else:
         assert control.next_call(buffer) == found
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 
 from saltcart import interface as i
 from saltcart.core.keys import KeyTable
-from saltcart.core.service import Unacceptable
+from saltcart.core.service import InvalidRequestError
 from saltcart.core.timers import Timers
 from tests.fakes import SETTINGS, World
 
@@ -199,7 +199,7 @@
 def test_what_breaks_the_protocol_is_not_taken(fields: dict[str, object]) -> None:
     w = World()
     w.arrive(1)
-    with pytest.raises(Unacceptable):
+    with pytest.raises(InvalidRequestError):
         w.arrive(**{"number": 2, **fields})  # type: ignore[arg-type]
     assert len(w.service.requests) == 1
 
@@ -267,7 +267,7 @@
     w.arrive(1)
     if over:
         w.end(1)
-    with pytest.raises(Unacceptable, match=named):
+    with pytest.raises(InvalidRequestError, match=named):
         w.arrive(**{"number": 2, **again})
     assert w.spawned() == [b"%016x" % 1]
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 from saltcart.lab import subsets
 from saltcart.member.record import Record
 from saltcart.settings import WireError
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=6), max_size=40, unique=True)
 
@@ -74,7 +74,7 @@
 
 def test_what_is_no_part_is_malformed_and_two_thousand_names_fit() -> None:
     for wrong in (b"\xc1", encode_part({"a": 5}, part_of("a"))):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             read_part(wrong, 2)
     table = follow({}, [f"instance-{n}" for n in range(2000)], 25)
     assert max(len(encode_part(table, part)) for part in range(PARTS)) <= 900
@@ -285,7 +285,7 @@
     one = town.instances["i00"]
     assert one.own == preferred("i00", 2) and one.subset
     for topic in (f"{MEMBERS}0", f"{INSTANCES}3", f"{SUM}1"):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             one.posted(1.0, topic, b"\xc1")
     one.posted(1.0, "fleet/members/x", b"\xc1")  # no topic of ours
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -36,7 +36,7 @@
 from saltcart.locality.sites import Backend, Sites
 from saltcart.member.record import Record
 from saltcart.settings import WireError
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 CONF = LocalitySettings(upstream="work")
 
@@ -320,7 +320,7 @@
         encode(Plan(rows={A: {7: 1}})),
         encode(Plan(trust=[Trust(0, 9)])),
     ):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             read_plan(wrong, 3)
 
 
@@ -707,9 +707,9 @@
     summary = Summary(A, 2, 7.0, {B: 0.25}, {A: (3.0, 1.0)}, 9.0, {0: 50})
     assert read_report(encode_report(report)) == report and read_summary(encode_report(summary)) == summary
     for reader in (read_report, read_summary):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             reader(b"\xc1")
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         Town(1).instances["i0"].posted(1.0, ZONE + "a", 1, "x", b"\xc1")
 
 
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -20,7 +20,7 @@
 from saltcart.member.suspicion import LocalHealth, Suspicion
 from saltcart.member.view import Roster, Rotation, View
 from saltcart.settings import WireError
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 
 CONF = MemberSettings("127.0.0.1:0", "test")
 RECORDS = st.builds(
@@ -386,7 +386,7 @@
 
 @given(st.binary(max_size=200))
 def test_no_bytes_make_it_stumble(data: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         m.decode(data)
 
 
@@ -397,7 +397,7 @@
     member = Net(1).members["127.0.0.1:1"]
     try:
         packet = m.decode(bytes(raw))
-    except Malformed:
+    except MalformedMessageError:
         return
     member.received(101.0, packet)
     member.tick(102.0)
@@ -414,7 +414,7 @@
     ],
 )
 def test_what_no_member_says_is_malformed(packet: m.Packet) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         m.decode(m.encode(packet))
 
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -60,11 +60,11 @@
 
 
 def test_another_body_under_the_same_key_is_no_repeat() -> None:
-    from saltcart.core.service import Unacceptable
+    from saltcart.core.service import InvalidRequestError
 
     w, _ = world()
     w.arrive(1)
-    with pytest.raises(Unacceptable, match="another body"):
+    with pytest.raises(InvalidRequestError, match="another body"):
         w.arrive(2, body=b"other")
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -18,7 +18,7 @@
 from saltcart.interface import Beside, Outcome
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import handover as wire
-from saltcart.wire.errors import Malformed
+from saltcart.wire.errors import MalformedMessageError
 from tests.fakes import World
 from tests.standins import SETTINGS, AjpClient, HttpClient, Pool, fields, ident, raw_config, running, until
 from tests.test_sockets import logged, start
@@ -40,7 +40,7 @@
     [b"", b"{", b"[]\n", b"5\n", b'{"v":2,"say":"take"}\n', b'{"v":1}\n', b'{"v":1,"say":4}\n', b"\xff\n"],
 )
 def test_a_packet_that_cannot_be_read_is_malformed(raw: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         wire.decode(raw)
 
 
@@ -49,7 +49,7 @@
     packet = wire.of_entry(ENTRY, False)
     for wrong in ({k: v for k, v in packet.fields.items() if k != name}, {**packet.fields, name: object()}):
         if name != "good" or name not in wrong:
-            with pytest.raises(Malformed):
+            with pytest.raises(MalformedMessageError):
                 wire.to_entry(wire.Packet("entry", wrong))
 
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_a_load_out_of_its_form_is_malformed(name: str, value: object) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         wire.to_load(wire.Packet("beside", {**wire.of_load(Beside(), 0).fields, name: value}))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings, strategies as st
 
 from saltcart.wire import ajp, http1, index, pool
-from saltcart.wire.buffer import Buffer, Overflow
-from saltcart.wire.errors import Malformed
+from saltcart.wire.buffer import Buffer, BufferOverflowError
+from saltcart.wire.errors import MalformedMessageError
 
 
 def feed(read: Callable[[Buffer], Any], data: bytes, step: int) -> list[Any]:
@@ -21,7 +21,7 @@
             buffer.write(data[at : at + step])
             while (message := read(buffer)) is not None:
                 out.append(message)
-    except Malformed as error:
+    except MalformedMessageError as error:
         out.append(error.status)
     return out
 
@@ -206,7 +206,7 @@
         for at in range(0, len(data), step):
             buffer.write(data[at : at + step])
             out += session.messages(buffer)
-    except Malformed as error:
+    except MalformedMessageError as error:
         out.append(error.status)
     assert out == expected
 
@@ -300,7 +300,7 @@
     assert buffer.take(1000) == b"a" * 1000
     buffer.compact()
     assert buffer.data is data and buffer.peek(20) == b"b" * 20 and buffer.start == 0
-    with pytest.raises(Overflow):
+    with pytest.raises(BufferOverflowError):
         buffer.write(b"c" * 3000)
 
 
