--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -13,9 +13,9 @@
 from saltcart.config import ConfigError
 from saltcart.core.service import Service
 from saltcart.deployment import Deployment, TenantConf, UpstreamConf, check, read_tenant, read_upstream
-from saltcart.settings import WireError
 from saltcart.interface import TenantSpec
 from saltcart.net.upstreams import Upstreams
+from saltcart.settings import WireError
 
 Named = TypeVar("Named", TenantConf, UpstreamConf)
 
--- a/saltcart/balance.py
+++ b/saltcart/balance.py
@@ -14,9 +14,40 @@
 from typing import Any
 
 from saltcart.interface import (
-    Abandoned, Action, Advise, Arrived, AtCall, Below, Beside, Call, CallEnded, Effect, Event, Fail, Finished,
-    Health, IdleClose, Keep, Leaving, Note, Outcome, Preemption, Release, Restarted, Run, Settings, Share,
-    Signal, SkipCall, Started, Stop, TenantSpec, Tenants, TurnAway, Wake, Woken,
+    Abandoned,
+    Action,
+    Advise,
+    Arrived,
+    AtCall,
+    Below,
+    Beside,
+    Call,
+    CallEnded,
+    Effect,
+    Event,
+    Fail,
+    Finished,
+    Health,
+    IdleClose,
+    Keep,
+    Leaving,
+    Note,
+    Outcome,
+    Preemption,
+    Release,
+    Restarted,
+    Run,
+    Settings,
+    Share,
+    Signal,
+    SkipCall,
+    Started,
+    Stop,
+    Tenants,
+    TenantSpec,
+    TurnAway,
+    Wake,
+    Woken,
 )
 
 GAIN_NOW, GAIN_BEFORE = 0.42, 0.1  # the paper's increments, after its Eq. 11
@@ -179,9 +210,11 @@
         self.count[HELD], self.held[r.k] = self.count[HELD] + 1, self.held[r.k] + 1
         self.memory += r.size
         if ev.repeat_of is not None and c.effect is Effect.KEYED:
-            return self.repeat(now, r, ev.repeat_of)
+            self.repeat(now, r, ev.repeat_of)
+            return
         if self.unwelcome(now, r, ev):
-            return self.end(r, refuse=True)
+            self.end(r, refuse=True)
+            return
         if c.effect is Effect.KEYED:
             span = c.window - ev.unread_for + s.answer_slack
             self.out.append(Keep(r.id, span))
@@ -224,7 +257,8 @@
         """A further try: share the first one's answer, or fail; never a second run."""
         r.ran = True
         if self.kept.get(of) is False or now >= self.stop_at or self.memory > 0.97 * self.s.memory_kb:
-            return self.end(r)
+            self.end(r)
+            return
         self.held[r.k] -= 1
         self.move(r, JOINED)
         self.out.append(Share(r.id))
--- a/saltcart/budget/desk.py
+++ b/saltcart/budget/desk.py
@@ -138,11 +138,13 @@
                 run.replies[part.call.dependency] = part.mark, part.reply
             run.parts = []
             if run.stage == len(run.plan.stage):
-                return self._finish(now, run)
+                self._finish(now, run)
+                return
             limits = self.judge.stage(now, run)
             if limits is None:
                 self.counts["unfit"] += 1
-                return self._end(now, run, Outcome.ERROR)
+                self._end(now, run, Outcome.ERROR)
+                return
             self._begin_stage(now, run, limits)
             if any(part.mark in OPEN for part in run.parts):
                 return
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -11,8 +11,8 @@
 from types import MappingProxyType
 from typing import Any
 
-from saltcart.settings import Fields, WireError, read_settings
 from saltcart.interface import Settings
+from saltcart.settings import Fields, WireError, read_settings
 
 PLACE = re.compile(r"([A-Za-z0-9.-]{1,253}):(\d{1,5})\Z")
 HEXADECIMAL = re.compile(r"[0-9a-fA-F]{1,64}\Z")
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -6,7 +6,7 @@
 from math import ceil
 
 from saltcart.core.ports import Answer, Verdict
-from saltcart.core.service import Service, InvalidRequestError
+from saltcart.core.service import InvalidRequestError, Service
 from saltcart.front.fields import read_ask
 from saltcart.interface import Entry
 from saltcart.net.listener import Listener, ServerConnection
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from saltcart.core.ports import Ask
-from saltcart.core.service import Service, InvalidRequestError
+from saltcart.core.service import InvalidRequestError, Service
 
 MAX_BODY = 2048
 # What no request can say, unless the settings' longest deadline allows more: milliseconds that a caller waits
--- a/saltcart/importer/apache.py
+++ b/saltcart/importer/apache.py
@@ -9,10 +9,10 @@
 from saltcart.deployment import MemberConf, UpstreamConf
 from saltcart.importer import Report, member, upstream
 
-SECTION = re.compile(r"<\s*Proxy\s+\"?balancer://([^\s\"/>]+)/?\"?\s*>\Z", re.I)
-END = re.compile(r"</\s*Proxy\s*>\Z", re.I)
-BALANCER = re.compile(r"balancer://([^\s/]+)/?\Z", re.I)
-URL = re.compile(r"ajp://(\[[^\]]+\]|[^\s:/]+)(?::(\d+))?(/.*)?\Z", re.I)
+SECTION = re.compile(r"<\s*Proxy\s+\"?balancer://([^\s\"/>]+)/?\"?\s*>\Z", re.IGNORECASE)
+END = re.compile(r"</\s*Proxy\s*>\Z", re.IGNORECASE)
+BALANCER = re.compile(r"balancer://([^\s/]+)/?\Z", re.IGNORECASE)
+URL = re.compile(r"ajp://(\[[^\]]+\]|[^\s:/]+)(?::(\d+))?(/.*)?\Z", re.IGNORECASE)
 OUT_OF_USE = "DSHEN"  # disabled, stopped, hot standby, in error, draining
 
 
--- a/saltcart/importer/modjk.py
+++ b/saltcart/importer/modjk.py
@@ -41,7 +41,8 @@
     def _line(self, number: int, line: str) -> None:
         found = LINE.match(line)
         if not found:
-            return self.report.add(self.file, number, f"not a setting: {line}")
+            self.report.add(self.file, number, f"not a setting: {line}")
+            return
         name, value = found[1], VARIABLE.sub(lambda v: self.variables.get(v[1], v[0]), found[2].strip())
         if VARIABLE.search(value):
             self.report.add(self.file, number, f"unknown variable: {value}")
@@ -110,17 +111,17 @@
     for name, line in workers.listed:
         s = workers.resolved(name)
         used.add(name)
-        members = [name]
+        members, named_at = [name], line
         if "type" in s and s["type"].value == "lb":
             lists = [s[key] for key in LISTS if key in s]
             members = [x for setting in lists for x in names(setting.value)]
-            line = lists[0].line if lists else line
+            named_at = lists[0].line if lists else line
         used.update(members)
-        found = [m for m in (workers.member(worker, line) for worker in members) if m is not None]
+        found = [m for m in (workers.member(worker, named_at) for worker in members) if m is not None]
         try:
             out.append(upstream(name, found))
         except ValueError as error:
-            report.add(file, line, str(error))
+            report.add(file, named_at, str(error))
     templates = {
         s["reference"].value.removeprefix("worker.") for s in workers.settings.values() if "reference" in s
     }
--- a/saltcart/locality/outliers.py
+++ b/saltcart/locality/outliers.py
@@ -170,8 +170,10 @@
         return usual_time(w.late for w in self.watched.values())
 
     def slowness(self, host: str, usual: float) -> float:
-        """How many times the usual time a member takes, by what is seen here or told by its zone; 1 at
-        least."""
+        """How many times the usual time a member takes, 1 at least.
+
+        By what is seen here or told by its zone, whichever is more.
+        """
         mean = self.watched[host].late.mean()
         told = 1.0 / max(LEAST_PART, self.parts.get(host, 1.0))
         return max(told, mean / usual) if usual > 0 else told
--- a/saltcart/locality/plan.py
+++ b/saltcart/locality/plan.py
@@ -142,8 +142,10 @@
 
 
 def proof(heard: Mapping[int, Heard], target: int) -> float:
-    """The odds for the target's health, by its own instances; where none has work for it, nothing is
-    asked."""
+    """The odds for the target's health, by its own instances.
+
+    Where none of them has work for it, no evidence is asked for.
+    """
     other = heard.get(target)
     return other.summary.odds if other is not None and other.summary.demand > 0 else PROVEN
 
@@ -224,8 +226,8 @@
                 wants[o] = {t: min(left[o], whole) * r / whole for t, r in reach.items()}
             inflow = [sum(w.get(t, 0.0) for w in wants) for t in range(count)]
             for o in range(count):
-                for t, amount in wants[o].items():
-                    amount *= min(1.0, open_to[t] / inflow[t])
+                for t, wanted in wants[o].items():
+                    amount = wanted * min(1.0, open_to[t] / inflow[t])
                     placed[o][t] = placed[o].get(t, 0.0) + amount
                     left[o] -= amount
             spare = [max(0.0, spare[t] - min(open_to[t], inflow[t])) for t in range(count)]
--- a/saltcart/locality/reports.py
+++ b/saltcart/locality/reports.py
@@ -24,11 +24,11 @@
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """One instance's: its two rates of demand in requests a second; by zone number its grade with the
-    evidence.
+    """One instance's report.
 
-    What ended since its report before: good and bad ones by zone, and by the own zone's members, numbered,
-    with their seconds.
+    It holds two rates of demand in requests a second and, by zone number, its grade with the evidence.  What
+    ended since its report before: good and bad ones by zone, and by the own zone's members, numbered, with
+    their seconds.
     """
 
     quick: float
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -9,7 +9,6 @@
 from saltcart.interface import Outcome
 from saltcart.net.ajp import AjpUpstream, Member
 
-
 Told = Callable[[bytes, Outcome, bytes], None]
 
 
--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -318,8 +318,10 @@
             + encode_headers(fields, RESPONSE_HEADERS),
         )
     ]
-    for at in range(0, len(body), MAX_CHUNK):
-        out.append(packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + text(body[at : at + MAX_CHUNK])))
+    out += [
+        packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + text(body[at : at + MAX_CHUNK]))
+        for at in range(0, len(body), MAX_CHUNK)
+    ]
     out.append(packet(FROM_CONTAINER, bytes((END_RESPONSE, reuse))))
     return b"".join(out)
 
--- a/saltcart/wire/buffer.py
+++ b/saltcart/wire/buffer.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-
 KEPT = 8192  # bytes of room that an empty buffer keeps
 
 
--- a/tests/test_composed.py
+++ b/tests/test_composed.py
@@ -330,6 +330,7 @@
             capture_output=True,
             text=True,
             timeout=60,
+            check=False,
         )
         assert out.returncode == 2 and reason in out.stderr, out.stderr
         assert len(out.stderr.strip().splitlines()) == 1  # one plain line
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -5,7 +5,8 @@
 import random
 from dataclasses import replace
 
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from saltcart import interface as i
 from tests.fakes import ONCE, SETTINGS, World
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,11 +17,11 @@
 from saltcart.app import App
 from saltcart.config import read_config
 from saltcart.deployment import Deployment
+from saltcart.net import pool as pool_link
 from saltcart.net.announcer import Announcer
 from saltcart.net.clock import Clock
 from saltcart.net.index import IndexClient
 from saltcart.net.listener import Listener, ServerConnection
-from saltcart.net import pool as pool_link
 from saltcart.net.pool import PoolLink, Pulse
 from saltcart.wire import handover as wire
 from tests.fakes import ONCE, READ, World
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from saltcart import interface as i
 from saltcart.balance import Controller
--- a/tests/test_storm_parts.py
+++ b/tests/test_storm_parts.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import random
-from dataclasses import replace
 from collections import Counter
+from dataclasses import replace
 
 import pytest
 import xxhash
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -23,7 +23,6 @@
 from tests.standins import SETTINGS, AjpClient, HttpClient, Pool, fields, ident, raw_config, running, until
 from tests.test_sockets import logged, start
 
-
 ENTRY = Entry(("a", "oddaja", b"k\xff"), 3, 12.5, b"\x00\x01", {ident(1), ident(2)}, True, True, b"\n{}\0")
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 import pytest
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from saltcart.wire import ajp, http1, index, pool
 from saltcart.wire.buffer import Buffer, BufferOverflowError
