--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -12,8 +12,8 @@
 
 from saltcart.config import ConfigError
 from saltcart.core.service import Service
+from saltcart.decision.settings import TenantSpec
 from saltcart.deployment import Deployment, TenantConf, UpstreamConf, check, read_tenant, read_upstream
-from saltcart.interface import TenantSpec
 from saltcart.net.upstreams import Upstreams
 from saltcart.settings import WireError
 
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -14,12 +14,12 @@
 from saltcart.config import Config, ConfigError
 from saltcart.core.ports import Log, Runs
 from saltcart.core.service import STOP_MARGIN, Service
+from saltcart.decision.settings import Settings
 from saltcart.deployment import Deployment
 from saltcart.front.ajp import AjpConnection
 from saltcart.front.control import CONNECTIONS as CONTROL_CONNECTIONS
 from saltcart.front.control import ControlConnection
 from saltcart.front.http import HttpConnection
-from saltcart.interface import Settings
 from saltcart.net.announcer import Announcer
 from saltcart.net.clock import Clock, Ticker
 from saltcart.net.index import IndexClient
@@ -73,7 +73,7 @@
         if deployment.tenants:
             settings = replace(settings, tenants=specs(deployment.tenants))
         if hosted:  # no tenant spends another's share: what is past its quota is worth nothing
-            settings = replace(settings, over_quota_worth=0.0)
+            settings = replace(settings, over_quota_weight_share=0.0)
         key_room = int(conf.memory_mb * KEYS_SHARE * 1024 * 1024)
         clock = clock or Clock()
         self.service = Service(
@@ -217,7 +217,7 @@
                 upstreams.by_name[locality.upstream],
                 seed + 1,
                 self.log,
-                {c.name: c.worth for c in self.service.settings.classes},
+                {c.name: c.priority_weight for c in self.service.settings.classes},
             )
             self.service.figures.append(self.nearby.locality.figures)
         if fleet is not None:
--- a/saltcart/balance.py
+++ b/saltcart/balance.py
@@ -1,4 +1,4 @@
-"""Every decision of saltcart.  Its types, events and actions: ``saltcart/interface.py``.
+"""Every decision of saltcart.  Its settings, events and actions: ``saltcart/decision``.
 
 The mechanism is Pan et al.'s; docs/design.md tells what is kept, what is added and when each addition acts.
 """
@@ -6,54 +6,52 @@
 from __future__ import annotations
 
 import random
-from collections import Counter, deque
+from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
 from itertools import accumulate
 from operator import mul
 from typing import Any
 
-from saltcart.interface import (
-    Abandoned,
+from saltcart.decision.actions import (
     Action,
-    Advise,
-    Arrived,
-    AtCall,
-    Below,
-    Beside,
-    Call,
-    CallEnded,
-    Effect,
-    Event,
-    Fail,
-    Finished,
-    Health,
-    IdleClose,
-    Keep,
-    Leaving,
-    Note,
-    Outcome,
-    Preemption,
-    Release,
-    Restarted,
-    Run,
-    Settings,
-    Share,
-    Signal,
+    AdvertiseLevel,
+    FailRequest,
+    JoinAttempt,
+    LogMessage,
+    Reject,
+    ReleaseKey,
+    ReserveKey,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
     SkipCall,
+    StartCall,
+    StartRun,
+    StopRun,
+)
+from saltcart.decision.attempt_age import AttemptAgeEstimator
+from saltcart.decision.events import (
+    CallFinished,
+    CallRequested,
+    DrainStarted,
+    Event,
+    PredecessorLoad,
+    RequestAbandoned,
+    RequestArrived,
+    RunFinished,
     Started,
-    Stop,
-    Tenants,
-    TenantSpec,
-    TurnAway,
-    Wake,
-    Woken,
+    TenantsChanged,
+    TimerFired,
+    WorkersRestarted,
 )
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import DependencyKind, Effect, LoadSignal, Preemption, Settings, TenantSpec
 
 GAIN_NOW, GAIN_BEFORE = 0.42, 0.1  # the paper's increments, after its Eq. 11
 X_LOW, X_HIGH = 1 / 50, 2.0  # x stays positive, and no class is starved or favoured out of reach
 HELD, ON_CORE, AT_CALL, CALLING, JOINED = range(5)
-FIRST_TRY, FADE = 0.1, 0.97  # tries that share a first try's patience; what a refusal leaves of an estimate
+FADE = 0.97  # what a refusal leaves of an estimate
 BUSY, GROW_AFTER = 0.85, 0.25  # cores idle below this; the gauge is a mean of half a second, so not faster
 CALL_TOP = 0.8  # of the share that the dependency survives: calls that were given up linger there
 CALL_FLOOR, SKIP_AT = 0.25, 0.1  # of that: about its slots; of the aim: a short queue is chance
@@ -67,10 +65,11 @@
 class Request:
     """What is known of one request that is held or under way."""
 
-    def __init__(self, ev: Arrived, now: float, due: float, aim: float, tenant: TenantSpec | None) -> None:
-        self.id, self.k, self.size, self.due, self.aim = ev.id, ev.klass, ev.size_kb, due, aim
+    def __init__(self, ev: RequestArrived, now: float, due: float, aim: float,
+                 tenant: TenantSpec | None) -> None:
+        self.id, self.k, self.size, self.due, self.aim = ev.id, ev.class_index, ev.size_kb, due, aim
         self.state, self.ran, self.answered = HELD, False, False
-        self.tenant, self.read, self.reach, self.started = tenant, now, now - ev.unread_for, now
+        self.tenant, self.read, self.reach, self.started = tenant, now, now - ev.unread_seconds, now
         self.went = self.away = 0.0  # when it left the cores for a call, and its time there in all
         self.broken = 0  # calls that broke off under it
 
@@ -103,8 +102,9 @@
     def ceiling(self, age: float) -> float:
         """Requests on the cores that the server surely survives, colder means fewer."""
         s = self.s
-        warm = s.cold_from + (1 - s.cold_from) * age / s.cold_span if s.cold and age < s.cold_span else 1.0
-        return s.cores * (1 + (s.crowd_limit - 1) * warm)
+        cold = s.starts_cold and age < s.warm_up_seconds
+        warm = s.cold_speed_share + (1 - s.cold_speed_share) * age / s.warm_up_seconds if cold else 1.0
+        return s.cores * (1 + (s.max_running_per_core - 1) * warm)
 
     def sweep(self, now: float, age: float, busy: float | None, waiting: int, span: float) -> None:
         s, top = self.s, max(self.s.cores, int(self.ceiling(age) / 2))
@@ -119,25 +119,6 @@
         self.slots = max(s.cores, min(top, self.slots))
 
 
-class Patience:
-    """Tells a try's age: first tries come with one of a few patiences, later ones with what is left."""
-
-    def __init__(self, deadline: float) -> None:
-        self.deadline, self.grain = deadline, deadline / 256  # finer than what later tries spread over
-        self.tries, self.total, self.firsts = Counter[int](), 0, set[int]()
-
-    def age(self, seen: float) -> float:
-        mark = round(seen / self.grain)
-        self.tries[mark] += 1
-        self.total += 1
-        if self.total > 500:  # forgets, and stays small
-            self.tries = Counter({m: n // 2 for m, n in self.tries.items() if n > 1})
-            self.total = sum(self.tries.values())
-        self.firsts = {m for m in self.firsts | {mark} if self.tries[m] >= FIRST_TRY * self.total}
-        first = min((m for m in self.firsts if m >= mark - 1), default=0)
-        return max(0.0, (first * self.grain if first else self.deadline) - seen)
-
-
 class Controller:
     """Decides for one server what it runs, holds, turns away or fails."""
 
@@ -145,8 +126,10 @@
         s = self.s = settings
         n = len(s.classes)
         self.rng, self.out = random.Random(seed), list[Action]()
-        self.order = sorted(range(n), key=lambda k: (-s.classes[k].worth, s.classes[k].aim, k))
-        spare = [c.aim / max(c.worth, 1e-9) for c in s.classes]  # waits to hold: what each class can afford
+        self.order = sorted(
+            range(n), key=lambda k: (-s.classes[k].priority_weight, s.classes[k].latency_objective, k))
+        # Waits to hold: what each class can afford.
+        spare = [c.latency_objective / max(c.priority_weight, 1e-9) for c in s.classes]
         self.pairs = Pairs([spare[a] / spare[b] for a, b in zip(self.order, self.order[1:])])
         self.climber = Climber(s)
         self.queues: list[deque[Request]] = [deque() for _ in range(n)]
@@ -155,30 +138,32 @@
         self.live: dict[int, Request] = {}
         self.kept: dict[int, bool | None] = {}  # entries of the key table: did the run succeed
         self.count = [0, 0, 0, 0, 0]  # live requests by state
-        self.memory, self.aim = 0.0, min(c.aim for c in s.classes)
+        self.memory, self.aim = 0.0, min(c.latency_objective for c in s.classes)
         self.had: dict[str, tuple[float, float]] = {}  # by tenant: runs not made good by its quota
         # The sweep is the only timer: fine enough that acting a sweep early costs little of an aim.
-        self.sweep = max(2 * s.step, self.aim / 24)
+        self.sweep = max(2 * s.batch_interval, self.aim / 24)
         self.period = self.aim / 3  # PI period: some completions, and well inside a surge
         self.wheel: dict[int, list[tuple[int, Request | None]]] = {}  # what to look at, by sweep
         self.hand, self.begun, self.last_done, self.next_period = 0, 0.0, 0.0, 0.0
         self.arrivals, self.call_wait = [1.0] * n, 0.0
         self.waits, self.starts, self.run_time = [0.0] * n, [0] * n, [0.0] * n  # run times are smoothed
-        self.patience = [Patience(c.deadline) for c in s.classes]
+        self.patience = [AttemptAgeEstimator(c.deadline) for c in s.classes]
         self.pressure, self.advised, self.unread, self.said = 0.0, 0.0, 0.0, -1.0
         self.low = n  # how many classes, from the least worth up, are thinned out first
         # Connections worth keeping (twice the crowd that the cores survive) over those there may be.
-        self.reuse, self.close_said = min(1.0, 2 * s.crowd_limit * s.cores / max(1, s.callers)), s.idle
+        self.reuse = min(1.0, 2 * s.max_running_per_core * s.cores / max(1, s.client_count))
+        self.close_said = s.client_idle_timeout
         self.no_more = self.stop_at = float("inf")  # nothing that arrives later runs; all is answered
         self.going = False  # callers are asked to stay away for good
-        share = s.call_share if s.below is Below.SHARED else None
+        share = s.dependency_call_share if s.dependency is DependencyKind.SHARED else None
         self.call_cap = self.call_top = float(s.cores) if share is None else max(1e-3, CALL_TOP * share)
         self.call_base = self.call_time = self.call_gate = self.call_cut = 0.0
         self.on: dict[type, Callable[[float, Any], None]] = {
-            Started: self.started, Arrived: self.arrived, Finished: self.finished, AtCall: self.at_call,
-            Abandoned: self.abandoned, CallEnded: self.call_ended, Leaving: self.leaving, Woken: self.woken,
-            Tenants: self.tenants, Beside: self.beside, Restarted: self.restarted}
-        self.other = Beside()  # what the process before still runs here
+            Started: self.started, RequestArrived: self.arrived, RunFinished: self.finished,
+            CallRequested: self.at_call, RequestAbandoned: self.abandoned, CallFinished: self.call_ended,
+            DrainStarted: self.leaving, TimerFired: self.woken, TenantsChanged: self.tenants,
+            PredecessorLoad: self.beside, WorkersRestarted: self.restarted}
+        self.other = PredecessorLoad()  # what the process before still runs here
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.out = []
@@ -189,65 +174,69 @@
     def started(self, now: float, _: Started) -> None:
         self.begun = self.last_done = self.climber.since = now
         self.hand = int(now / self.sweep)
-        self.out += Health(True, True), Wake(now + self.sweep, 0)  # checks answered from store are cheap
-
-    def arrived(self, now: float, ev: Arrived) -> None:
-        s, c = self.s, self.s.classes[ev.klass]
-        self.arrivals[ev.klass] += 1
-        self.unread += 0.1 * (ev.unread_for - self.unread)
-        reach, age = now - ev.unread_for, 0.0
+        # Checks answered from store are cheap.
+        self.out += SetHealth(True, True), SetTimer(now + self.sweep, 0)
+
+    def arrived(self, now: float, ev: RequestArrived) -> None:
+        s, c = self.s, self.s.classes[ev.class_index]
+        self.arrivals[ev.class_index] += 1
+        self.unread += 0.1 * (ev.unread_seconds - self.unread)
+        reach, age = now - ev.unread_seconds, 0.0
         due = max(now, reach + c.deadline)
-        if ev.patience is not None:
-            due = now + ev.patience
+        if ev.time_to_deadline is not None:
+            due = now + ev.time_to_deadline
             # A call's patience is what its caller's aim has left, never alike: it tells no age.  Read as one,
             # it put the aim in the past, and the lower tier turned nearly all calls away.
             if s.tier == 0:
-                age = self.patience[ev.klass].age(ev.patience + ev.unread_for)
+                age = self.patience[ev.class_index].age(ev.time_to_deadline + ev.unread_seconds)
         due = min(due, max(now, self.stop_at))
-        r = Request(ev, now, due, min(due, reach - age + c.aim),
-                    s.tenants[ev.tenant] if ev.tenant is not None and ev.tenant < len(s.tenants) else None)
+        t = ev.tenant_index
+        r = Request(ev, now, due, min(due, reach - age + c.latency_objective),
+                    s.tenants[t] if t is not None and t < len(s.tenants) else None)
         self.live[r.id] = r
         self.count[HELD], self.held[r.k] = self.count[HELD] + 1, self.held[r.k] + 1
         self.memory += r.size
-        if ev.repeat_of is not None and c.effect is Effect.KEYED:
+        if ev.repeat_of is not None and c.effect is Effect.IDEMPOTENT_BY_KEY:
             self.repeat(now, r, ev.repeat_of)
             return
         if self.unwelcome(now, r, ev):
             self.end(r, refuse=True)
             return
-        if c.effect is Effect.KEYED:
-            span = c.window - ev.unread_for + s.answer_slack
-            self.out.append(Keep(r.id, span))
+        if c.effect is Effect.IDEMPOTENT_BY_KEY:
+            span = c.key_window - ev.unread_seconds + s.answer_slack
+            self.out.append(ReserveKey(r.id, span))
             self.kept[r.id] = None
-            self.memory += s.entry_kb
+            self.memory += s.key_entry_kb
             self.wheel.setdefault(int((now + span) / self.sweep) + 1, []).append((r.id, None))
         self.queues[r.k].append(r)
         self.watch(now, r)
 
-    def unwelcome(self, now: float, r: Request, ev: Arrived) -> bool:
+    def unwelcome(self, now: float, r: Request, ev: RequestArrived) -> bool:
         """Admission: is this new request better turned away at once?"""
         s, c = self.s, self.s.classes[r.k]
         if now < r.aim < now + self.expected(r.k):
             # An estimate that turns everything away gets no runs to correct it: with each it fades.
             self.run_time[r.k], self.call_wait = FADE * self.run_time[r.k], FADE * self.call_wait
             return True
+        keyed = c.effect is Effect.IDEMPOTENT_BY_KEY
         if now >= min(self.stop_at, r.aim) or r.reach > self.no_more or (
-                self.memory + self.other.memory_kb + s.entry_kb * (c.effect is Effect.KEYED) + r.size
-                > 0.9 * s.memory_kb) or r.size * s.run_factor > 0.95 * s.memory_kb:
+                self.memory + self.other.memory_kb + s.key_entry_kb * keyed + r.size
+                > 0.9 * s.memory_kb) or r.size * s.run_memory_factor > 0.95 * s.memory_kb:
             return True  # the last would never fit: at the head of its queue it would hold up all others
         n = len(s.classes)
         # Only where it is worth nothing: at a tenth of its worth, refusing it first lost 0.02 of the score.
-        if self.pressure > 0 and s.over_quota_worth == 0 and self.past_quota(now, r.tenant):
+        if self.pressure > 0 and s.over_quota_weight_share == 0 and self.past_quota(now, r.tenant):
             return True
         # Rank among its own class; one that was told to come back now is thinned as late as the worthiest.
-        inside, low = ev.standing * n % 1, self.order.index(r.k) >= n - self.low and not ev.kept
+        inside = ev.priority_rank * n % 1
+        low = self.order.index(r.k) >= n - self.low and not ev.has_reservation
         return inside < (self.pressure if low else self.pressure - 1)
 
     def past_quota(self, now: float, tenant: TenantSpec | None) -> bool:
         """Has this tenant had more runs here than its quota's part for this server, over some aims?"""
         if tenant is None:
             return False
-        rate = tenant.quota / max(1, self.s.servers)
+        rate = tenant.quota / max(1, self.s.replica_count)
         had, since = self.had.get(tenant.name, (0.0, now))
         had = max(0.0, had - rate * (now - since))
         self.had[tenant.name] = had, now
@@ -261,64 +250,65 @@
             return
         self.held[r.k] -= 1
         self.move(r, JOINED)
-        self.out.append(Share(r.id))
+        self.out.append(JoinAttempt(r.id))
         self.watch(now, r)
 
-    def finished(self, now: float, ev: Finished) -> None:
+    def finished(self, now: float, ev: RunFinished) -> None:
         if (r := self.live.get(ev.id)) is None or r.state == HELD:
             return
-        ok, took = ev.outcome is Outcome.OK, now - r.started - r.away
+        ok, took = ev.outcome is Outcome.SUCCEEDED, now - r.started - r.away
         # A run that was stopped took this long at least: leaving it out would count survivors only.
         if r.state != JOINED and (ok or took > self.run_time[r.k]):
             self.run_time[r.k] += (0.1 if self.run_time[r.k] else 1.0) * (took - self.run_time[r.k])
         if r.id in self.kept:
             self.kept[r.id] = ok
-        if r.state == ON_CORE and ev.outcome is not Outcome.MOOT:  # what never ran tells nothing of the cores
+        # What never ran tells nothing of the cores.
+        if r.state == ON_CORE and ev.outcome is not Outcome.NOT_STARTED:
             self.climber.done, self.last_done = self.climber.done + 1, now
-        r.answered |= ev.outcome in (Outcome.OK, Outcome.ERROR)
+        r.answered |= ev.outcome in (Outcome.SUCCEEDED, Outcome.FAILED)
         if r.state != JOINED:
             self.forget(r)
         self.end(r)
 
-    def abandoned(self, now: float, ev: Abandoned) -> None:
+    def abandoned(self, now: float, ev: RequestAbandoned) -> None:
         if (r := self.live.get(ev.id)) is None:
             return
         # A keyed run goes on while a further try may still share its answer in time.
         r.answered = True
-        self.close(r, self.s.classes[r.k].effect is not Effect.KEYED or now > r.aim)
+        self.close(r, self.s.classes[r.k].effect is not Effect.IDEMPOTENT_BY_KEY or now > r.aim)
 
-    def leaving(self, now: float, ev: Leaving) -> None:
+    def leaving(self, now: float, ev: DrainStarted) -> None:
         # Its cores are warm and callers learn of it late: it serves on for nearly all of the grace, and asks
         # them away only as long before that as half of them take to forget it.
         self.no_more = now + TAKES * self.s.drain_grace
-        self.stop_at = now + max(0.0, ev.within - 3 * self.sweep)
-        self.out += Health(False, True), Note(f"draining, stop in {ev.within:.2f} s")
+        self.stop_at = now + max(0.0, ev.stop_in - 3 * self.sweep)
+        self.out += SetHealth(False, True), LogMessage(f"draining, stop in {ev.stop_in:.2f} s")
 
-    def tenants(self, now: float, ev: Tenants) -> None:
+    def tenants(self, now: float, ev: TenantsChanged) -> None:
         self.s = replace(self.s, tenants=ev.tenants)
         known = {t.name for t in ev.tenants}
         self.had = {name: had for name, had in self.had.items() if name in known}
 
-    def beside(self, now: float, ev: Beside) -> None:
+    def beside(self, now: float, ev: PredecessorLoad) -> None:
         self.other = ev
 
-    def restarted(self, now: float, ev: Restarted) -> None:
+    def restarted(self, now: float, ev: WorkersRestarted) -> None:
         # What was learned of warm cores must not crowd cold ones.
-        self.s = replace(self.s, cold=ev.cold)
+        self.s = replace(self.s, starts_cold=ev.starts_cold)
         self.begun, self.climber = now - ev.age, Climber(self.s)
         self.climber.since = self.last_done = now
 
-    def load(self) -> Beside:
+    def load(self) -> PredecessorLoad:
         """The same, told to the process that takes over from this one."""
-        return Beside(self.count[ON_CORE], self.count[CALLING], self.memory)
+        return PredecessorLoad(self.count[ON_CORE], self.count[CALLING], self.memory)
 
     def end(self, r: Request, refuse: bool = False) -> None:
         """The one place where a final answer is sent; what has run is never refused."""
         if not r.answered:
             r.answered, refuse = True, refuse and not r.ran
             # Callers are told when to come back: soon, for pressure moves fast, but not to one that leaves.
-            stay = min(self.s.max_stay_away, self.aim * (1.0 if self.going else BACK_OFF))
-            self.out.append(TurnAway(r.id, self.advised > 0.2, stay) if refuse else Fail(r.id))
+            stay = min(self.s.max_retry_after, self.aim * (1.0 if self.going else BACK_OFF))
+            self.out.append(Reject(r.id, self.advised > 0.2, stay) if refuse else FailRequest(r.id))
         self.close(r, True)
 
     def close(self, r: Request, stop: bool) -> None:
@@ -326,21 +316,21 @@
         if r.state in (HELD, JOINED):
             self.held[r.k] -= r.state == HELD
             if not r.ran and self.expire(r.id):
-                self.out.append(Release(r.id))
+                self.out.append(ReleaseKey(r.id))
             self.forget(r)
         elif r.state == ON_CORE and stop and self.s.preemption is not Preemption.NONE and r.id in self.live:
-            self.out.append(Stop(r.id))
+            self.out.append(StopRun(r.id))
 
     def expire(self, ident: int) -> bool:
         """Take a key's entry off the account, once."""
         there = self.kept.pop(ident, self) is not self
-        self.memory -= self.s.entry_kb if there else 0.0
+        self.memory -= self.s.key_entry_kb if there else 0.0
         return there
 
     def forget(self, r: Request) -> None:
         del self.live[r.id]
         self.count[r.state] -= 1
-        self.memory -= r.size * (1.0 if r.state in (HELD, JOINED) else self.s.run_factor)
+        self.memory -= r.size * (1.0 if r.state in (HELD, JOINED) else self.s.run_memory_factor)
 
     def move(self, r: Request, state: int) -> None:
         self.count[r.state] -= 1
@@ -351,14 +341,14 @@
         s = self.s
         # One a core never falls, whatever crowd is survived: below that nothing would run at all.
         ceiling = max(s.cores, 0.8 * self.climber.ceiling(now - self.begun))
-        ceiling -= self.other.on_core + self.other.calling
-        while self.count[ON_CORE] + self.other.on_core < self.climber.slots and self.count[HELD]:
+        ceiling -= self.other.running + self.other.calling
+        while self.count[ON_CORE] + self.other.running < self.climber.slots and self.count[HELD]:
             k = self.draw()
             if k is None or self.count[ON_CORE] + self.count[CALLING] + 1 > ceiling:
                 return
             while (r := self.queues[k].popleft()).id not in self.live:  # ended while it was held
                 pass
-            if self.memory + self.other.memory_kb + r.size * (s.run_factor - 1) > 0.95 * s.memory_kb:
+            if self.memory + self.other.memory_kb + r.size * (s.run_memory_factor - 1) > 0.95 * s.memory_kb:
                 self.queues[k].appendleft(r)
                 return
             if now + self.expected(k) > r.aim:
@@ -370,15 +360,15 @@
             if r.tenant is not None:
                 had, since = self.had.get(r.tenant.name, (0.0, now))
                 self.had[r.tenant.name] = had + 1, since
-            self.memory += r.size * (s.run_factor - 1)
+            self.memory += r.size * (s.run_memory_factor - 1)
             self.waits[k], self.starts[k] = self.waits[k] + now - r.read, self.starts[k] + 1
-            self.out.append(Run(r.id))
+            self.out.append(StartRun(r.id))
 
     def draw(self) -> int | None:
         """The class whose head runs next; an empty queue yields."""
         stuck = self.count[AT_CALL] + self.count[CALLING] >= self.climber.slots
         able = [(k, share) for k, share in zip(self.order, self.pairs.share) if self.held[k] and not (
-            stuck and self.s.classes[k].calls_below and self.s.classes[k].skip_worth == 0)]
+            stuck and self.must_call(k))]
         point = self.rng.random() * sum(share for _, share in able)
         for k, share in able:
             if point <= share:
@@ -386,7 +376,7 @@
             point -= share
         return able[-1][0] if able else None
 
-    def at_call(self, now: float, ev: AtCall) -> None:
+    def at_call(self, now: float, ev: CallRequested) -> None:
         if (r := self.live.get(ev.id)) is None or r.state not in (ON_CORE, CALLING):
             return
         self.move(r, AT_CALL)
@@ -395,33 +385,33 @@
             self.callers_wait[r.k].append(r)
         self.grant(now)
 
-    def call_ended(self, now: float, ev: CallEnded) -> None:
+    def call_ended(self, now: float, ev: CallFinished) -> None:
         if (r := self.live.get(ev.id)) is None or r.state != CALLING:
             return
-        if ev.outcome is Outcome.OK:
+        if ev.outcome is Outcome.SUCCEEDED:
             self.resume(now, r)
-            self.call_time += (0.2 if self.call_time else 1.0) * (ev.took - self.call_time)
+            self.call_time += (0.2 if self.call_time else 1.0) * (ev.seconds - self.call_time)
             self.call_base = min(self.call_base * 1.01, self.call_time) or self.call_time
-        elif ev.outcome is Outcome.TIMEOUT:
-            self.call_gate = now + self.s.call_linger  # it may stay in the dependency's hands
+        elif ev.outcome is Outcome.TIMED_OUT:
+            self.call_gate = now + self.s.abandoned_call_seconds  # it may stay in the dependency's hands
         # Calls that swell tell of a crowded or slow dependency, whatever the cause: back off.
         # One that broke off tells of a link, not of a crowd.
-        if ev.outcome not in (Outcome.OK, Outcome.BROKEN) or self.call_time > 3 * self.call_base:
+        if ev.outcome not in (Outcome.SUCCEEDED, Outcome.BROKEN_OFF) or self.call_time > 3 * self.call_base:
             if now > self.call_cut:
                 self.call_cap = max(CALL_FLOOR * self.call_top, self.call_cap * 0.8)
-                self.call_cut = now + ev.took
+                self.call_cut = now + ev.seconds
         else:
             self.call_cap = min(self.call_top, self.call_cap + min(1 / self.call_cap, self.call_cap / 4))
         if self.call_cap < 1:  # less than one call at a time: a pause between calls keeps the mean
-            self.call_gate = max(self.call_gate, now + ev.took * (1 / self.call_cap - 1))
-        if ev.outcome is not Outcome.OK:
+            self.call_gate = max(self.call_gate, now + ev.seconds * (1 / self.call_cap - 1))
+        if ev.outcome is not Outcome.SUCCEEDED:
             self.move(r, AT_CALL)
             safe = self.s.classes[r.k].effect is Effect.SAFE
-            r.broken += ev.outcome is Outcome.BROKEN
-            if safe and ev.outcome is Outcome.BROKEN and not r.answered and r.broken <= RECALLS and (
+            r.broken += ev.outcome is Outcome.BROKEN_OFF
+            if safe and ev.outcome is Outcome.BROKEN_OFF and not r.answered and r.broken <= RECALLS and (
                     now + self.call_time + self.run_time[r.k] / 2 < r.aim):
                 self.callers_wait[r.k].append(r)  # it may be made again, and there is time to
-            elif self.s.classes[r.k].skip_worth > 0 and not r.answered:
+            elif self.s.classes[r.k].skipped_call_weight_share > 0 and not r.answered:
                 self.resume(now, r, skip=True)
             elif safe or ev.outcome in NEVER_RAN:
                 self.callers_wait[r.k].append(r)
@@ -433,13 +423,15 @@
         self.move(r, ON_CORE)
         self.out += [SkipCall(r.id)] if skip else []
         r.away += now - r.went
-        if self.s.classes[r.k].skip_worth == 0:
+        if self.s.classes[r.k].skipped_call_weight_share == 0:
             self.call_wait += 0.1 * (now - r.went - self.call_wait)
 
     def expected(self, k: int) -> float:
         """Time that a run of this class takes from its start, calls included."""
-        c = self.s.classes[k]
-        return self.run_time[k] + (self.call_wait if c.calls_below and c.skip_worth == 0 else 0.0)
+        return self.run_time[k] + (self.call_wait if self.must_call(k) else 0.0)
+
+    def must_call(self, k: int) -> bool:
+        return self.s.classes[k].calls_dependency and self.s.classes[k].skipped_call_weight_share == 0
 
     def grant(self, now: float) -> None:
         """Let calls out, the most worth first, as far as the dependency seems to bear them."""
@@ -452,8 +444,9 @@
                     continue
                 if self.count[CALLING] + 1 <= max(1.0, self.call_cap) and now >= self.call_gate:
                     self.move(r, CALLING)
-                    self.out.append(Call(r.id, max(self.sweep, r.aim - now)))
-                elif c.skip_worth > 0 and (self.call_cap < self.call_top or now - r.went > SKIP_AT * c.aim):
+                    self.out.append(StartCall(r.id, max(self.sweep, r.aim - now)))
+                elif c.skipped_call_weight_share > 0 and (
+                        self.call_cap < self.call_top or now - r.went > SKIP_AT * c.latency_objective):
                     self.resume(now, r, skip=True)
                 else:
                     break
@@ -476,7 +469,7 @@
                 if r is None:
                     self.expire(ident)
                 elif ident in self.live and not r.answered:
-                    worthless = now + self.sweep >= r.aim and self.s.classes[r.k].late_worth == 0 and (
+                    worthless = now + self.sweep >= r.aim and self.s.classes[r.k].late_weight_share == 0 and (
                         self.s.preemption is not Preemption.NONE)
                     if r.state == HELD and now + self.sweep + self.expected(r.k) >= r.aim:
                         self.end(r, refuse=True)
@@ -485,8 +478,8 @@
                     else:
                         self.watch(now, r)
 
-    def woken(self, now: float, ev: Woken) -> None:
-        self.out.append(Wake(now + self.sweep, 0))
+    def woken(self, now: float, ev: TimerFired) -> None:
+        self.out.append(SetTimer(now + self.sweep, 0))
         self.turn(now)
         if now >= self.stop_at:
             for r in list(self.live.values()):
@@ -507,7 +500,7 @@
     def gauge_pressure(self, now: float) -> None:
         """How far the hold's expected wait is past what the aims can spare, 0 to 2."""
         mean = sum(a * t for a, t in zip(self.arrivals, self.run_time)) / max(1e-9, sum(self.arrivals))
-        if self.count[ON_CORE] + self.other.on_core >= self.climber.slots:
+        if self.count[ON_CORE] + self.other.running >= self.climber.slots:
             mean = max(mean, now - self.last_done)  # nothing ends: slow or hung, whatever the cause
         else:
             self.last_done = now
@@ -519,19 +512,19 @@
         self.pressure = max(0.0, min(1.0, low)) + max(0.0, min(1.0, high))
         pace = 2 * self.sweep / self.aim if self.pressure < self.advised else 4 * self.sweep / self.aim
         self.advised += min(1.0, pace) * (self.pressure - self.advised)
-        self.going = now >= min(self.no_more, self.stop_at - self.aim) - self.s.heard_for / 2
+        self.going = now >= min(self.no_more, self.stop_at - self.aim) - self.s.signal_lifetime / 2
         self.advise(1.0 if self.going else self.advised, self.going)
         # Many callers seldom return, but their idle connections take cores: close them.  Under pressure let
         # the table fill: a caller that gets no connection costs nothing, one that is read and refused much.
-        after = self.s.idle * self.reuse ** (1 - min(1.0, self.advised))
+        after = self.s.client_idle_timeout * self.reuse ** (1 - min(1.0, self.advised))
         if abs(after - self.close_said) > 0.25 * self.close_said:
             self.close_said = after
-            self.out.append(IdleClose(max(0.01, after)))
+            self.out.append(SetIdleTimeout(max(0.01, after)))
 
     def thin_first(self) -> int:
         """How many of the least worthy classes to thin out together: least loss for work shed."""
-        goal, up = self.s.goal, self.order[::-1]
-        worth = list(accumulate(self.arrivals[k] * self.s.classes[k].worth for k in up))
+        goal, up = self.s.objective, self.order[::-1]
+        worth = list(accumulate(self.arrivals[k] * self.s.classes[k].priority_weight for k in up))
         work = accumulate(self.arrivals[k] * self.run_time[k] for k in up)
         wide = (goal.whole + goal.worst_window) / (worth[-1] or 1.0)
         loss = [(wide * a + goal.worst_class) / (b + 1e-9) for a, b in zip(worth, work)]
@@ -539,14 +532,15 @@
 
     def advise(self, pressure: float, leaving: bool = False) -> None:
         s, n = self.s, len(self.s.classes)
-        if s.signal is Signal.LEVEL:
+        if s.signal is LoadSignal.LEVEL:
             # Below 1, no more than is turned away here anyway, in the lowest class.
             value = pressure if pressure < 0.95 else self.low + max(0.0, pressure - 1) * (n - self.low)
             value = 1.0 if leaving else value / n
-        elif s.signal is Signal.WEIGHT:
+        elif s.signal is LoadSignal.WEIGHT:
             value = 0.0 if leaving else 1 - 0.8 * min(1.0, pressure)
         else:
-            value = 0.0 if leaving else 3 * self.climber.slots * (1 - 0.45 * pressure) / max(1, s.callers)
-        if s.signal is not Signal.NONE and abs(value - self.said) > 0.02 * max(1.0, self.said):
+            slots = self.climber.slots
+            value = 0.0 if leaving else 3 * slots * (1 - 0.45 * pressure) / max(1, s.client_count)
+        if s.signal is not LoadSignal.NONE and abs(value - self.said) > 0.02 * max(1.0, self.said):
             self.said = value
-            self.out.append(Advise(value))
+            self.out.append(AdvertiseLevel(value))
--- a/saltcart/budget/dependency.py
+++ b/saltcart/budget/dependency.py
@@ -11,14 +11,24 @@
 from saltcart.budget.run import Attempt, Part
 from saltcart.budget.shares import Need
 from saltcart.budget.sketch import Quantiles
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 
 UNKNOWN = Need(0.0, 0.02, 0.2)  # a dependency of which nothing is known yet is taken for an ordinary one
 EVIDENCE = 3.0  # recent calls that are needed to tell more
 LOOK = 0.05  # seconds for which a need that was worked out holds
-NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT)
-ENDED = {outcome: outcome.name.lower() for outcome in Outcome}
-LOST = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.TIMEOUT)  # signs of a crowd there
+NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
+# Names of the counts that operators are shown.
+ENDED = {
+    Outcome.SUCCEEDED: "ok",
+    Outcome.FAILED: "error",
+    Outcome.CANCELLED: "cancelled",
+    Outcome.NOT_STARTED: "moot",
+    Outcome.REJECTED: "rejected",
+    Outcome.UNREACHABLE: "unreachable",
+    Outcome.TIMED_OUT: "timeout",
+    Outcome.BROKEN_OFF: "broken",
+}
+LOST = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.TIMED_OUT)  # signs of a crowd there
 
 
 class Dependency:
@@ -63,15 +73,15 @@
             else:
                 self.breaker.dropped(attempt.probe)
             return
-        if outcome is Outcome.OK:
+        if outcome is Outcome.SUCCEEDED:
             self.times.add(now, took)
-        elif outcome in (Outcome.TIMEOUT, Outcome.BROKEN):
+        elif outcome in (Outcome.TIMED_OUT, Outcome.BROKEN_OFF):
             self.times.add(now, took, cut=True)
         # A call that was given less than a typical one takes says nothing against the dependency.
-        if outcome is Outcome.TIMEOUT and not attempt.fair:
+        if outcome is Outcome.TIMED_OUT and not attempt.fair:
             self.breaker.dropped(attempt.probe)
             return
-        self.breaker.ended(now, outcome is Outcome.OK, attempt.probe)
+        self.breaker.ended(now, outcome is Outcome.SUCCEEDED, attempt.probe)
         self.limit.ended(now, outcome in LOST, min(1.0, self.need(now).lucky))
 
     def state(self, now: float) -> dict[str, float | str]:
--- a/saltcart/budget/desk.py
+++ b/saltcart/budget/desk.py
@@ -19,11 +19,12 @@
 from saltcart.budget.plan import Plan, Plans
 from saltcart.budget.run import OPEN, Attempt, Ended, GiveUp, Mark, Order, Part, Run, Send
 from saltcart.budget.yields import Yield
-from saltcart.interface import ClassSpec, Outcome
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import ClassSpec
 
 MOST_TRIES = 3  # attempts of one call at one dependency, whatever the allowance
 CROWD = 4.0  # held requests from which a slot has its full price: one held for a moment loses nothing
-BROKEN_OFF, AT_LIMIT = (Outcome.ERROR, Outcome.BROKEN), 0.005  # seconds
+BROKEN_OFF, AT_LIMIT = (Outcome.FAILED, Outcome.BROKEN_OFF), 0.005  # seconds
 MASK = (1 << 64) - 1
 
 
@@ -35,8 +36,8 @@
         self.plans: dict[str, Plan] = {p.klass: p for p in plans.plan}
         self.dependencies = {d.name: Dependency(d, random.Random(rng.random())) for d in plans.dependency}
         self.last_good = LastGood(plans.memory.entries, plans.memory.kb)
-        self.worth = {c.name: c.worth for c in classes}
-        late = {c.name for c in classes if c.late_worth > 0}
+        self.worth = {c.name: c.priority_weight for c in classes}
+        late = {c.name for c in classes if c.late_weight_share > 0}
         self.judge = Judge(self.dependencies.__getitem__, rng, late.__contains__)
         self.earns = Yield()
         self.runs: dict[bytes, Run] = {}
@@ -64,9 +65,9 @@
             part, dependency = attempt.part, self.dependencies[attempt.dependency]
             part.attempts.remove(attempt)
             if outcome in BROKEN_OFF and now >= part.until - AT_LIMIT:
-                outcome = Outcome.TIMEOUT  # the host's own clock for the call ran out a little before ours
+                outcome = Outcome.TIMED_OUT  # the host's own clock for the call ran out a little before ours
             dependency.ended(now, attempt, outcome)
-            if outcome is Outcome.OK:
+            if outcome is Outcome.SUCCEEDED:
                 self._answered(now, part, attempt.dependency, body)
             else:
                 self._failed(now, part, attempt, outcome)
@@ -143,7 +144,7 @@
             limits = self.judge.stage(now, run)
             if limits is None:
                 self.counts["unfit"] += 1
-                self._end(now, run, Outcome.ERROR)
+                self._end(now, run, Outcome.FAILED)
                 return
             self._begin_stage(now, run, limits)
             if any(part.mark in OPEN for part in run.parts):
@@ -170,7 +171,7 @@
             self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is Mark.DONE)
         part.attempts.clear()
         if mark is Mark.LOST:
-            self._end(now, run, Outcome.ERROR)
+            self._end(now, run, Outcome.FAILED)
         elif not run.starting and not run.over and not any(p.mark in OPEN for p in run.parts):
             self._go_on(now, run)
 
@@ -179,7 +180,7 @@
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
         self.earns.ended(self.worth.get(run.plan.klass, 0.0) * (1 - lost), now - run.started)
-        self._end(now, run, Outcome.OK, compose.answer(run), left, remembered)
+        self._end(now, run, Outcome.SUCCEEDED, compose.answer(run), left, remembered)
 
     def _end(
         self,
@@ -196,8 +197,8 @@
         run.over = True
         del self.runs[run.ident]
         writes = [part for part in run.parts if part.call.write]
-        if outcome is Outcome.ERROR and run.plan.stage[-1].call[0].write and not any(p.sent for p in writes):
-            outcome = Outcome.MOOT  # the write was never sent: a further try of the same key may run
+        if outcome is Outcome.FAILED and run.plan.stage[-1].call[0].write and not any(p.sent for p in writes):
+            outcome = Outcome.NOT_STARTED  # the write was never sent: a further try of the same key may run
         for part in run.parts:
             if part.mark in OPEN:
                 part.mark = Mark.LOST
@@ -321,7 +322,7 @@
         if now < part.until:
             return
         for attempt in part.attempts:
-            self._drop(now, attempt, Outcome.TIMEOUT)
+            self._drop(now, attempt, Outcome.TIMED_OUT)
         part.attempts.clear()
         if part.call.write and part.sent:
             self._settle(now, part, Mark.LOST)
--- a/saltcart/budget/plan.py
+++ b/saltcart/budget/plan.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from saltcart.interface import ClassSpec, Effect
+from saltcart.decision.settings import ClassSpec, Effect
 from saltcart.settings import WireError
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}\Z")]
@@ -171,8 +171,8 @@
         where, spec = f"plan[{n}]", known.get(plan.klass)
         if spec is None:
             raise PlanError(f"{where}.class: no such class: {plan.klass}")
-        if plan.reserve_ms / 1000 >= spec.aim:
-            raise PlanError(f"{where}.reserve_ms: leaves nothing of the aim of {spec.aim} s")
+        if plan.reserve_ms / 1000 >= spec.latency_objective:
+            raise PlanError(f"{where}.reserve_ms: leaves nothing of the aim of {spec.latency_objective} s")
         writes = [(s, c) for s, stage in enumerate(plan.stage) for c in stage.call if c.write]
         if spec.effect is Effect.SAFE:
             if writes:
--- a/saltcart/budget/run.py
+++ b/saltcart/budget/run.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from saltcart.budget.plan import Call, Plan
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 
 
 class Mark(enum.Enum):
@@ -122,7 +122,7 @@
 
 
 class Ended(NamedTuple):
-    """A composed run is over; MOOT: nothing with an effect was started."""
+    """A composed run is over; NOT_STARTED: nothing with an effect was started."""
 
     ident: bytes
     outcome: Outcome
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -11,7 +11,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from saltcart.interface import Settings
+from saltcart.decision.settings import Settings
 from saltcart.settings import Fields, WireError, read_settings
 
 PLACE = re.compile(r"([A-Za-z0-9.-]{1,253}):(\d{1,5})\Z")
--- a/saltcart/core/repeats.py
+++ b/saltcart/core/repeats.py
@@ -9,7 +9,7 @@
 
 from saltcart.core.keys import Entry, KeyTable
 from saltcart.core.request import Request
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 
 
 class Repeats:
@@ -38,7 +38,7 @@
         entry = self.keys.find(r.key, r.came)
         if entry is not None and entry.holder != r.number:
             return False
-        self.keep(r, r.ask.received + r.spec.window + self.slack).ran = True
+        self.keep(r, r.ask.received + r.spec.key_window + self.slack).ran = True
         return True
 
     def join(self, r: Request) -> None:
@@ -58,8 +58,8 @@
     def ended(self, r: Request, outcome: Outcome, result: bytes) -> None:
         """Its run is over; those who wait are told when the request is settled."""
         if (entry := r.entry) is not None:
-            entry.over, entry.result = True, result if outcome is Outcome.OK else None
-            if outcome is Outcome.MOOT and not r.notice:  # proof that nothing ran: the key is free
+            entry.over, entry.result = True, result if outcome is Outcome.SUCCEEDED else None
+            if outcome is Outcome.NOT_STARTED and not r.notice:  # proof that nothing ran: the key is free
                 self.keys.remove(entry)
                 self._fail(entry)
 
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -4,9 +4,9 @@
 
 import enum
 
-from saltcart import interface as i
 from saltcart.core.keys import Entry, Key
 from saltcart.core.ports import Ask, Reply, Try
+from saltcart.decision.settings import ClassSpec
 
 
 class State(enum.Enum):
@@ -42,9 +42,7 @@
         "tried",
     )
 
-    def __init__(
-        self, number: int, ask: Ask, spec: i.ClassSpec, now: float, due: float, reply: Reply
-    ) -> None:
+    def __init__(self, number: int, ask: Ask, spec: ClassSpec, now: float, due: float, reply: Reply) -> None:
         self.number, self.ask, self.spec, self.due = number, ask, spec, due
         # By this its key is looked up: no sender whose clock is ahead puts a try past a window.
         self.came = min(now, ask.received)
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -11,13 +11,45 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from saltcart import interface as i
 from saltcart.balance import HELD, Controller
 from saltcart.core.keys import Entry, KeyTable, digest
 from saltcart.core.ports import Announce, Answer, Ask, Calls, Log, Reply, Runs, Storms, Verdict
 from saltcart.core.repeats import Repeats
 from saltcart.core.request import OFF_POOL, Request, State
 from saltcart.core.timers import Timers
+from saltcart.decision.actions import (
+    Action,
+    AdvertiseLevel,
+    FailRequest,
+    JoinAttempt,
+    LogMessage,
+    Reject,
+    ReleaseKey,
+    ReserveKey,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
+    SkipCall,
+    StartCall,
+    StartRun,
+    StopRun,
+)
+from saltcart.decision.events import (
+    CallFinished,
+    CallRequested,
+    DrainStarted,
+    Event,
+    PredecessorLoad,
+    RequestAbandoned,
+    RequestArrived,
+    RunFinished,
+    Started,
+    TenantsChanged,
+    TimerFired,
+    WorkersRestarted,
+)
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import Effect, Preemption, Settings, TenantSpec
 
 CALL_SLACK = 0.15  # a call that gets no reply in its time is given up this much later
 STOP_MARGIN = 0.12  # everything is answered this long before the process is stopped
@@ -37,7 +69,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         gauge_names: tuple[str | None, ...],
         seed: int,
         clock: Callable[[], float],
@@ -62,7 +94,7 @@
         self.announce: Announce | None = None
         self.storms: Storms | None = None
         # Made when the server is up, of its settings and its start; None where storms are not watched for.
-        self.make_storms: Callable[[i.Settings, float], Storms] | None = None
+        self.make_storms: Callable[[Settings, float], Storms] | None = None
         self.held_marks: dict[int, int] = {}  # safe requests that are held, by fingerprint
         self.timers = Timers()
         self.now = clock()
@@ -72,7 +104,7 @@
         # A try may be read late: as long as its caller can wait at all.
         self.keys = KeyTable(key_room, self.longest)
         self.repeats = Repeats(self.keys, settings.answer_slack, self._end_joined)
-        self.good, self.idle_after = True, settings.idle or 30.0
+        self.good, self.idle_after = True, settings.client_idle_timeout or 30.0
         self.on_up: Callable[[], None] | None = None  # told once, when the pool is up
         self.composed = frozenset[str]()  # classes whose answers are composed, and may be partial
         self.figures: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for the operators
@@ -80,24 +112,24 @@
         self.hint: float | None = None
         self.drain_at: float | None = None
         self.stop_at = float("inf")
-        self.events, self.busy = deque[i.Event](), False
+        self.events, self.busy = deque[Event](), False
         self.counts = Counter[tuple[str, str, str]]()  # by tenant, class and verdict
         self.relayed = Counter[str]()  # runs handed over, by class
         self.actions: dict[type, Callable[..., None]] = {
-            i.Run: self._run,
-            i.Stop: self._stop,
-            i.TurnAway: self._turn_away,
-            i.Fail: self._fail,
-            i.Call: self._call,
-            i.SkipCall: self._skip,
-            i.Keep: self._keep,
-            i.Release: self._release,
-            i.Share: self._share,
-            i.Health: self._health,
-            i.Advise: self._advise,
-            i.IdleClose: self._idle_close,
-            i.Wake: self._wake,
-            i.Note: self._note,
+            StartRun: self._run,
+            StopRun: self._stop,
+            Reject: self._turn_away,
+            FailRequest: self._fail,
+            StartCall: self._call,
+            SkipCall: self._skip,
+            ReserveKey: self._keep,
+            ReleaseKey: self._release,
+            JoinAttempt: self._share,
+            SetHealth: self._health,
+            AdvertiseLevel: self._advise,
+            SetIdleTimeout: self._idle_close,
+            SetTimer: self._wake,
+            LogMessage: self._note,
         }
 
     # ---- time ---------------------------------------------------------------------------------
@@ -132,8 +164,10 @@
         if ask.ident in self.by_ident:
             raise InvalidRequestError("this id is in use")
         spec = self.settings.classes[k]
-        key = (ask.account, ask.klass, ask.key) if spec.effect is i.Effect.KEYED and ask.key else None
-        if key is None and spec.effect is i.Effect.KEYED:
+        key = (
+            (ask.account, ask.klass, ask.key) if spec.effect is Effect.IDEMPOTENT_BY_KEY and ask.key else None
+        )
+        if key is None and spec.effect is Effect.IDEMPOTENT_BY_KEY:
             raise InvalidRequestError("this class needs a key")
         unread = max(0.0, now - ask.received)
         # No caller waits longer than its class's deadline: nothing is held or timed for longer than that.
@@ -165,7 +199,7 @@
         patience = None if ask.budget is None else max(1e-3, due - now)
         standing = ask.standing if self.storms is None else self._watch(self.storms, r, entry is None)
         self._feed(
-            i.Arrived(
+            RequestArrived(
                 r.number,
                 k,
                 ask.size_kb,
@@ -176,7 +210,7 @@
                 ask.cost,
                 ask.subject,
                 False,
-                spec.effect is not i.Effect.SAFE,
+                spec.effect is not Effect.SAFE,
                 ask.caller,
                 None if entry is None else entry.holder,
                 r.tried is not None and r.tried.kept,
@@ -197,7 +231,7 @@
         """Tell a try that comes again from new work; returns the rank at which the module is told of it."""
         ask, n = r.ask, len(self.settings.classes)
         tried = r.tried = storms.arrived(self.now, ask.account, ask.klass, ask.key, ask.subject, ask.body)
-        if r.spec.effect is i.Effect.SAFE:
+        if r.spec.effect is Effect.SAFE:
             older = self.requests.get(self.held_marks.get(tried.mark, 0))
             if older is not None and older.state is State.HELD and storms.storm(self.now):
                 self._supersede(storms, older)
@@ -213,7 +247,7 @@
         if r.reply is not None and r.tried is not None:
             back = storms.refused(self.now, r.tried.mark)
             self._answer(r, Answer(Verdict.REFUSED, come_back=back.after, final=back.final))
-            self._feed(i.Abandoned(r.number))
+            self._feed(RequestAbandoned(r.number))
             self._settle(r)
 
     def abandon(self, number: int) -> None:
@@ -224,7 +258,7 @@
         self._read_clock()
         r.reply = None
         self._count(r, "abandoned")
-        self._feed(i.Abandoned(number))
+        self._feed(RequestAbandoned(number))
         self._settle(r)
 
     def leave(self, within: float, ago: float = 0.0) -> None:
@@ -237,7 +271,7 @@
         self.timers.at(self.stop_at - STOP_MARGIN, self._answer_all)
         self.log("drain", within=within, open=len(self.requests))
         if self.controller is not None:
-            self._feed(i.Leaving(within))
+            self._feed(DrainStarted(within))
 
     def withdraw(self, on: bool) -> None:
         """The operators' drain: checks are answered as bad while it lasts, and nothing else changes."""
@@ -250,20 +284,20 @@
         if self.announce is not None:
             self.announce.accepting(self.drain_at is None and not self.withdrawn)
 
-    def set_tenants(self, tenants: tuple[i.TenantSpec, ...]) -> None:
+    def set_tenants(self, tenants: tuple[TenantSpec, ...]) -> None:
         """Other tenants from now on; requests under way keep theirs."""
         self._read_clock()
         self.settings = replace(self.settings, tenants=tenants)
         self.tenant = {t.name: n for n, t in enumerate(tenants)}
-        self._feed(i.Tenants(tenants))
+        self._feed(TenantsChanged(tenants))
 
     # ---- one process takes over from another --------------------------------------------------
 
-    def load(self) -> i.Beside:
+    def load(self) -> PredecessorLoad:
         """What is still on the cores and in the memory."""
-        return i.Beside() if self.controller is None else self.controller.load()
+        return PredecessorLoad() if self.controller is None else self.controller.load()
 
-    def beside(self, load: i.Beside) -> None:
+    def beside(self, load: PredecessorLoad) -> None:
         """The same of the process before."""
         self._read_clock()
         self._feed(load)
@@ -280,14 +314,14 @@
 
     def doubt(self) -> None:
         """The process before never told its keys: new ones fail until those of its runs have passed."""
-        windows = [c.window for c in self.settings.classes if c.effect is i.Effect.KEYED]
+        windows = [c.key_window for c in self.settings.classes if c.effect is Effect.IDEMPOTENT_BY_KEY]
         self.repeats.doubt_until = self._read_clock() + max(windows, default=0.0) + self.settings.answer_slack
         self.log("keys-in-doubt", until=self.repeats.doubt_until)
 
     def bereave(self) -> None:
         """The process before is gone, and with it what it ran."""
         self._read_clock()
-        self._feed(i.Beside())
+        self._feed(PredecessorLoad())
         self.repeats.bereave()
 
     # ---- from the pool and the calls ----------------------------------------------------------
@@ -298,32 +332,32 @@
         self.log("pool-up", cold=cold, age=age, again=self.controller is not None)
         if self.controller is not None:
             return
-        settings = self.settings = replace(self.settings, cold=cold)
+        settings = self.settings = replace(self.settings, starts_cold=cold)
         self.controller = Controller(settings, self.seed)
         started = now - max(0.0, age)
         if self.make_storms is not None:
             self.storms = self.make_storms(settings, started)
-        for action in self.controller.handle(started, i.Started()):
+        for action in self.controller.handle(started, Started()):
             self._act(action)
         self._announce()
         self.timers.at(now + 1.0, self._sweep_keys)
         if self.drain_at is not None:
-            self._feed(i.Leaving(max(0.0, self.stop_at - now)))
+            self._feed(DrainStarted(max(0.0, self.stop_at - now)))
         if self.on_up is not None:
             self.on_up()
 
     def pool_lost(self, cold: bool, age: float) -> None:
         """Another pool has taken the place of the one before: what ran there is over, nobody knows how."""
         self._read_clock()
-        self._feed(i.Restarted(cold, max(0.0, age)))
+        self._feed(WorkersRestarted(cold, max(0.0, age)))
         for r in list(self.requests.values()):
             if r.state not in OFF_POOL:
-                self.run_ended(r.ask.ident, i.Outcome.ERROR, 0.0, b"")
+                self.run_ended(r.ask.ident, Outcome.FAILED, 0.0, b"")
 
     def run_ended(
         self,
         ident: bytes,
-        outcome: i.Outcome,
+        outcome: Outcome,
         took: float,
         result: bytes,
         left_out: tuple[str, ...] = (),
@@ -335,21 +369,21 @@
         self._read_clock()
         if r.state is State.CALLING:
             self._give_up_call(r)
-        if outcome is i.Outcome.OK:
+        if outcome is Outcome.SUCCEEDED:
             self._answer(r, Answer(Verdict.SERVED, result, left_out=left_out, remembered=remembered))
-        elif outcome is i.Outcome.ERROR:
+        elif outcome is Outcome.FAILED:
             self._answer(r, Answer(Verdict.FAILED))
-        if r.stopped and r.reply is not None and self.settings.preemption is i.Preemption.PAUSE:
+        if r.stopped and r.reply is not None and self.settings.preemption is Preemption.PAUSE:
             r.state = State.PAUSED  # still owed an answer, and may be taken up again
-            self._feed(i.Finished(r.number, outcome, took))
+            self._feed(RunFinished(r.number, outcome, took))
             return
         self.repeats.ended(r, outcome, result)
-        if self.storms is not None and outcome is i.Outcome.OK:
-            self.storms.run_ended(self.now, took, self.held() > 0, self.load().on_core)
+        if self.storms is not None and outcome is Outcome.SUCCEEDED:
+            self.storms.run_ended(self.now, took, self.held() > 0, self.load().running)
             if r.tried is not None:
                 self.storms.served(self.now, r.tried.mark, r.tried.again)
         r.state = State.HELD  # nothing of it is left in the pool
-        self._feed(i.Finished(r.number, outcome, took))
+        self._feed(RunFinished(r.number, outcome, took))
         self._answer(r, Answer(Verdict.FAILED))  # the module has answered by now; never leave one open
         self._settle(r)
 
@@ -359,33 +393,33 @@
             return
         self._read_clock()
         r.state, r.notice, r.call_body = State.BLOCKED, notice, body
-        self._feed(i.AtCall(r.number))
+        self._feed(CallRequested(r.number))
 
     def run_lost(self, ident: bytes) -> None:
         """A link broke over a spawn that must not be repeated: the run may or may not have begun."""
         self.runs.suspend(ident)
-        self.run_ended(ident, i.Outcome.ERROR, 0.0, b"")
+        self.run_ended(ident, Outcome.FAILED, 0.0, b"")
 
     def gauges(self, values: tuple[float, ...]) -> None:
         self.gauges_at = self._read_clock()
         self.gauge_values = {name: value for name, value in zip(self.gauge_names, values) if name}
 
-    def call_ended(self, ident: bytes, outcome: i.Outcome, reply: bytes) -> None:
+    def call_ended(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
         r = self.by_ident.get(ident)
         if r is None or r.state is not State.CALLING:
             return
         now = self._read_clock()
         r.call_number += 1
-        if outcome is i.Outcome.OK:
+        if outcome is Outcome.SUCCEEDED:
             r.state, r.call_body = State.RUNNING, b""
             self.runs.supply(ident, reply)
         else:
             r.state = State.BLOCKED
-        self._feed(i.CallEnded(r.number, outcome, now - r.call_at))
+        self._feed(CallFinished(r.number, outcome, now - r.call_at))
 
     # ---- the module ---------------------------------------------------------------------------
 
-    def _feed(self, event: i.Event) -> None:
+    def _feed(self, event: Event) -> None:
         """Give the module an event and carry out what it says; events that follow wait their turn."""
         self.events.append(event)
         if self.controller is None:
@@ -400,29 +434,29 @@
         finally:
             self.busy = False
 
-    def _decide(self, controller: Controller, event: i.Event) -> list[i.Action]:
+    def _decide(self, controller: Controller, event: Event) -> list[Action]:
         """A fault of the module costs one event, not the service: the due guard answers, timers go on."""
         try:
             return controller.handle(self.now, event)
         except Exception as error:
             self.log("module-fault", on=type(event).__name__, error=repr(error))
-            if isinstance(event, i.Woken):
+            if isinstance(event, TimerFired):
                 self.timers.at(self.now + AFTER_FAULT, self._ring, event.token)
             return []
 
-    def _act(self, action: i.Action) -> None:
+    def _act(self, action: Action) -> None:
         """A fault in carrying out one action costs no other: an alarm not set would be the last one."""
         try:
             self.actions[type(action)](action)
         except Exception as error:
             self.log("action-fault", on=type(action).__name__, error=repr(error))
-            if isinstance(action, i.Run):  # failed at once; its slot must not be taken for good
-                self.events.append(i.Finished(action.id, i.Outcome.MOOT, 0.0))
+            if isinstance(action, StartRun):  # failed at once; its slot must not be taken for good
+                self.events.append(RunFinished(action.id, Outcome.NOT_STARTED, 0.0))
 
-    def _run(self, a: i.Run) -> None:
+    def _run(self, a: StartRun) -> None:
         r = self.requests.get(a.id)
         if r is None or r.reply is None or r.state in (State.JOINED, State.BLOCKED, State.CALLING):
-            self.events.append(i.Finished(a.id, i.Outcome.MOOT, 0.0))
+            self.events.append(RunFinished(a.id, Outcome.NOT_STARTED, 0.0))
             return
         if r.state is State.PAUSED:
             r.state, r.stopped = State.RUNNING, False
@@ -430,7 +464,7 @@
         elif r.state is State.HELD:
             late = self.drain_at is not None and r.ask.received > self.drain_at + self.settings.drain_grace
             if late or not self.repeats.claim(r):
-                self.events.append(i.Finished(a.id, i.Outcome.MOOT, 0.0))
+                self.events.append(RunFinished(a.id, Outcome.NOT_STARTED, 0.0))
                 return
             r.state = State.RUNNING
             self.relayed[r.ask.klass] += 1
@@ -440,12 +474,12 @@
                 r.ask.klass,
                 r.ask.account,
                 r.ask.body,
-                r.spec.effect is not i.Effect.SAFE,
+                r.spec.effect is not Effect.SAFE,
                 due - self.now,
-                r.ask.received + r.spec.aim - self.now,
+                r.ask.received + r.spec.latency_objective - self.now,
             )
 
-    def _stop(self, a: i.Stop) -> None:
+    def _stop(self, a: StopRun) -> None:
         r = self.requests.get(a.id)
         if r is not None and r.state is State.RUNNING and not r.stopped:
             r.stopped = True
@@ -453,12 +487,12 @@
             if r.reply is None:
                 self.timers.at(self.now + INSIST, self._insist, r.number)
 
-    def _turn_away(self, a: i.TurnAway) -> None:
+    def _turn_away(self, a: Reject) -> None:
         r = self.requests.get(a.id)
         if r is None or r.reply is None:
             return
         if r.state is State.HELD:
-            answer = Answer(Verdict.REFUSED, back_off=a.stay_away, final=a.nowhere_else)
+            answer = Answer(Verdict.REFUSED, back_off=a.retry_after, final=a.is_final)
             if self.storms is not None and r.tried is not None:
                 # The moment is this caller's own.  How long its balancer stays away from this server with all
                 # that it carries, and whether it may try others, is the module's to say.
@@ -468,60 +502,60 @@
             self._answer(r, Answer(Verdict.FAILED))
         self._settle(r)
 
-    def _fail(self, a: i.Fail) -> None:
+    def _fail(self, a: FailRequest) -> None:
         r = self.requests.get(a.id)
         if r is not None and r.reply is not None:
             self._answer(r, Answer(Verdict.FAILED))
             self._settle(r)
 
-    def _call(self, a: i.Call) -> None:
+    def _call(self, a: StartCall) -> None:
         r = self.requests.get(a.id)
         if r is None or r.state is not State.BLOCKED:
             return
         r.state, r.call_at = State.CALLING, self.now
         r.call_number += 1
-        self.timers.at(self.now + a.limit + CALL_SLACK, self._call_overdue, r.number, r.call_number)
+        self.timers.at(self.now + a.timeout + CALL_SLACK, self._call_overdue, r.number, r.call_number)
         if self.calls is None:
             r.state = State.BLOCKED
-            self.events.append(i.CallEnded(a.id, i.Outcome.UNREACHABLE, 0.0))
+            self.events.append(CallFinished(a.id, Outcome.UNREACHABLE, 0.0))
         else:
-            self.calls.call(r.ask.ident, a.limit, r.call_body, r.spec.effect is not i.Effect.SAFE)
+            self.calls.call(r.ask.ident, a.timeout, r.call_body, r.spec.effect is not Effect.SAFE)
 
-    def _skip(self, a: i.SkipCall) -> None:
+    def _skip(self, a: SkipCall) -> None:
         r = self.requests.get(a.id)
-        if r is not None and r.state is State.BLOCKED and r.spec.skip_worth > 0:
+        if r is not None and r.state is State.BLOCKED and r.spec.skipped_call_weight_share > 0:
             r.state, r.call_body = State.RUNNING, b""
             self.runs.skip(r.ask.ident, r.notice)
 
-    def _keep(self, a: i.Keep) -> None:
+    def _keep(self, a: ReserveKey) -> None:
         r = self.requests.get(a.id)
         if r is not None and r.key is not None:
-            self.repeats.keep(r, self.now + a.span)
+            self.repeats.keep(r, self.now + a.seconds)
 
-    def _release(self, a: i.Release) -> None:
+    def _release(self, a: ReleaseKey) -> None:
         if (r := self.requests.get(a.id)) is not None:
             self.repeats.release(r)
 
-    def _share(self, a: i.Share) -> None:
+    def _share(self, a: JoinAttempt) -> None:
         r = self.requests.get(a.id)
         if r is None or r.reply is None:
             return
         r.state = State.JOINED
         self.repeats.join(r)
 
-    def _health(self, a: i.Health) -> None:
-        self.good = a.good
+    def _health(self, a: SetHealth) -> None:
+        self.good = a.is_healthy
 
-    def _advise(self, a: i.Advise) -> None:
-        self.hint = a.value
+    def _advise(self, a: AdvertiseLevel) -> None:
+        self.hint = a.level
 
-    def _idle_close(self, a: i.IdleClose) -> None:
-        self.idle_after = a.after or self.settings.idle
+    def _idle_close(self, a: SetIdleTimeout) -> None:
+        self.idle_after = a.seconds or self.settings.client_idle_timeout
 
-    def _wake(self, a: i.Wake) -> None:
+    def _wake(self, a: SetTimer) -> None:
         self.timers.at(a.at, self._ring, a.token)
 
-    def _note(self, a: i.Note) -> None:
+    def _note(self, a: LogMessage) -> None:
         self.log("module", text=a.text)
 
     # ---- timers -------------------------------------------------------------------------------
@@ -531,7 +565,7 @@
         turn = 0.0 if self.controller is None else self.controller.sweep  # long where the aims are
         if self.now > self.gauges_at + max(GAUGES_LAST, 2 * turn):
             self.gauge_values = {}  # the link is away: idle cores of long ago must not let in more work
-        self._feed(i.Woken(token, **self.gauge_values))
+        self._feed(TimerFired(token, **self.gauge_values))
         self.runs.poll()
 
     def _overdue(self, number: int) -> None:
@@ -545,7 +579,7 @@
         r = self.requests.get(number)
         if r is not None and r.state is State.CALLING and r.call_number == call_number:
             self._give_up_call(r)
-            self.call_ended(r.ask.ident, i.Outcome.BROKEN, b"")  # not even word that its time is over
+            self.call_ended(r.ask.ident, Outcome.BROKEN_OFF, b"")  # not even word that its time is over
 
     def _insist(self, number: int) -> None:
         """It still has its slot and its memory in the pool, so it stays on the books until it is heard of."""
@@ -567,7 +601,7 @@
             # Its end was never told.  What is kept by id must not grow with what a peer leaves unsaid.
             self.log("written-off", id=r.ask.ident.decode(), state=r.state.value)
             self.runs.suspend(r.ask.ident)
-            self.run_ended(r.ask.ident, i.Outcome.CANCELLED, 0.0, b"")
+            self.run_ended(r.ask.ident, Outcome.CANCELLED, 0.0, b"")
 
     # ---- bookkeeping --------------------------------------------------------------------------
 
@@ -636,6 +670,6 @@
         if r is None:
             return
         self._answer(r, Answer(Verdict.FAILED) if result is None else Answer(Verdict.SERVED, result))
-        outcome = i.Outcome.ERROR if result is None else i.Outcome.OK
-        self._feed(i.Finished(r.number, outcome, 0.0))
+        outcome = Outcome.FAILED if result is None else Outcome.SUCCEEDED
+        self._feed(RunFinished(r.number, outcome, 0.0))
         self._settle(r)
--- a/saltcart/drill.py
+++ b/saltcart/drill.py
@@ -10,19 +10,47 @@
 import sys
 from typing import Any, TextIO
 
-from saltcart import interface as i
 from saltcart.balance import Controller
+from saltcart.decision.actions import (
+    Action,
+    AdvertiseLevel,
+    FailRequest,
+    JoinAttempt,
+    LogMessage,
+    Reject,
+    ReleaseKey,
+    ReserveKey,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
+    SkipCall,
+    StartCall,
+    StartRun,
+    StopRun,
+)
+from saltcart.decision.events import (
+    CallFinished,
+    CallRequested,
+    DrainStarted,
+    Event,
+    RequestAbandoned,
+    RequestArrived,
+    RunFinished,
+    Started,
+    TimerFired,
+)
+from saltcart.decision.outcome import Outcome
 from saltcart.settings import Fields, WireError, read_settings
 
 OUTCOMES = {
-    0: i.Outcome.OK,
-    5: i.Outcome.ERROR,
-    11: i.Outcome.REJECTED,
-    104: i.Outcome.BROKEN,
-    110: i.Outcome.TIMEOUT,
-    111: i.Outcome.UNREACHABLE,
-    114: i.Outcome.MOOT,
-    125: i.Outcome.CANCELLED,
+    0: Outcome.SUCCEEDED,
+    5: Outcome.FAILED,
+    11: Outcome.REJECTED,
+    104: Outcome.BROKEN_OFF,
+    110: Outcome.TIMED_OUT,
+    111: Outcome.UNREACHABLE,
+    114: Outcome.NOT_STARTED,
+    125: Outcome.CANCELLED,
 }
 HINT_VALID, RETRY, WRITE = 1, 2, 4
 
@@ -39,7 +67,7 @@
         self.gauges = [g if g in ("cpu_busy", "runnable", "mem_used", "sockets") else None for g in gauges]
         self.controller = Controller(self.settings, f.integer("initSeed"))
 
-    def event(self, verb: str, f: Fields) -> i.Event:
+    def event(self, verb: str, f: Fields) -> Event:
         """One wire event in the module's words."""
         if verb == "arrival":
             name, account = f.text("priority"), f.raw.get("account")
@@ -53,7 +81,7 @@
                 raise WireError(f"{f.where}: field account names no tenant: {account}")
             flags = f.integer("flags", 0)
             hint = f.number("sizeHint", None)
-            return i.Arrived(
+            return RequestArrived(
                 f.integer("msgId"),
                 self.klass[name],
                 f.number("sizeKb"),
@@ -76,58 +104,58 @@
                     raise WireError(f"{f.where}: field serverStats[{n}] is not a number")
                 if key:
                     named[key] = value
-            return i.Woken(f.integer("label"), **named)
+            return TimerFired(f.integer("label"), **named)
         if verb == "leaving":
-            return i.Leaving(f.number("left"))
+            return DrainStarted(f.number("left"))
         ident = f.integer("msgId")
         if verb == "hangup":
-            return i.Abandoned(ident)
+            return RequestAbandoned(ident)
         if verb == "blocked":
-            return i.AtCall(ident)
+            return CallRequested(ident)
         if verb not in ("done", "depReply"):
             raise WireError(f"{verb}: no such message")
         how = f.integer("how")
         if how not in OUTCOMES:
             raise WireError(f"{f.where}: field how has no such value: {how}")
         took = f.number("delaySeen", 0.0)
-        ended = i.Finished if verb == "done" else i.CallEnded
+        ended = RunFinished if verb == "done" else CallFinished
         return ended(ident, OUTCOMES[how], took)
 
 
-def render(worker: int, action: i.Action) -> str:
+def render(worker: int, action: Action) -> str:
     """One action as a line of the wire."""
     match action:
-        case i.Run(ident):
+        case StartRun(ident):
             body: dict[str, Any] = {"verb": "process", "msgId": ident}
-        case i.Stop(ident):
+        case StopRun(ident):
             body = {"verb": "abortWork", "msgId": ident}
-        case i.TurnAway(ident, final, wait):
+        case Reject(ident, final, wait):
             body = {"verb": "busy", "msgId": ident}
             if final:
                 body["terminal"] = True
             if wait > 0:
                 body["wait"] = wait
-        case i.Fail(ident):
+        case FailRequest(ident):
             body = {"verb": "finishError", "msgId": ident}
-        case i.Call(ident, limit):
+        case StartCall(ident, limit):
             body = {"verb": "reachOut", "msgId": ident, "maxWait": limit}
-        case i.SkipCall(ident):
+        case SkipCall(ident):
             body = {"verb": "omit", "msgId": ident}
-        case i.Keep(ident, span):
+        case ReserveKey(ident, span):
             body = {"verb": "remember", "msgId": ident, "keepFor": span}
-        case i.Release(ident):
+        case ReleaseKey(ident):
             body = {"verb": "releaseKey", "msgId": ident}
-        case i.Share(ident):
+        case JoinAttempt(ident):
             body = {"verb": "answerFrom", "msgId": ident}
-        case i.Health(good, stored):
+        case SetHealth(good, stored):
             body = {"verb": "setHealth", "on": good, "cheap": stored}
-        case i.Advise(value):
+        case AdvertiseLevel(value):
             body = {"verb": "say", "level": value}
-        case i.IdleClose(after):
+        case SetIdleTimeout(after):
             body = {"verb": "keepalive", "keepFor": after}
-        case i.Wake(at, token):
+        case SetTimer(at, token):
             body = {"verb": "arm", "alarmTime": at, "label": token}
-        case i.Note(text):
+        case LogMessage(text):
             body = {"verb": "record", "noteText": text}
     body["worker"] = worker
     return json.dumps(body, separators=(",", ":"))
@@ -164,10 +192,10 @@
             now = None
             continue
         number = f.integer("worker")
-        event: i.Event
+        event: Event
         if verb == "boot":
             workers[number] = Worker(f)
-            event = i.Started()
+            event = Started()
         elif number not in workers:
             raise WireError(f"{verb}: field worker names one that never booted: {number}")
         elif verb == "teardown":
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -7,8 +7,8 @@
 
 from saltcart.core.ports import Answer, Verdict
 from saltcart.core.service import InvalidRequestError, Service
+from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.front.fields import read_ask
-from saltcart.interface import Entry
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire.errors import MalformedMessageError
 
@@ -69,13 +69,13 @@
         if check is None:
             return False
         now = self.service.clock()
-        entry = Entry.GO if check else storms.admits(now, self.source)
-        if entry is Entry.STOP:
+        entry = ConnectionAdmission.READ if check else storms.admits(now, self.source)
+        if entry is ConnectionAdmission.REFUSE:
             back = storms.unread(now, self.source)
             answer = Answer(Verdict.REFUSED, come_back=back.after, final=back.final)
             self.cut_off(503, b"", answer_fields(answer))
             return False
-        self.entered, self.last = True, entry is Entry.LAST
+        self.entered, self.last = True, entry is ConnectionAdmission.READ_LAST
         return True
 
     def step(self) -> bool:
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -15,7 +15,7 @@
 from saltcart.budget.judge import Judge
 from saltcart.budget.run import Attempt, Part
 from saltcart.budget.sketch import Quantiles
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices
 from saltcart.lab.budgets import FULL, QUICK, Play
 
@@ -49,7 +49,7 @@
         before = self.limit.value
         super().ended(now, attempt, outcome, overtaken)
         took, base = max(1e-4, now - attempt.begun), getattr(self, "base", 10.0)
-        if outcome is Outcome.OK:
+        if outcome is Outcome.SUCCEEDED:
             self.base = base = min(base * 1.001, took)
         ratio = max(0.5, min(1.0, 2 * base / took))
         aimed = before * ratio + sqrt(before)
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -29,7 +29,8 @@
 from saltcart.budget.run import Ended, GiveUp, Mark, Order, Orders, Part, Run, Send
 from saltcart.core.ports import Answer, Ask
 from saltcart.core.service import STOP_MARGIN, Service
-from saltcart.interface import Effect, Outcome, Settings
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import Effect, Settings
 from saltcart.lab import offices
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.events import Events, Ticks, host
@@ -83,7 +84,7 @@
 
     def _took(self, now: float, run: Run, name: str) -> float:
         fate = self.places[name].fate(now, request_of(run.ident))
-        return fate.took if fate.took is not None and fate.outcome is Outcome.OK else 0.0
+        return fate.took if fate.took is not None and fate.outcome is Outcome.SUCCEEDED else 0.0
 
     def stage(self, now: float, run: Run) -> Limits | None:
         horizon = run.aim_at - run.plan.reserve_ms / 1000
@@ -96,9 +97,9 @@
     def fits(self, now: float, part: Part, dependency: Dependency) -> bool:
         place, request = self.places[dependency.spec.name], request_of(part.run.ident)
         fates = [place.fate(now, request, ahead) for ahead in (0, 1)]
-        if fates[0].outcome is not Outcome.OK and dependency.allowance.saved < 1:
+        if fates[0].outcome is not Outcome.SUCCEEDED and dependency.allowance.saved < 1:
             return False
-        good = next((f for f in fates if f.outcome is Outcome.OK and f.took is not None), None)
+        good = next((f for f in fates if f.outcome is Outcome.SUCCEEDED and f.took is not None), None)
         return good is not None and good.took is not None and now + good.took <= part.until
 
     def again(self, now: float, part: Part, dependency: Dependency) -> bool:
@@ -265,7 +266,7 @@
 
     def _arrive(self, n: int, nth: int) -> None:
         now, spec = self.events.now, self.settings.classes[self.kinds[n]]
-        keyed = spec.effect is Effect.KEYED
+        keyed = spec.effect is Effect.IDEMPOTENT_BY_KEY
         ident = b"%016x" % (n + (nth << 32))
         ask = Ask(
             ident,
@@ -280,12 +281,12 @@
         )
         gone, chance = self.leaves[n]
         if not nth:
-            self.tally.offered += spec.worth
+            self.tally.offered += spec.priority_weight
             if keyed and chance < REPEATED:
                 self.events.at(now + 0.2, self._arrive, n, 1)
         number = self.service.arrive(ask, lambda answer: self._answered(n, nth, now, answer))
         if gone < self.day.leaving and not nth:
-            self.events.at(now + 0.05 + chance * spec.aim / 2, self._leave, n, number)
+            self.events.at(now + 0.05 + chance * spec.latency_objective / 2, self._leave, n, number)
 
     def _leave(self, n: int, number: int) -> None:
         if not self.answered[n]:
@@ -302,8 +303,8 @@
             return
         self.answered[n] += 1
         self.histogram.record_value(max(1, int(took * 1e6)))
-        if answer.verdict.value == "served" and took <= spec.aim:
-            worth = spec.worth * (1 - sum(self.worths[spec.name][name] for name in answer.left_out))
+        if answer.verdict.value == "served" and took <= spec.latency_objective:
+            worth = spec.priority_weight * (1 - sum(self.worths[spec.name][name] for name in answer.left_out))
             tally.earned += worth
             tally.by_second[int(begun - self.origin)] += worth
 
@@ -392,7 +393,7 @@
         now += 1 / RATE
         while replies and replies[0][0] <= now:
             when, _, ident = heapq.heappop(replies)
-            orders += desk.tick(when) + desk.reply(when, ident, Outcome.OK, b'{"ok":1}')
+            orders += desk.tick(when) + desk.reply(when, ident, Outcome.SUCCEEDED, b'{"ok":1}')
         orders += desk.tick(now)
         orders += desk.start(now, b"%016x" % n, kinds[n % 1000], "", b'{"n":1}', now + 1, now + 2)
         for order in orders:
--- a/saltcart/lab/dependency.py
+++ b/saltcart/lab/dependency.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 
 ASKED_AT_MOST = 6  # tries of one request at one dependency for which times are drawn
 
@@ -67,12 +67,12 @@
         trouble = self._trouble(t)
         took, wait = self.times[request][nth], max(0.0, self.workers[0] - now)
         if trouble is None:
-            return Fate(Outcome.OK, wait + took, took)
+            return Fate(Outcome.SUCCEEDED, wait + took, took)
         if trouble.silent_at(t):
-            return Fate(Outcome.TIMEOUT, None)
+            return Fate(Outcome.TIMED_OUT, None)
         if self.luck[request][nth] < trouble.errors:
-            return Fate(Outcome.ERROR, wait + took / 4, took / 4)
-        return Fate(Outcome.OK, wait + took * trouble.slower + trouble.late, took * trouble.slower)
+            return Fate(Outcome.FAILED, wait + took / 4, took / 4)
+        return Fate(Outcome.SUCCEEDED, wait + took * trouble.slower + trouble.late, took * trouble.slower)
 
     def call(self, now: float, request: int, told: Callable[[float, Outcome], None]) -> None:
         """A call arrives; ``told`` is given the moment and the kind of its reply, if there ever is one."""
@@ -82,5 +82,5 @@
         if fate.took is None:
             return
         heapq.heapreplace(self.workers, max(now, self.workers[0]) + fate.busy)
-        self.done[request] += fate.outcome is Outcome.OK
+        self.done[request] += fate.outcome is Outcome.SUCCEEDED
         told(now + fate.took, fate.outcome)
--- a/saltcart/lab/sockets.py
+++ b/saltcart/lab/sockets.py
@@ -77,11 +77,11 @@
             answer = await call(at, request(n, spec.name, model.ranks[n], spec.deadline), spec.deadline + 1)
         except (OSError, TimeoutError):
             return 0.0, 0
-        if answer.status != 200 or loop.time() - sent > spec.aim:
+        if answer.status != 200 or loop.time() - sent > spec.latency_objective:
             return 0.0, answer.status
         left = answer.headers.get(b"left-out", b"").decode()
         lost = sum(model.worths[spec.name][name] for name in left.split(", ") if name)
-        return spec.worth * (1 - lost), 200
+        return spec.priority_weight * (1 - lost), 200
 
     ends = await asyncio.gather(*(one(n) for n in range(len(model.arrivals))))
     return sum(worth for worth, _ in ends), [status for _, status in ends]
--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 from saltcart.lab.dependency import ModelDependency
 from saltcart.net.base import Connection
 from saltcart.wire import ajp
@@ -172,6 +172,8 @@
         self.place.call(
             now,
             request,
-            lambda when, outcome: acts.append(Act("ok" if outcome is Outcome.OK else "error", when - now)),
+            lambda when, outcome: acts.append(
+                Act("ok" if outcome is Outcome.SUCCEEDED else "error", when - now)
+            ),
         )
         return acts[-1]
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -21,10 +21,13 @@
 
 import numpy as np
 
-from saltcart import interface as i
 from saltcart.core.ports import Answer, Ask, Verdict
 from saltcart.core.request import Request as CoreRequest
 from saltcart.core.service import Service
+from saltcart.decision.actions import Reject
+from saltcart.decision.connection_admission import ConnectionAdmission
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import ClassSpec, Effect, LoadSignal, Preemption, Settings, TenantSpec
 from saltcart.lab.events import Events, host
 from saltcart.storm.capacity import Strength
 from saltcart.storm.damper import Damper
@@ -34,8 +37,8 @@
 WORK = 0.4  # seconds of one warm core, in the mean
 CORES, LOAD = 2, 0.65
 CLASSES = (
-    i.ClassSpec("pregled-statusa", i.Effect.SAFE, 2.0, 4.0, 1.0),
-    i.ClassSpec("oddaja", i.Effect.KEYED, 1.6, 4.0, 5.0, window=12.0),
+    ClassSpec("pregled-statusa", Effect.SAFE, 2.0, 4.0, 1.0),
+    ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.6, 4.0, 5.0, key_window=12.0),
 )
 KEYED = 0.25  # of the requests
 TENANTS = ("loud", "quiet-1", "quiet-2", "quiet-3")
@@ -49,22 +52,22 @@
 
 PER_NODE = LOAD * CORES / (WORK * (1 + READING))  # requests a second
 
-SETTINGS = i.Settings(
+SETTINGS = Settings(
     classes=CLASSES,
     cores=CORES,
     memory_kb=1e6,
     answer_slack=0.08,
     drain_grace=1.0,
-    crowd_limit=8.0,
-    crowd_span=2.0,
-    cold_from=0.3,
-    cold_span=8.0,
-    entry_kb=1.0,
-    preemption=i.Preemption.DROP,
-    signal=i.Signal.NONE,
-    max_stay_away=1.0,
-    idle=30.0,
-    step=0.01,
+    max_running_per_core=8.0,
+    max_running_span=2.0,
+    cold_speed_share=0.3,
+    warm_up_seconds=8.0,
+    key_entry_kb=1.0,
+    preemption=Preemption.DROP,
+    signal=LoadSignal.NONE,
+    max_retry_after=1.0,
+    client_idle_timeout=30.0,
+    batch_interval=0.01,
 )
 
 
@@ -133,9 +136,9 @@
     def born(self, cold: bool) -> None:
         fleet, events = self.fleet, self.fleet.events
         self.life += 1
-        settings = replace(SETTINGS, servers=fleet.day.nodes)
+        settings = replace(SETTINGS, replica_count=fleet.day.nodes)
         if fleet.tenants:
-            settings = replace(settings, tenants=fleet.tenants, over_quota_worth=0.0)
+            settings = replace(settings, tenants=fleet.tenants, over_quota_weight_share=0.0)
         service = self.service = Service(
             settings,
             ("cpu_busy", "runnable"),
@@ -145,8 +148,8 @@
             key_room=1 << 30,
         )
         service.runs = Runs(self, service)
-        decide = service.actions[i.TurnAway]
-        service.actions[i.TurnAway] = lambda action: self._turned_away(service, action, decide)
+        decide = service.actions[Reject]
+        service.actions[Reject] = lambda action: self._turned_away(service, action, decide)
         service.pool_up(cold, 0.0 if cold else 100.0)
         self.strength = Strength(service.settings, events.now)
         self.damper: Damper | None = None
@@ -162,7 +165,7 @@
             service.storms = self.damper
         host(events, service)
 
-    def _turned_away(self, service: Service, action: i.TurnAway, decide: Callable[..., None]) -> None:
+    def _turned_away(self, service: Service, action: Reject, decide: Callable[..., None]) -> None:
         """Whatever the module gives up is looked at again a tenth of a second later: it must be answered."""
         request = service.requests.get(action.id)
         decide(action)
@@ -201,9 +204,9 @@
         """A connection with a request on it."""
         now, fleet = self.fleet.events.now, self.fleet
         source = source_of(request)
-        entry = i.Entry.GO if self.damper is None else self.damper.admits(now, source)
-        request.last = entry is i.Entry.LAST
-        if self.damper is not None and entry is i.Entry.STOP:
+        entry = ConnectionAdmission.READ if self.damper is None else self.damper.admits(now, source)
+        request.last = entry is ConnectionAdmission.READ_LAST
+        if self.damper is not None and entry is ConnectionAdmission.REFUSE:
             back = self.damper.unread(now, source)
             self.unread.append(UNREAD_ONE)
             fleet.answered(request, self, Answer(Verdict.REFUSED, come_back=back.after), marks=False)
@@ -259,7 +262,7 @@
         spec = CLASSES[request.klass]
         request.tries += 1
         request.ident = b"%016x" % ((request.number << 12) + (request.tries & 0xFFF))
-        keyed = spec.effect is i.Effect.KEYED
+        keyed = spec.effect is Effect.IDEMPOTENT_BY_KEY
         ask = Ask(
             request.ident,
             spec.name,
@@ -279,7 +282,7 @@
         if not self._free(power):
             return
         if ident in service.by_ident:
-            service.run_ended(ident, i.Outcome.OK, took, b"done")
+            service.run_ended(ident, Outcome.SUCCEEDED, took, b"done")
         self.work()
 
 
@@ -304,7 +307,7 @@
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
         request = self.node.fleet.requests[int(ident, 16) >> 12]
-        if CLASSES[request.klass].effect is i.Effect.KEYED:
+        if CLASSES[request.klass].effect is Effect.IDEMPOTENT_BY_KEY:
             self.node.fleet.ran(self.node.number, self.life, request)
         self.node.ready.append((self.service, ident))
         self.node.work()
@@ -313,7 +316,7 @@
         self.node.fleet.events.at(self.node.fleet.events.now, self._stopped, ident)
 
     def _stopped(self, ident: bytes) -> None:
-        self.service.run_ended(ident, i.Outcome.CANCELLED, 0.0, b"")
+        self.service.run_ended(ident, Outcome.CANCELLED, 0.0, b"")
 
     def proceed(self, ident: bytes) -> None: ...
     def supply(self, ident: bytes, reply: bytes) -> None: ...
@@ -330,11 +333,11 @@
         self.day, self.policy, self.seed, self.events = day, policy, seed, Events(0.0)
         rng = np.random.default_rng([seed, day.nodes])
         rate = PER_NODE * day.nodes
-        self.tenants: tuple[i.TenantSpec, ...] = ()
+        self.tenants: tuple[TenantSpec, ...] = ()
         names = [""]
         if day.loud or day.quiet_alone:
             part = 1 / len(TENANTS)
-            self.tenants = tuple(i.TenantSpec(n, 1.3 * rate * part, part) for n in TENANTS)
+            self.tenants = tuple(TenantSpec(n, 1.3 * rate * part, part) for n in TENANTS)
             names = list(TENANTS)
         births = self._births(rng, rate, names)
         count = len(births)
@@ -411,7 +414,7 @@
         found = node.service.by_ident.get(request.ident)
         if found is not None:
             node.service.abandon(found.number)
-        keyed = CLASSES[request.klass].effect is i.Effect.KEYED
+        keyed = CLASSES[request.klass].effect is Effect.IDEMPOTENT_BY_KEY
         self.later(request, self.rng.uniform(*HURRY), request.at if keyed else self.next(request))
 
     def answered(
@@ -424,13 +427,13 @@
         spec = CLASSES[request.klass]
         if answer.verdict is Verdict.SERVED:
             request.done = True
-            if now - request.born <= spec.aim:
-                self.earned[request.tenant, int(request.born)] += spec.worth  # type: ignore[assignment]
+            if now - request.born <= spec.latency_objective:
+                self.earned[request.tenant, int(request.born)] += spec.priority_weight  # type: ignore[assignment]
             return
         if marks and node.damper is not None and answer.come_back > 0:
             node.damper.tell(now, source_of(request), answer.come_back)
         wait, at = self.rng.uniform(*HURRY), self.next(request)
-        if answer.verdict is Verdict.FAILED and spec.effect is i.Effect.KEYED:
+        if answer.verdict is Verdict.FAILED and spec.effect is Effect.IDEMPOTENT_BY_KEY:
             at = node.number  # it may have run there
         if self.policy == "bound":
             wait = min(20.0, 0.3 * 2 ** min(8, request.tries)) * self.rng.uniform(0.5, 1.5)
@@ -443,7 +446,7 @@
     def ran(self, node: int, life: int, request: Request) -> None:
         """A keyed request is run: twice within the window of the try that ran is a broken rule."""
         came, key = self.sent[request.number], (node, life, request.number)
-        self.seen.twice += key in self.runs and came <= self.runs[key] + CLASSES[request.klass].window
+        self.seen.twice += key in self.runs and came <= self.runs[key] + CLASSES[request.klass].key_window
         self.runs[key] = came
 
     # ---- the day ------------------------------------------------------------------------------
@@ -467,7 +470,7 @@
         seen.took = time.perf_counter() - begun
         offered = Counter[tuple[str, int]]()
         for request in self.requests:
-            offered[request.tenant, int(request.born)] += CLASSES[request.klass].worth  # type: ignore[assignment]
+            offered[request.tenant, int(request.born)] += CLASSES[request.klass].priority_weight  # type: ignore[assignment]
         seconds = int(day.seconds) - 4  # those born later may still be under way
         for second in range(seconds):
             mine = [sum(c[t, second] for t in {k[0] for k in offered}) for c in (self.earned, offered)]
--- a/saltcart/lab/storm_sockets.py
+++ b/saltcart/lab/storm_sockets.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from saltcart.interface import Effect
+from saltcart.decision.settings import Effect
 from saltcart.lab.faults.programs import Program, call, fleet, request, settings, start_all
 from saltcart.lab.standins import Act, AjpStandIn, Asked
 from saltcart.lab.storm import CLASSES, HURRY, KEYED, recovered
@@ -53,7 +53,7 @@
     def __call__(self, asked: Asked) -> Act:
         number, now = int(orjson.loads(asked.body)["n"]), time.time()
         key = self.life, number
-        window = CLASSES[1].window
+        window = CLASSES[1].key_window
         if number >= 0:  # a keyed one: not again within the window of the run before
             self.twice += key in self.began and now - self.began[key] <= window
             self.began[key] = now
@@ -96,10 +96,10 @@
             {
                 "name": c.name,
                 "effect": "read_like" if c.effect is Effect.SAFE else "idempotency_key",
-                "onTime": c.aim,
+                "onTime": c.latency_objective,
                 "deadline": c.deadline,
-                "worth": c.worth,
-                "memorySpan": c.window,
+                "worth": c.priority_weight,
+                "memorySpan": c.key_window,
             }
             for c in CLASSES
         ]
@@ -133,7 +133,7 @@
         loop, spec, rng = asyncio.get_running_loop(), CLASSES[self.kinds[n]], random.Random(n)
         await asyncio.sleep(begun + self.births[n] - loop.time())
         second, at = int(self.births[n]), 0
-        self.seen.offered[second] += int(spec.worth)
+        self.seen.offered[second] += int(spec.priority_weight)
         while loop.time() - begun < SECONDS + TAIL:
             node, sent = self.orders[n][at % NODES], loop.time()
             self.seen.tries += 1
@@ -150,8 +150,8 @@
             else:
                 self.seen.late += loop.time() - sent > spec.deadline + SLACK
                 if answer.status == 200:
-                    if loop.time() - begun - self.births[n] <= spec.aim:
-                        self.seen.earned[second] += int(spec.worth)
+                    if loop.time() - begun - self.births[n] <= spec.latency_objective:
+                        self.seen.earned[second] += int(spec.priority_weight)
                     return
                 if answer.status == 500 and self.kinds[n]:
                     follow = at
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from saltcart.core.ports import Log
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
 from saltcart.wire import ajp
@@ -140,7 +140,7 @@
             self.ended(ident, Outcome.CANCELLED, 0.0, b"")
         elif (error := task.exception()) is not None:
             self.log("error", id=ident.decode(), error=repr(error))
-            self.ended(ident, Outcome.ERROR, 0.0, b"")
+            self.ended(ident, Outcome.FAILED, 0.0, b"")
 
     # ---- one run ------------------------------------------------------------------------------
 
@@ -148,7 +148,7 @@
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float
     ) -> None:
         loop = asyncio.get_running_loop()
-        begun, outcome, result = loop.time(), Outcome.ERROR, b""
+        begun, outcome, result = loop.time(), Outcome.FAILED, b""
         try:
             async with asyncio.timeout(max(0.0, within)):
                 outcome, result = await self._try_members(ident, klass, account, body, once, begun + within)
@@ -164,7 +164,7 @@
         tried, repeats = set[Member](), 0 if once else 1
         loop, chooser = asyncio.get_running_loop(), self.chooser
         if chooser is not None and not chooser.arrived(klass):
-            return Outcome.MOOT, b""
+            return Outcome.NOT_STARTED, b""
         while (member := self._choose(klass, tried, once)) is not None:
             tried.add(member)
             sent, good, refused = loop.time(), False, False
@@ -177,7 +177,7 @@
             except OSError as error:
                 self.log("member-lost", member=member.host, id=ident.decode(), error=str(error))
                 if not repeats:
-                    return Outcome.ERROR, b""
+                    return Outcome.FAILED, b""
                 repeats -= 1
                 tried.discard(member)
                 continue
@@ -186,8 +186,8 @@
                     chooser.ended(member.host, good, loop.time() - sent, refused)
             if response.status in REFUSED:
                 continue
-            return (Outcome.OK, response.body) if response.status == 200 else (Outcome.ERROR, b"")
-        return Outcome.MOOT, b""  # every member proved that it never ran
+            return (Outcome.SUCCEEDED, response.body) if response.status == 200 else (Outcome.FAILED, b"")
+        return Outcome.NOT_STARTED, b""  # every member proved that it never ran
 
     def _choose(self, klass: str, tried: set[Member], once: bool) -> Member | None:
         if self.chooser is not None:
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -13,7 +13,8 @@
 from saltcart.budget.plan import Dependency, Plans
 from saltcart.budget.run import Ended, GiveUp, Order, Orders, Send
 from saltcart.core.ports import Log, RunEvents
-from saltcart.interface import ClassSpec, Outcome
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import ClassSpec
 from saltcart.net.index import IndexClient
 from saltcart.net.upstreams import Upstreams
 
@@ -143,7 +144,7 @@
             spec.upstream or "", order.ident, spec.name, order.tenant, order.body, order.within, self._told
         ):
             # In the next turn: the desk is told of ends after its orders, never among them.
-            self.loop.call_soon(self._told, order.ident, Outcome.MOOT, b"")
+            self.loop.call_soon(self._told, order.ident, Outcome.NOT_STARTED, b"")
 
     def _told(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
         self._carry_out(self.desk.reply(self._time(), ident, outcome, reply))
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from saltcart.core.ports import CallEvents, Log
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
 from saltcart.wire import index as wire
@@ -18,10 +18,10 @@
 
 # Only SHED and NOBODY prove that the call never ran, and a connection that was never made.
 ENDS = {
-    b"HIT": Outcome.OK,
+    b"HIT": Outcome.SUCCEEDED,
     b"SHED": Outcome.REJECTED,
-    b"BROKEN": Outcome.ERROR,
-    b"SLOW": Outcome.TIMEOUT,
+    b"BROKEN": Outcome.FAILED,
+    b"SLOW": Outcome.TIMED_OUT,
     b"NOBODY": Outcome.REJECTED,
 }
 CONNECT_WAIT = 2.0
@@ -219,7 +219,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
         if connection.call is not None:
-            self.ended(connection.call, Outcome.BROKEN, b"")
+            self.ended(connection.call, Outcome.BROKEN_OFF, b"")
         else:
             self._serve_waiting()
 
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from saltcart.core.ports import Log, RunEvents
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 from saltcart.net.base import Link, LinkConnection, address
 from saltcart.wire import pool as wire
 from saltcart.wire.errors import MalformedMessageError
@@ -15,7 +15,12 @@
 SILENCE, TURN = 2.0, 0.1
 EARLIER = 1.0  # a pool that is this much younger than it must be has been started anew
 DOUBT = 0.3  # an old link is heard this long on what it was told last, before the next one is opened
-ENDS = {b"PASS": Outcome.OK, b"FAIL": Outcome.ERROR, b"KILLED": Outcome.CANCELLED, b"NOOP": Outcome.MOOT}
+ENDS = {
+    b"PASS": Outcome.SUCCEEDED,
+    b"FAIL": Outcome.FAILED,
+    b"KILLED": Outcome.CANCELLED,
+    b"NOOP": Outcome.NOT_STARTED,
+}
 
 
 class Pulse:
@@ -119,7 +124,7 @@
             case wire.Blocked(ident, notice, body):
                 self.events.run_blocked(ident, notice, body)
             case wire.Finished(ident, end, took, result):
-                self.events.run_ended(ident, ENDS.get(end, Outcome.ERROR), took, result)
+                self.events.run_ended(ident, ENDS.get(end, Outcome.FAILED), took, result)
             case wire.Bound(loaded, age):
                 if self.pulse.bound(asyncio.get_running_loop().time(), age):
                     self.log("pool-restarted", age=age)
@@ -131,7 +136,7 @@
             case wire.Unknown(command, ident):
                 self.log("pool-unknown", command=command.decode("latin-1"), id=ident.decode("latin-1"))
                 # No spawn: nothing was started.  Another command: the run is none of the pool's any more.
-                outcome = Outcome.MOOT if command == b"spawn" else Outcome.ERROR
+                outcome = Outcome.NOT_STARTED if command == b"spawn" else Outcome.FAILED
                 self.session.forget(ident)
                 self.events.run_ended(ident, outcome, 0.0, b"")
 
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from saltcart.core.ports import Log, RunEvents
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment, UpstreamConf
-from saltcart.interface import Outcome
 from saltcart.net.ajp import AjpUpstream, Member
 
 Told = Callable[[bytes, Outcome, bytes], None]
@@ -61,7 +61,7 @@
         name = self.by_tenant.get(account)
         upstream = self.by_name.get(name) if name else next(iter(self.by_name.values()), None)
         if upstream is None:
-            self.events.run_ended(ident, Outcome.MOOT, 0.0, b"")
+            self.events.run_ended(ident, Outcome.NOT_STARTED, 0.0, b"")
             return
         self.where[ident] = upstream
         upstream.spawn(ident, klass, account, body, once, within)
--- a/saltcart/settings.py
+++ b/saltcart/settings.py
@@ -9,21 +9,30 @@
 import math
 from typing import Any
 
-from saltcart import interface as i
+from saltcart.decision.settings import (
+    ClassSpec,
+    DependencyKind,
+    Effect,
+    LoadSignal,
+    ObjectiveWeights,
+    Preemption,
+    Settings,
+    TenantSpec,
+)
 
 EFFECTS = {
-    "read_like": i.Effect.SAFE,
-    "idempotency_key": i.Effect.KEYED,
-    "non_idempotent": i.Effect.UNSAFE,
+    "read_like": Effect.SAFE,
+    "idempotency_key": Effect.IDEMPOTENT_BY_KEY,
+    "non_idempotent": Effect.NON_IDEMPOTENT,
 }
-PREEMPTION = {"none": i.Preemption.NONE, "drop": i.Preemption.DROP, "pause": i.Preemption.PAUSE}
+PREEMPTION = {"none": Preemption.NONE, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
 SIGNALS = {
-    "none": i.Signal.NONE,
-    "level": i.Signal.LEVEL,
-    "credit": i.Signal.CREDIT,
-    "weight": i.Signal.WEIGHT,
+    "none": LoadSignal.NONE,
+    "level": LoadSignal.LEVEL,
+    "credit": LoadSignal.CREDIT,
+    "weight": LoadSignal.WEIGHT,
 }
-BELOW = {"none": i.Below.NONE, "shared": i.Below.SHARED, "tier": i.Below.TIER}
+BELOW = {"none": DependencyKind.NONE, "shared": DependencyKind.SHARED, "tier": DependencyKind.TIER}
 MOST = 1e15  # in whatever unit: beyond it sums of times and sizes lose their meaning, and end in infinity
 _ABSENT: Any = object()
 
@@ -97,7 +106,7 @@
         return table[value]
 
 
-def read_settings(f: Fields) -> i.Settings:
+def read_settings(f: Fields) -> Settings:
     """The wire's settings in the module's words."""
     extra, contract = f.part("extra"), f.part("contract")
     limits = Fields(f.raw.get("limits") or {}, f"{f.where}.limits")
@@ -107,7 +116,7 @@
     services = f.array("services")
     if not services:
         raise WireError(f"{f.where}: field services is empty")
-    classes: list[i.ClassSpec] = []
+    classes: list[ClassSpec] = []
     for n, raw in enumerate(services):
         s = Fields(raw, f"{f.where}.services[{n}]")
         skip = skips[n] if n < len(skips) else 0.0
@@ -122,19 +131,19 @@
         if any(called == c.name for c in classes):
             raise WireError(f"{s.where}: field name stands for two classes: {called}")
         classes.append(
-            i.ClassSpec(
+            ClassSpec(
                 name=called,
                 effect=s.choice("effect", EFFECTS),
-                aim=s.number("onTime", low=1e-6),
+                latency_objective=s.number("onTime", low=1e-6),
                 deadline=s.number("deadline", low=1e-6),
-                worth=s.number("worth"),
-                late_worth=s.number("lateValue", 0.0),
-                window=s.number("memorySpan", 0.0),
-                calls_below=n < len(calls) and calls[n],
-                skip_worth=float(skip),
+                priority_weight=s.number("worth"),
+                late_weight_share=s.number("lateValue", 0.0),
+                key_window=s.number("memorySpan", 0.0),
+                calls_dependency=n < len(calls) and calls[n],
+                skipped_call_weight_share=float(skip),
             )
         )
-    tenants: list[i.TenantSpec] = []
+    tenants: list[TenantSpec] = []
     for n, raw in enumerate(f.array("orgs", [])):
         t = Fields(raw, f"{f.where}.orgs[{n}]")
         called = t.text("name")
@@ -142,41 +151,41 @@
             raise WireError(f"{t.where}: field name is not one that a header can carry")
         if any(called == known.name for known in tenants):
             raise WireError(f"{t.where}: field name stands for two tenants: {called}")
-        tenants.append(i.TenantSpec(called, t.number("quotaPerS", 0.0), t.number("share", 0.0)))
+        tenants.append(TenantSpec(called, t.number("quotaPerS", 0.0), t.number("share", 0.0)))
     stays = limits.flag("retryAfter", False)
-    return i.Settings(
+    return Settings(
         classes=tuple(classes),
         tenants=tuple(tenants),
         cores=extra.integer("cores", low=1, high=MOST),
         memory_kb=extra.number("memLimitKb", low=1e-6),
         answer_slack=contract.number("answerSlack"),
         drain_grace=contract.number("drainGrace"),
-        crowd_limit=contract.number("fallMultiple", low=1),
-        crowd_span=contract.number("fall"),
-        cold_from=contract.number("coldFrom", 1.0, high=1),
-        cold_span=contract.number("cold", 0.0),
-        cold=extra.flag("cold", False),
-        over_quota_worth=f.number("overShareWorth", 1.0),
-        goal=i.Goal(
+        max_running_per_core=contract.number("fallMultiple", low=1),
+        max_running_span=contract.number("fall"),
+        cold_speed_share=contract.number("coldFrom", 1.0, high=1),
+        warm_up_seconds=contract.number("cold", 0.0),
+        starts_cold=extra.flag("cold", False),
+        over_quota_weight_share=f.number("overShareWorth", 1.0),
+        objective=ObjectiveWeights(
             mix.number("whole", 1.0),
             mix.number("worstWindow", 0.0),
             mix.number("worstClass", 0.0),
             mix.number("worstTenant", 0.0),
         ),
-        preemption=extra.choice("preemption", PREEMPTION, i.Preemption.NONE),
-        signal=extra.choice("signal", SIGNALS, i.Signal.NONE),
-        below=extra.choice("below", BELOW, i.Below.NONE),
-        call_share=extra.number("depShare", None),
-        call_span=extra.number("shareSpan", 0.0),
-        call_linger=extra.number("linger", 0.0),
-        run_factor=extra.number("runFactor", 1.0, low=1),
-        entry_kb=extra.number("keyKb", 0.0),
-        fresh=extra.number("fresh", 0.0),
-        heard_for=extra.number("heardFor", 0.0),
-        idle=extra.number("idle", 0.0),
-        max_stay_away=limits.number("maxRetryAfter", 0.0) if stays else 0.0,
-        servers=f.integer("replicasOfMe", 1, high=MOST),
-        callers=extra.integer("clientsTotal", 1, high=MOST),
-        step=f.number("quantum", 0.001, low=1e-6),
+        preemption=extra.choice("preemption", PREEMPTION, Preemption.NONE),
+        signal=extra.choice("signal", SIGNALS, LoadSignal.NONE),
+        dependency=extra.choice("below", BELOW, DependencyKind.NONE),
+        dependency_call_share=extra.number("depShare", None),
+        dependency_call_span=extra.number("shareSpan", 0.0),
+        abandoned_call_seconds=extra.number("linger", 0.0),
+        run_memory_factor=extra.number("runFactor", 1.0, low=1),
+        key_entry_kb=extra.number("keyKb", 0.0),
+        read_freshness_seconds=extra.number("fresh", 0.0),
+        signal_lifetime=extra.number("heardFor", 0.0),
+        client_idle_timeout=extra.number("idle", 0.0),
+        max_retry_after=limits.number("maxRetryAfter", 0.0) if stays else 0.0,
+        replica_count=f.integer("replicasOfMe", 1, high=MOST),
+        client_count=extra.integer("clientsTotal", 1, high=MOST),
+        batch_interval=f.number("quantum", 0.001, low=1e-6),
         tier=f.integer("tier", 0),
     )
--- a/saltcart/storm/capacity.py
+++ b/saltcart/storm/capacity.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saltcart.interface import Settings
+from saltcart.decision.settings import Settings
 
 
 class Strength:
@@ -14,9 +14,9 @@
     def at(self, when: float) -> float:
         s = self.settings
         age = max(0.0, when - self.started)
-        if not s.cold or age >= s.cold_span:
+        if not s.starts_cold or age >= s.warm_up_seconds:
             return 1.0
-        return s.cold_from + (1 - s.cold_from) * age / s.cold_span
+        return s.cold_speed_share + (1 - s.cold_speed_share) * age / s.warm_up_seconds
 
 
 class Throughput:
--- a/saltcart/storm/damper.py
+++ b/saltcart/storm/damper.py
@@ -9,7 +9,8 @@
 import random
 from typing import NamedTuple
 
-from saltcart.interface import Entry, Settings
+from saltcart.decision.connection_admission import ConnectionAdmission
+from saltcart.decision.settings import Settings
 from saltcart.storm.appointments import Appointments
 from saltcart.storm.calendar import LEAST_SHARE, Calendar
 from saltcart.storm.capacity import Strength, Throughput
@@ -78,7 +79,7 @@
 
     # ---- what the fronts and the core tell ----------------------------------------------------
 
-    def admits(self, now: float, source: int) -> Entry:
+    def admits(self, now: float, source: int) -> ConnectionAdmission:
         """A connection of this source (a digest of its address) brings a request: may it be read?"""
         self.now, self.gated = now, True
         self.weather.offered(now)
@@ -92,8 +93,8 @@
         # How early a source comes tells nothing here: behind one address there may be many callers.
         last = not alone and count > CROWD * part
         if not self.gate.admits(now, last, 0.0 if alone else weight(count, CROWD * part)):
-            return Entry.STOP
-        return Entry.LAST if last else Entry.GO
+            return ConnectionAdmission.REFUSE
+        return ConnectionAdmission.READ_LAST if last else ConnectionAdmission.READ
 
     def arrived(
         self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
--- a/saltcart/succession.py
+++ b/saltcart/succession.py
@@ -17,8 +17,8 @@
 from saltcart.core.keys import Entry
 from saltcart.core.ports import Log
 from saltcart.core.service import Service
+from saltcart.decision.events import PredecessorLoad
 from saltcart.front.connection import FrontConnection
-from saltcart.interface import Beside
 from saltcart.net.announcer import Announcer
 from saltcart.net.handover import Doorway, HandoverLink
 from saltcart.net.index import IndexClient
@@ -56,7 +56,7 @@
         self.told = False  # all of its keys are known
         self.told_at: float | None = None  # when it was told to stop, after it had handed over
         self.within, self.over = 0.0, False
-        self.load: tuple[Beside, int] | None = None  # what the new process was told last
+        self.load: tuple[PredecessorLoad, int] | None = None  # what the new process was told last
         self.beside = 0  # connections of the process before
         self.looking: asyncio.TimerHandle | None = None
         self.attaching = set[asyncio.Task[None]]()
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -7,7 +7,7 @@
 import orjson
 
 from saltcart.core.keys import Entry
-from saltcart.interface import Beside
+from saltcart.decision.events import PredecessorLoad
 from saltcart.wire.errors import MalformedMessageError
 
 VERSION = 1
@@ -76,16 +76,22 @@
         raise MalformedMessageError(f"handover: {error!r}") from None
 
 
-def of_load(load: Beside, connections: int) -> Packet:
+def of_load(load: PredecessorLoad, connections: int) -> Packet:
     """What the old process still has: on the cores, in the memory, and of the clients' connections."""
-    return Packet("beside", {**load._asdict(), "connections": connections})
-
-
-def to_load(packet: Packet) -> tuple[Beside, int]:
-    on_core, calling, memory_kb, connections = (
-        real(packet.fields.get(name)) for name in (*Beside._fields, "connections")
+    fields = {
+        "on_core": load.running,
+        "calling": load.calling,
+        "memory_kb": load.memory_kb,
+        "connections": connections,
+    }
+    return Packet("beside", fields)
+
+
+def to_load(packet: Packet) -> tuple[PredecessorLoad, int]:
+    running, calling, memory_kb, connections = (
+        real(packet.fields.get(name)) for name in ("on_core", "calling", "memory_kb", "connections")
     )
-    return Beside(int(on_core), int(calling), memory_kb), int(connections)
+    return PredecessorLoad(int(running), int(calling), memory_kb), int(connections)
 
 
 def real(value: object) -> float:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,34 +5,43 @@
 from dataclasses import replace
 from typing import Any
 
-from saltcart import interface as i
 from saltcart.core.ports import Answer, Ask
 from saltcart.core.service import Service
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import (
+    ClassSpec,
+    DependencyKind,
+    Effect,
+    LoadSignal,
+    Preemption,
+    Settings,
+    TenantSpec,
+)
 
-READ = i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0, calls_below=True, skip_worth=0.5)
-ONCE = i.ClassSpec("oddaja", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0, calls_below=True)
-SETTINGS = i.Settings(
+READ = ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0, calls_dependency=True, skipped_call_weight_share=0.5)
+ONCE = ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.5, 4.0, 5.0, key_window=6.0, calls_dependency=True)
+SETTINGS = Settings(
     classes=(READ, ONCE),
     cores=2,
     memory_kb=9000.0,
     answer_slack=0.08,
     drain_grace=1.0,
-    crowd_limit=8.0,
-    crowd_span=2.0,
-    run_factor=4.0,
-    entry_kb=5.0,
-    preemption=i.Preemption.PAUSE,
-    signal=i.Signal.LEVEL,
-    below=i.Below.TIER,
-    step=0.005,
-    tenants=(i.TenantSpec("a", 10.0, 0.5), i.TenantSpec("b", 10.0, 0.5)),
+    max_running_per_core=8.0,
+    max_running_span=2.0,
+    run_memory_factor=4.0,
+    key_entry_kb=5.0,
+    preemption=Preemption.PAUSE,
+    signal=LoadSignal.LEVEL,
+    dependency=DependencyKind.TIER,
+    batch_interval=0.005,
+    tenants=(TenantSpec("a", 10.0, 0.5), TenantSpec("b", 10.0, 0.5)),
 )
 
 
 class World:
     """A service with everything round it faked: ``said`` holds what it asked of its ports, in order."""
 
-    def __init__(self, settings: i.Settings = SETTINGS, up: bool = True, **more: Any) -> None:
+    def __init__(self, settings: Settings = SETTINGS, up: bool = True, **more: Any) -> None:
         self.now, self.said = 1_000.0, list[tuple[Any, ...]]()
         self.logged: list[str] = []
         self.answers: dict[bytes, list[Answer]] = {}
@@ -94,7 +103,7 @@
         )
         return self.service.arrive(replace(ask, **more), self.answers.setdefault(ident, []).append)
 
-    def end(self, number: int, outcome: i.Outcome = i.Outcome.OK, result: bytes = b"result") -> None:
+    def end(self, number: int, outcome: Outcome = Outcome.SUCCEEDED, result: bytes = b"result") -> None:
         self.service.run_ended(b"%016x" % number, outcome, 0.1, result)
 
     def until(self, then: float) -> None:
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment, MemberConf, UpstreamConf
-from saltcart.interface import Outcome
 from saltcart.net import ajp as module
 from saltcart.net.ajp import AjpUpstream, Member
 from saltcart.wire import ajp
--- a/tests/test_budget_parts.py
+++ b/tests/test_budget_parts.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltcart import interface as i
 from saltcart.budget.guards import Allowance, Breaker, Circuit, Limit
 from saltcart.budget.lastgood import OVERHEAD, LastGood
 from saltcart.budget.plan import PlanError, check_classes, read_plans
 from saltcart.budget.shares import Need, side_by_side, split
 from saltcart.budget.sketch import Quantiles
+from saltcart.decision.settings import ClassSpec, Effect
 
 SECONDS = st.floats(1e-3, 30.0)
 
@@ -210,8 +210,8 @@
 
 # ---- plans ------------------------------------------------------------------------------------
 
-READ = i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0)
-ONCE = i.ClassSpec("oddaja", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0)
+READ = ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0)
+ONCE = ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.5, 4.0, 5.0, key_window=6.0)
 AJP = {"name": "a", "upstream": "u"}
 LINES = {"name": "b", "kind": "index", "address": "127.0.0.1:7700"}
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,10 +7,12 @@
 
 import pytest
 
-from saltcart import interface as i
 from saltcart.core.keys import KeyTable
 from saltcart.core.service import InvalidRequestError
 from saltcart.core.timers import Timers
+from saltcart.decision.actions import Action
+from saltcart.decision.events import Event, RequestArrived, TimerFired
+from saltcart.decision.outcome import Outcome
 from tests.fakes import SETTINGS, World
 
 
@@ -25,10 +27,10 @@
 
 @pytest.mark.parametrize(
     ("outcome", "verdict"),
-    [(i.Outcome.ERROR, "failed"), (i.Outcome.CANCELLED, "failed"), (i.Outcome.MOOT, "failed")],
+    [(Outcome.FAILED, "failed"), (Outcome.CANCELLED, "failed"), (Outcome.NOT_STARTED, "failed")],
 )
 @pytest.mark.parametrize("klass", ["read", "oddaja"])
-def test_a_run_that_ends_badly_is_answered_once(outcome: i.Outcome, verdict: str, klass: str) -> None:
+def test_a_run_that_ends_badly_is_answered_once(outcome: Outcome, verdict: str, klass: str) -> None:
     w = World()
     w.arrive(1, klass)
     w.end(1, outcome)
@@ -61,7 +63,7 @@
     w = World()
     w.arrive(1)
     w.arrive(2)
-    w.end(1, i.Outcome.ERROR)
+    w.end(1, Outcome.FAILED)
     w.arrive(3)
     assert [w.verdicts(n) for n in (1, 2, 3)] == [["failed"]] * 3 and len(w.spawned()) == 1
 
@@ -130,19 +132,19 @@
 @pytest.mark.parametrize(
     ("outcome", "klass", "then"),
     [
-        (i.Outcome.OK, "oddaja", "supply"),
-        (i.Outcome.OK, "read", "supply"),
-        (i.Outcome.BROKEN, "oddaja", "failed"),
-        (i.Outcome.TIMEOUT, "oddaja", "failed"),
-        (i.Outcome.ERROR, "oddaja", "failed"),
-        (i.Outcome.REJECTED, "oddaja", "call"),
-        (i.Outcome.UNREACHABLE, "oddaja", "call"),
-        (i.Outcome.BROKEN, "read", "call"),
-        (i.Outcome.ERROR, "read", "skip"),
-        (i.Outcome.TIMEOUT, "read", "skip"),
+        (Outcome.SUCCEEDED, "oddaja", "supply"),
+        (Outcome.SUCCEEDED, "read", "supply"),
+        (Outcome.BROKEN_OFF, "oddaja", "failed"),
+        (Outcome.TIMED_OUT, "oddaja", "failed"),
+        (Outcome.FAILED, "oddaja", "failed"),
+        (Outcome.REJECTED, "oddaja", "call"),
+        (Outcome.UNREACHABLE, "oddaja", "call"),
+        (Outcome.BROKEN_OFF, "read", "call"),
+        (Outcome.FAILED, "read", "skip"),
+        (Outcome.TIMED_OUT, "read", "skip"),
     ],
 )
-def test_how_a_call_ended(outcome: i.Outcome, klass: str, then: str) -> None:
+def test_how_a_call_ended(outcome: Outcome, klass: str, then: str) -> None:
     w = World()
     w.arrive(1, klass)
     ident = b"%016x" % 1
@@ -210,7 +212,7 @@
     w.arrive(1)
     assert w.verdicts(1) == ["refused"]
     w.service.pool_up(True, 2.0)
-    assert w.service.healthy and w.service.controller is not None and w.service.controller.s.cold
+    assert w.service.healthy and w.service.controller is not None and w.service.controller.s.starts_cold
     assert w.service.controller.begun == w.now - 2.0
 
 
@@ -225,9 +227,9 @@
 def test_a_fault_of_the_module_costs_one_event_only() -> None:
     w = World()
     assert w.service.controller is not None
-    handle, faults = w.service.controller.handle, [i.Woken, i.Arrived]
+    handle, faults = w.service.controller.handle, [TimerFired, RequestArrived]
 
-    def faulty(now: float, event: i.Event) -> list[i.Action]:
+    def faulty(now: float, event: Event) -> list[Action]:
         if type(event) in faults:
             faults.remove(type(event))
             raise ZeroDivisionError
@@ -275,7 +277,7 @@
 def test_a_run_that_was_proved_never_to_have_begun_leaves_its_key_free() -> None:
     w = World()
     w.arrive(1, body=b"not the request's")
-    w.end(1, i.Outcome.MOOT)  # the pool knows no such request
+    w.end(1, Outcome.NOT_STARTED)  # the pool knows no such request
     w.arrive(2)
     assert w.verdicts(1) == ["failed"] and w.spawned() == [b"%016x" % 1, b"%016x" % 2]
 
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltcart import interface as i
+from saltcart.decision.outcome import Outcome
 from tests.fakes import ONCE, SETTINGS, World
 
 
@@ -16,7 +16,7 @@
     """A world that checks each thing the core does at the moment it does it."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(replace(SETTINGS, max_stay_away=1.0))
+        super().__init__(replace(SETTINGS, max_retry_after=1.0))
         self.rng, self.number, self.drained = random.Random(seed), 0, float("inf")
         self.reached: dict[bytes, float] = {}
         self.due: dict[bytes, float] = {}
@@ -36,7 +36,7 @@
         assert self.reached[ident] <= self.drained + SETTINGS.drain_grace, "run too late in a drain"
         if once:
             for before in self.ran.setdefault(self.key[ident], []):
-                assert self.reached[ident] > before + ONCE.window, "effect twice"
+                assert self.reached[ident] > before + ONCE.key_window, "effect twice"
             self.ran[self.key[ident]].append(self.reached[ident])
         self.started.add(ident)
         self.under_way.add(ident)
@@ -84,7 +84,7 @@
             self.service.abandon(r.number)
         elif what < 0.65 and self.waiting:
             ident = rng.choice(sorted(self.waiting))
-            self.service.call_ended(ident, rng.choice(list(i.Outcome)), b"reply")
+            self.service.call_ended(ident, rng.choice(list(Outcome)), b"reply")
         elif what < 0.75 and self.under_way - self.waiting:
             ident = rng.choice(sorted(self.under_way - self.waiting))
             self.waiting.add(ident)
@@ -96,9 +96,13 @@
             if rng.random() < 0.1:
                 self.service.run_lost(ident)
             else:
-                how = [i.Outcome.OK] * 5 + [i.Outcome.ERROR, i.Outcome.CANCELLED, i.Outcome.MOOT]
+                how = [Outcome.SUCCEEDED] * 5 + [
+                    Outcome.FAILED,
+                    Outcome.CANCELLED,
+                    Outcome.NOT_STARTED,
+                ]
                 outcome = rng.choice(how)
-                if outcome is i.Outcome.MOOT and ident in self.key and ident not in self.called:
+                if outcome is Outcome.NOT_STARTED and ident in self.key and ident not in self.called:
                     self.ran[self.key[ident]].remove(self.reached[ident])  # proof that it never ran
                 self.service.run_ended(ident, outcome, 0.1, b"result")
             self.waiting.discard(ident)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -85,7 +85,9 @@
 
 def test_slots_grow_on_the_gauges_where_aims_are_long_and_turns_with_them() -> None:
     """With an aim of a minute the turns are further apart than gauges used to last."""
-    w = World(replace(CORE, classes=(replace(READ, aim=60.0, deadline=90.0, calls_below=False),)))
+    w = World(
+        replace(CORE, classes=(replace(READ, latency_objective=60.0, deadline=90.0, calls_dependency=False),))
+    )
     assert w.service.controller is not None and w.service.controller.sweep > 2.0
     for n in range(1, 20):
         w.arrive(n, "read", budget=90.0)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -9,19 +9,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltcart import interface as i
 from saltcart.budget.desk import MOST_TRIES, Desk
 from saltcart.budget.guards import Circuit
 from saltcart.budget.plan import check_classes, read_plans
 from saltcart.budget.run import Ended, GiveUp, Order, Orders, Send
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import ClassSpec, Effect
 
 CLASSES = (
-    i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0),
-    i.ClassSpec("two", i.Effect.SAFE, 1.0, 3.0, 1.0),
-    i.ClassSpec("late", i.Effect.SAFE, 1.0, 3.0, 1.0, late_worth=0.5),
-    i.ClassSpec("oddaja", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0),
+    ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0),
+    ClassSpec("two", Effect.SAFE, 1.0, 3.0, 1.0),
+    ClassSpec("late", Effect.SAFE, 1.0, 3.0, 1.0, late_weight_share=0.5),
+    ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.5, 4.0, 5.0, key_window=6.0),
 )
-OK, ERROR, REJECTED, TIMEOUT = i.Outcome.OK, i.Outcome.ERROR, i.Outcome.REJECTED, i.Outcome.TIMEOUT
+OK, ERROR, REJECTED, TIMEOUT = Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED, Outcome.TIMED_OUT
 
 
 def desk(**dependencies: dict[str, Any]) -> Desk:
@@ -61,8 +62,8 @@
         self.desk, self.now = desk(**dependencies), 100.0
         self.sent, self.ended = list[Send](), dict[bytes, Ended]()
         self.given_up = set[bytes]()
-        self.acts: dict[str, tuple[float, i.Outcome] | None] = {}
-        self.coming: list[tuple[float, bytes, i.Outcome]] = []
+        self.acts: dict[str, tuple[float, Outcome] | None] = {}
+        self.coming: list[tuple[float, bytes, Outcome]] = []
         self.orders = Orders(self.carry_out)
 
     def carry_out(self, order: Order) -> None:
@@ -147,7 +148,7 @@
 
 
 def test_a_write_is_sent_once_and_never_again_whatever_becomes_of_it() -> None:
-    for outcome in (ERROR, i.Outcome.BROKEN, TIMEOUT):
+    for outcome in (ERROR, Outcome.BROKEN_OFF, TIMEOUT):
         table = Table(write={"fallback": "spare"})
         table.acts["write"] = 0.05, outcome
         assert table.play("oddaja", aim=1.5, due=4.0).outcome is ERROR
@@ -165,10 +166,10 @@
 def test_a_run_that_never_wrote_is_moot_so_that_its_key_is_free() -> None:
     table = Table()
     table.acts["must"] = 0.01, ERROR
-    assert table.play("oddaja", aim=1.5, due=4.0).outcome is i.Outcome.MOOT
+    assert table.play("oddaja", aim=1.5, due=4.0).outcome is Outcome.NOT_STARTED
     table = Table(write={"attempts": 0.0})
     table.acts["write"] = 0.01, REJECTED
-    assert table.play("oddaja", aim=1.5, due=4.0).outcome is i.Outcome.MOOT
+    assert table.play("oddaja", aim=1.5, due=4.0).outcome is Outcome.NOT_STARTED
 
 
 def test_a_write_begins_only_if_its_time_fits_and_is_then_waited_for() -> None:
@@ -179,7 +180,7 @@
     table.acts["must"] = 1.2, OK  # leaves 0.28 s of the aim: not even a lucky write fits
     outcomes = [table.play("oddaja", aim=1.5, due=4.0).outcome for _ in range(12)]
     writes = table.names()[sent:].count("write")
-    assert outcomes.count(i.Outcome.MOOT) == 12 - writes and writes <= 3  # one in twenty is tried
+    assert outcomes.count(Outcome.NOT_STARTED) == 12 - writes and writes <= 3  # one in twenty is tried
     table = Table()
     table.warm()
     table.acts["write"] = 3.0, OK  # slow all at once: past the aim, but only its answer tells what it did
@@ -303,7 +304,7 @@
     table.acts |= {"must": None, "may": None}
     ident = table.start()
     table.orders(table.desk.stop(table.now, ident))
-    assert table.ended[ident].outcome is i.Outcome.CANCELLED and len(table.given_up) == 2
+    assert table.ended[ident].outcome is Outcome.CANCELLED and len(table.given_up) == 2
     assert all(d.limit.used == 0 for d in table.desk.dependencies.values())
     assert table.desk.stop(table.now, ident) == []
 
@@ -346,7 +347,7 @@
 STEP = st.tuples(
     st.sampled_from(["start", "reply", "tick", "stop", "press", "hasten"]),
     st.floats(0, 0.4),
-    st.sampled_from(list(i.Outcome)),
+    st.sampled_from(list(Outcome)),
     st.integers(0, 30),
     st.sampled_from([c.name for c in CLASSES]),
 )
@@ -362,7 +363,7 @@
         attempts = list(table.desk.attempts)
         if what == "start":
             spec = next(c for c in CLASSES if c.name == klass)
-            due[table.start(klass, spec.aim, spec.deadline)] = table.now + spec.deadline
+            due[table.start(klass, spec.latency_objective, spec.deadline)] = table.now + spec.deadline
         elif what == "reply" and attempts:
             table.orders(table.desk.reply(table.now, attempts[pick % len(attempts)], outcome, b"r"))
         elif what == "stop" and due:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from saltcart import interface as i
 from saltcart.app import App
 from saltcart.config import read_config
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment
 from saltcart.net import pool as pool_link
 from saltcart.net.announcer import Announcer
@@ -130,7 +130,7 @@
     w.arrive(2, "read")
     w.end(2)
     assert (w.verdicts(1), w.verdicts(2)) == (["failed"], ["served"])
-    assert w.service.load().on_core == 0  # its slot is free again
+    assert w.service.load().running == 0  # its slot is free again
     w.until(w.now + 3.1)
     w.arrive(3, "read")
     w.until(w.now + 0.5)
@@ -228,8 +228,10 @@
             assert (await clients[1].ask(14, "oddaja", key="k")).status == 500
             assert pool.spawned[10:] == [ident(13)] and "pool-restarted" in logged
             controller = app.service.controller
-            assert controller is not None and controller.s.cold  # the crowd that it survives is a cold one's
-            assert controller.load().on_core == 0
+            assert (
+                controller is not None and controller.s.starts_cold
+            )  # the crowd that it survives is a cold one's
+            assert controller.load().running == 0
 
     asyncio.run(play())
 
@@ -286,7 +288,7 @@
 
 def short(window: float) -> World:
     """A customer whose window is shorter than its runs."""
-    return World(replace(CORE, classes=(READ, replace(ONCE, window=window))))
+    return World(replace(CORE, classes=(READ, replace(ONCE, key_window=window))))
 
 
 def test_who_joined_a_run_is_served_by_it_though_its_key_has_aged_out_meanwhile() -> None:
@@ -322,7 +324,7 @@
         for n in range(10, 26):
             w.end(n)
         assert ident(3) in w.spawned()
-        w.end(3, i.Outcome.MOOT)
+        w.end(3, Outcome.NOT_STARTED)
     w.arrive(2, received=reached)  # it came inside the first one's window
     assert ident(2) not in w.spawned() and w.answers[ident(2)][0].body == b"result"
 
@@ -420,7 +422,9 @@
 def test_what_comes_once_all_is_answered_before_the_stop_is_refused_at_once(
     klass: str, before_stop: float
 ) -> None:
-    w = World(replace(CORE, drain_grace=5.0, classes=tuple(replace(c, aim=0.3) for c in CORE.classes)))
+    w = World(
+        replace(CORE, drain_grace=5.0, classes=tuple(replace(c, latency_objective=0.3) for c in CORE.classes))
+    )
     w.arrive(1, klass)
     w.service.leave(2.0)
     w.until(w.now + 2.0 - before_stop)
@@ -624,7 +628,7 @@
     w.arrive(1, klass)
     assert w.spawned() == [ident(1)] and w.service.controller is not None
     w.until(w.now + 4.2)
-    assert w.verdicts(1) == ["failed"] and w.service.load().on_core == 1  # it may still be on the cores
+    assert w.verdicts(1) == ["failed"] and w.service.load().running == 1  # it may still be on the cores
     w.until(w.now + 20.0)
     assert "written-off" in w.logged and not w.service.requests and not w.service.by_ident
     assert not any(w.service.controller.count) and w.service.controller.memory == pytest.approx(0)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from saltcart.cli import cli
-from saltcart.interface import Outcome
+from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices, report, sketches
 from saltcart.lab.budgets import Play, Tally, deciding_cost
 from saltcart.lab.dependency import ModelDependency, Trouble
@@ -79,12 +79,12 @@
 @pytest.mark.parametrize(
     ("trouble", "outcome", "took"),
     [
-        (Trouble(0, 1, slower=9), Outcome.OK, 0.9),
-        (Trouble(0, 1, errors=1.0), Outcome.ERROR, 0.025),
-        (Trouble(0, 1, silent=True), Outcome.TIMEOUT, None),
-        (Trouble(0, 1, late=3.0), Outcome.OK, 3.1),
-        (Trouble(0, 1, flap=0.4), Outcome.OK, 0.1),
-        (Trouble(5, 6, silent=True), Outcome.OK, 0.1),
+        (Trouble(0, 1, slower=9), Outcome.SUCCEEDED, 0.9),
+        (Trouble(0, 1, errors=1.0), Outcome.FAILED, 0.025),
+        (Trouble(0, 1, silent=True), Outcome.TIMED_OUT, None),
+        (Trouble(0, 1, late=3.0), Outcome.SUCCEEDED, 3.1),
+        (Trouble(0, 1, flap=0.4), Outcome.SUCCEEDED, 0.1),
+        (Trouble(5, 6, silent=True), Outcome.SUCCEEDED, 0.1),
     ],
 )
 def test_troubles_do_what_they_say(trouble: Trouble, outcome: Outcome, took: float | None) -> None:
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -12,8 +12,8 @@
 from saltcart.app import App
 from saltcart.config import read_config
 from saltcart.core.ports import Ask, Reply
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment
-from saltcart.interface import Outcome
 from saltcart.net.clock import Clock
 from tests.standins import AjpClient, HttpClient, raw_config, until
 
@@ -30,7 +30,7 @@
     def spawn(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
-        outcome = Outcome.ERROR if int(ident, 16) % 11 == 0 else Outcome.OK
+        outcome = Outcome.FAILED if int(ident, 16) % 11 == 0 else Outcome.SUCCEEDED
         self.service.timers.at(self.service.now + TAKES, self.service.run_ended, ident, outcome, TAKES, body)
 
     def suspend(self, ident: bytes) -> None:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -9,8 +9,10 @@
 
 import pytest
 
-from saltcart import interface as i
 from saltcart.balance import Controller
+from saltcart.decision.actions import FailRequest
+from saltcart.decision.events import RequestArrived, Started, TimerFired
+from saltcart.decision.outcome import Outcome
 from saltcart.log import JsonLog
 from saltcart.net.index import Call, IndexClient
 from saltcart.net.listener import Listener, ServerConnection
@@ -63,12 +65,12 @@
     controller = Controller(CORE, 1)
     controller.wheel = Wheel()
     year, now = 31_536_000.0, 1_800_000_000.0
-    controller.handle(now - year, i.Started())
-    controller.handle(now, i.Arrived(7, 0, 10.0, 0.5, patience=0.5))
-    controller.handle(now + controller.sweep, i.Woken(0))
+    controller.handle(now - year, Started())
+    controller.handle(now, RequestArrived(7, 0, 10.0, 0.5, time_to_deadline=0.5))
+    controller.handle(now + controller.sweep, TimerFired(0))
     assert 0 < len(looked) < 5
-    told = [a for n in range(2, 60) for a in controller.handle(now + n * controller.sweep, i.Woken(0))]
-    assert i.Fail(7) in told  # and what stands there is still found
+    told = [a for n in range(2, 60) for a in controller.handle(now + n * controller.sweep, TimerFired(0))]
+    assert FailRequest(7) in told  # and what stands there is still found
 
 
 @pytest.mark.parametrize("front", CLIENTS)
@@ -109,7 +111,7 @@
             await until(lambda: pool.spawned == [ident(1)])
             app.service.idle_after = 0.01  # the module closes idle connections at once
             at_once(client)(b"POST /call/read HTTP/1.1\r\nHost")
-            app.service.run_ended(ident(1), i.Outcome.OK, 0.1, b"done")
+            app.service.run_ended(ident(1), Outcome.SUCCEEDED, 0.1, b"done")
             assert (await client.answer()).body == b"done"
             assert await client.reader.read() == b""  # an end, and no reset
             client.writer.close()
@@ -197,11 +199,11 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "told"), [(i.Outcome.OK, "served"), (i.Outcome.ERROR, "failed"), (None, "failed")]
+    ("end", "told"), [(Outcome.SUCCEEDED, "served"), (Outcome.FAILED, "failed"), (None, "failed")]
 )
 @pytest.mark.parametrize("closed", ["before the stop", "handed over"])
 def test_a_further_try_of_what_has_run_is_never_refused_also_where_nothing_is_taken_any_more(
-    end: i.Outcome | None, told: str, closed: str
+    end: Outcome | None, told: str, closed: str
 ) -> None:
     w = World()
     w.arrive(1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,39 +9,65 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltcart import interface as i
 from saltcart.balance import Controller
+from saltcart.decision.actions import (
+    Action,
+    AdvertiseLevel,
+    FailRequest,
+    JoinAttempt,
+    Reject,
+    ReleaseKey,
+    ReserveKey,
+    SetTimer,
+    SkipCall,
+    StartCall,
+    StartRun,
+    StopRun,
+)
+from saltcart.decision.events import (
+    CallFinished,
+    CallRequested,
+    DrainStarted,
+    Event,
+    RequestAbandoned,
+    RequestArrived,
+    RunFinished,
+    Started,
+    TimerFired,
+)
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import ClassSpec, DependencyKind, Effect, LoadSignal, Preemption, Settings
 
 CLASSES = (
-    i.ClassSpec("read", i.Effect.SAFE, 1.0, 3.0, 1.0, calls_below=True, skip_worth=0.5),
-    i.ClassSpec("keyed", i.Effect.KEYED, 1.5, 4.0, 5.0, window=6.0, calls_below=True),
-    i.ClassSpec("once", i.Effect.UNSAFE, 1.5, 4.0, 2.0, late_worth=0.3),
+    ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0, calls_dependency=True, skipped_call_weight_share=0.5),
+    ClassSpec("keyed", Effect.IDEMPOTENT_BY_KEY, 1.5, 4.0, 5.0, key_window=6.0, calls_dependency=True),
+    ClassSpec("once", Effect.NON_IDEMPOTENT, 1.5, 4.0, 2.0, late_weight_share=0.3),
 )
-BASE = i.Settings(
+BASE = Settings(
     classes=CLASSES,
     cores=2,
     memory_kb=900.0,
     answer_slack=0.06,
     drain_grace=1.0,
-    crowd_limit=4.0,
-    crowd_span=1.0,
-    cold_from=0.3,
-    cold_span=5.0,
-    run_factor=4.0,
-    entry_kb=10.0,
-    heard_for=1.0,
-    below=i.Below.SHARED,
-    call_share=2.0,
-    call_span=5.0,
-    call_linger=0.2,
-    step=0.005,
+    max_running_per_core=4.0,
+    max_running_span=1.0,
+    cold_speed_share=0.3,
+    warm_up_seconds=5.0,
+    run_memory_factor=4.0,
+    key_entry_kb=10.0,
+    signal_lifetime=1.0,
+    dependency=DependencyKind.SHARED,
+    dependency_call_share=2.0,
+    dependency_call_span=5.0,
+    abandoned_call_seconds=0.2,
+    batch_interval=0.005,
 )
 
 
 class Host:
     """The least of a server that turns random choices into a legal history and keeps account."""
 
-    def __init__(self, s: i.Settings, seed: int) -> None:
+    def __init__(self, s: Settings, seed: int) -> None:
         self.s, self.rng, self.now = s, random.Random(seed), 100.0
         self.c = Controller(s, seed)
         self.state: dict[int, str] = {}  # held, run, stopped, wait, call, join
@@ -57,69 +83,72 @@
         self.notice: float | None = None
         self.stop = 0.0
         self.next = 1
-        self.send(i.Started())
+        self.send(Started())
 
-    def send(self, event: i.Event) -> None:
+    def send(self, event: Event) -> None:
         for a in self.c.handle(self.now, event):
             self.apply(a)
         memory = sum(
-            self.size[r] * (1 if how in ("held", "join") else self.s.run_factor)
+            self.size[r] * (1 if how in ("held", "join") else self.s.run_memory_factor)
             for r, how in self.state.items()
         )
-        memory += self.s.entry_kb * sum(until > self.now for _, until in self.kept.values())
+        memory += self.s.key_entry_kb * sum(until > self.now for _, until in self.kept.values())
         assert memory <= self.s.memory_kb
         on_core = sum(how == "run" for how in self.state.values())
         share = 1.0
-        if self.s.cold and self.now < 100 + self.s.cold_span:
-            share = self.s.cold_from + (1 - self.s.cold_from) * (self.now - 100) / self.s.cold_span
-        assert on_core <= self.s.cores * (1 + (self.s.crowd_limit - 1) * share)
+        if self.s.starts_cold and self.now < 100 + self.s.warm_up_seconds:
+            share = (
+                self.s.cold_speed_share
+                + (1 - self.s.cold_speed_share) * (self.now - 100) / self.s.warm_up_seconds
+            )
+        assert on_core <= self.s.cores * (1 + (self.s.max_running_per_core - 1) * share)
 
     def answer(self, r: int) -> None:
         assert r in self.owed, "second answer"
         assert self.now <= self.owed.pop(r) + self.s.answer_slack + 1e-9, "late answer"
 
-    def apply(self, a: i.Action) -> None:
+    def apply(self, a: Action) -> None:
         match a:
-            case i.Wake(at, token):
+            case SetTimer(at, token):
                 assert at > self.now
                 self.timers.append((at, token))
-            case i.Run(r):
+            case StartRun(r):
                 assert self.state[r] == "held" and r not in self.ran
                 if self.notice is not None:
                     assert self.reach[r] <= self.notice + self.s.drain_grace
-                if CLASSES[self.klass[r]].effect is i.Effect.KEYED:
+                if CLASSES[self.klass[r]].effect is Effect.IDEMPOTENT_BY_KEY:
                     for t in self.done_effects.get(self.effect[r], []):
-                        assert self.reach[r] > t + CLASSES[self.klass[r]].window, "effect twice"
+                        assert self.reach[r] > t + CLASSES[self.klass[r]].key_window, "effect twice"
                     self.done_effects.setdefault(self.effect[r], []).append(self.reach[r])
                 self.state[r], self.ran[r] = "run", self.now
-            case i.Stop(r):
-                assert self.s.preemption is not i.Preemption.NONE
+            case StopRun(r):
+                assert self.s.preemption is not Preemption.NONE
                 if self.state.get(r) == "run":
                     self.state[r] = "stopped"
-            case i.TurnAway(r):
-                assert r not in self.ran or CLASSES[self.klass[r]].effect is i.Effect.SAFE
+            case Reject(r):
+                assert r not in self.ran or CLASSES[self.klass[r]].effect is Effect.SAFE
                 assert self.state[r] == "held"
                 self.answer(r)
                 del self.state[r]
-            case i.Fail(r):
+            case FailRequest(r):
                 self.answer(r)
                 if self.state.get(r) in ("held", "join"):
                     del self.state[r]
-            case i.Call(r, limit):
+            case StartCall(r, limit):
                 assert self.state[r] == "wait" and limit > 0
                 self.state[r] = "call"
-            case i.SkipCall(r):
-                assert self.state[r] == "wait" and CLASSES[self.klass[r]].skip_worth > 0
+            case SkipCall(r):
+                assert self.state[r] == "wait" and CLASSES[self.klass[r]].skipped_call_weight_share > 0
                 self.state[r] = "run"
-            case i.Keep(r, span):
+            case ReserveKey(r, span):
                 self.kept[self.effect[r]] = (r, self.now + span)
-            case i.Release(r):
+            case ReleaseKey(r):
                 if self.kept.get(self.effect[r], (0, 0.0))[0] == r:
                     del self.kept[self.effect[r]]
-            case i.Share(r):
+            case JoinAttempt(r):
                 self.state[r] = "join"
-            case i.Advise(value):
-                assert self.s.signal is not i.Signal.NONE and value >= 0
+            case AdvertiseLevel(value):
+                assert self.s.signal is not LoadSignal.NONE and value >= 0
 
     def arrive(self) -> None:
         r, k = self.next, self.rng.randrange(3)
@@ -133,7 +162,7 @@
         same = holder if holder and self.reach[r] <= until else None
         self.owed[r], self.state[r] = due, "held"
         self.send(
-            i.Arrived(
+            RequestArrived(
                 r,
                 k,
                 self.size[r],
@@ -141,15 +170,15 @@
                 unread,
                 patience,
                 repeat_of=same,
-                caller=self.rng.randrange(3),
+                balancer=self.rng.randrange(3),
             )
         )
 
-    def finish(self, r: int, outcome: i.Outcome) -> None:
-        if outcome in (i.Outcome.OK, i.Outcome.ERROR) and r in self.owed:
+    def finish(self, r: int, outcome: Outcome) -> None:
+        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED) and r in self.owed:
             self.answer(r)
         del self.state[r]
-        self.send(i.Finished(r, outcome, self.now - self.ran.get(r, self.now)))
+        self.send(RunFinished(r, outcome, self.now - self.ran.get(r, self.now)))
 
     def one(self, kinds: tuple[str, ...]) -> int | None:
         able = [r for r, s in self.state.items() if s in kinds]
@@ -163,23 +192,23 @@
             del self.owed[r]
             if self.state[r] in ("held", "join"):
                 del self.state[r]
-            self.send(i.Abandoned(r))
+            self.send(RequestAbandoned(r))
         elif what < 0.56 and (r := self.one(("run",))) is not None and r in self.owed:
-            if CLASSES[self.klass[r]].calls_below and self.s.below is not i.Below.NONE:
+            if CLASSES[self.klass[r]].calls_dependency and self.s.dependency is not DependencyKind.NONE:
                 self.state[r] = "wait"
-                self.send(i.AtCall(r))
+                self.send(CallRequested(r))
         elif what < 0.66 and (r := self.one(("call",))) is not None and not hang:
             how = self.rng.choice(
-                list(i.Outcome)[:1] * 4
-                + [i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.REJECTED, i.Outcome.BROKEN]
+                list(Outcome)[:1] * 4
+                + [Outcome.FAILED, Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.BROKEN_OFF]
             )
-            self.state[r] = "run" if how is i.Outcome.OK else "wait"
-            self.send(i.CallEnded(r, how, 0.05))
+            self.state[r] = "run" if how is Outcome.SUCCEEDED else "wait"
+            self.send(CallFinished(r, how, 0.05))
         elif (r := self.one(("run", "stopped", "join", "wait", "call"))) is not None:
             if self.state[r] == "stopped" or (self.state[r] in ("wait", "call") and r not in self.owed):
-                self.finish(r, i.Outcome.CANCELLED)
+                self.finish(r, Outcome.CANCELLED)
             elif self.state[r] in ("run", "join") and not hang:
-                self.finish(r, self.rng.choice([i.Outcome.OK, i.Outcome.OK, i.Outcome.ERROR]))
+                self.finish(r, self.rng.choice([Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.FAILED]))
 
     def advance(self, by: float) -> None:
         end = self.now + by
@@ -187,19 +216,19 @@
             at, token = min(self.timers)
             self.timers.remove((at, token))
             self.now = max(self.now, at)
-            self.send(i.Woken(token, self.rng.random()))
+            self.send(TimerFired(token, self.rng.random()))
         self.now = end
         assert all(due + self.s.answer_slack >= self.now for due in self.owed.values()), "lost"
 
 
 OPTIONS: dict[str, Any] = {
-    "preemption": st.sampled_from(i.Preemption),
-    "signal": st.sampled_from(i.Signal),
-    "cold": st.booleans(),
-    "call_share": st.sampled_from([0.3, 2.0, 9.0]),
+    "preemption": st.sampled_from(Preemption),
+    "signal": st.sampled_from(LoadSignal),
+    "starts_cold": st.booleans(),
+    "dependency_call_share": st.sampled_from([0.3, 2.0, 9.0]),
     "cores": st.integers(1, 4),
-    "below": st.sampled_from(i.Below),
-    "fresh": st.sampled_from([0.0, 1.0]),
+    "dependency": st.sampled_from(DependencyKind),
+    "read_freshness_seconds": st.sampled_from([0.0, 1.0]),
 }
 
 
@@ -213,7 +242,7 @@
             host.advance(host.rng.choice([0.0, 0.005, 0.03, 0.12]))
         if n == 200:
             host.notice, host.stop = host.now, host.now + 3.0
-            host.send(i.Leaving(3.0))
+            host.send(DrainStarted(3.0))
     while host.now < host.stop:
         host.act(False)
         host.advance(0.05)
--- a/tests/test_storm_parts.py
+++ b/tests/test_storm_parts.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from saltcart.core.service import Service
-from saltcart.interface import ClassSpec, Effect, Entry, Settings
+from saltcart.decision.connection_admission import ConnectionAdmission
+from saltcart.decision.settings import ClassSpec, Effect, Settings
 from saltcart.settings import WireError
 from saltcart.storm.appointments import TICK, Appointments
 from saltcart.storm.calendar import BUCKET, Calendar
@@ -31,11 +32,11 @@
     memory_kb=1e5,
     answer_slack=0.1,
     drain_grace=1.0,
-    crowd_limit=8.0,
-    crowd_span=2.0,
-    cold_from=0.25,
-    cold_span=8.0,
-    cold=True,
+    max_running_per_core=8.0,
+    max_running_span=2.0,
+    cold_speed_share=0.25,
+    warm_up_seconds=8.0,
+    starts_cold=True,
 )
 # Spread as fingerprints are: the tables rest on it, and nobody can choose digests for a seed not known.
 DIGESTS = st.integers(0, (1 << 64) - 1).map(lambda n: xxhash.xxh3_64_intdigest(n.to_bytes(8, "little")))
@@ -280,46 +281,53 @@
     d = damper()
     d.throughput.run_ended(100.0, 0.2, False)  # 19 a second
     loud, quiet = d.source("loud"), d.source("quiet")
-    seen = Counter[tuple[str, Entry]]()
+    seen = Counter[tuple[str, ConnectionAdmission]]()
     for n in range(2000):
         now = 100.0 + n * 0.01
         seen["loud", d.admits(now, loud)] += 1
         if n % 50 == 0:
             seen["quiet", d.admits(now, quiet)] += 1
-    assert seen["quiet", Entry.GO] >= 38  # one may meet the bucket that the crowd has just emptied
-    assert seen["loud", Entry.STOP] > 1000 and seen["loud", Entry.LAST] > seen["loud", Entry.GO]
+    assert (
+        seen["quiet", ConnectionAdmission.READ] >= 38
+    )  # one may meet the bucket that the crowd has just emptied
+    assert (
+        seen["loud", ConnectionAdmission.REFUSE] > 1000
+        and seen["loud", ConnectionAdmission.READ_LAST] > seen["loud", ConnectionAdmission.READ]
+    )
 
 
 def test_a_balancer_that_carries_much_is_no_crowd_while_there_is_room() -> None:
     d = damper(reading=0.05)
     for n in range(40):
         d.throughput.run_ended(100.0 + n, 0.05, False)  # 20 a second and core
-    balancer, seen = d.source("balancer"), Counter[Entry]()
+    balancer, seen = d.source("balancer"), Counter[ConnectionAdmission]()
     assert d.capacity(140.0) > 70
     for n in range(600):  # 60 a second, and one a second from each of eight others
         now = 140.0 + n / 60
         seen[d.admits(now, balancer)] += 1
         if n % 60 == 0:
-            assert all(d.admits(now, d.source(f"other {k}")) is Entry.GO for k in range(8))
-    assert seen == {Entry.GO: 600}
+            assert all(d.admits(now, d.source(f"other {k}")) is ConnectionAdmission.READ for k in range(8))
+    assert seen == {ConnectionAdmission.READ: 600}
 
 
 def test_the_last_tokens_are_left_to_sources_that_come_seldom() -> None:
     """A flood's first second: nobody is known for a crowd yet, and a quiet source must still find a place."""
     d = damper(reading=0.25)
     d.throughput.run_ended(100.0, 1.0, False)  # 4 a second
-    loud, seen = d.source("loud"), Counter[Entry]()
+    loud, seen = d.source("loud"), Counter[ConnectionAdmission]()
     d.admits(97.0, d.source("another"))  # so the crowd is not alone here
     for n in range(8):  # as many as the door's tokens and more, in half a second
         seen[d.admits(100.0 + n * 0.05, loud)] += 1
-    assert seen[Entry.STOP] >= 2
-    assert d.admits(100.45, d.source("quiet")) is Entry.GO
+    assert seen[ConnectionAdmission.REFUSE] >= 2
+    assert d.admits(100.45, d.source("quiet")) is ConnectionAdmission.READ
 
 
 def test_a_source_alone_takes_all_tokens() -> None:
     d = damper(reading=0.25)
     d.throughput.run_ended(100.0, 1.0, False)
-    let_in = sum(d.admits(100.0 + n * 0.01, d.source("balancer")) is not Entry.STOP for n in range(8))
+    let_in = sum(
+        d.admits(100.0 + n * 0.01, d.source("balancer")) is not ConnectionAdmission.REFUSE for n in range(8)
+    )
     assert let_in == FEWEST
 
 
@@ -327,7 +335,7 @@
     """Eight runs on two cores take four times as long as their work: 20 a second all the same."""
     rates = []
     for running in (2, 8):
-        throughput = Throughput(Strength(replace(SETTINGS, cold=False), 0.0), 2, 0.0)
+        throughput = Throughput(Strength(replace(SETTINGS, starts_cold=False), 0.0), 2, 0.0)
         for n in range(100):
             throughput.run_ended(n * 0.05, 0.1 * running / 2, False, running)
         rates.append(throughput.warm_rate(5.0))
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -11,12 +11,14 @@
 import pytest
 from click.testing import CliRunner
 
-from saltcart import interface as i
 from saltcart.admin.api import Api
 from saltcart.app import App
 from saltcart.cli import cli
 from saltcart.config import ConfigError
 from saltcart.core.ports import Answer
+from saltcart.decision.actions import Action
+from saltcart.decision.events import Event, RequestArrived
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment, read
 from saltcart.lab import storm as lab
 from saltcart.storm.damper import Damper
@@ -69,7 +71,7 @@
 
 
 def test_who_is_refused_is_told_a_moment_at_once() -> None:
-    w, _ = world(max_stay_away=0.5)
+    w, _ = world(max_retry_after=0.5)
     w.service.leave(4.0)  # nothing new runs: it is refused
     w.until(w.now + 2.0)
     before = w.now
@@ -83,7 +85,7 @@
     """Back-Off-Ms keeps a whole balancer away, Final-Refusal ends its search: the module's to say."""
     told = list[tuple[float, bool]]()
     for watched in (True, False):
-        w, _ = world(max_stay_away=30.0)
+        w, _ = world(max_retry_after=30.0)
         if not watched:
             w.service.storms = None
         w.service.leave(4.0)
@@ -99,7 +101,7 @@
 def test_a_failed_write_says_when_its_key_is_free() -> None:
     w, _ = world()
     w.arrive(1)
-    w.end(1, i.Outcome.ERROR)
+    w.end(1, Outcome.FAILED)
     (answer,) = w.answers[b"%016x" % 1]
     assert answer.verdict.value == "failed" and answer.come_back == pytest.approx(6.0, abs=0.2)
 
@@ -126,12 +128,12 @@
 
 def test_who_kept_its_moment_is_thinned_out_later_than_who_came_early() -> None:
     w, damper = world()
-    heard = list[i.Arrived]()
+    heard = list[RequestArrived]()
     assert w.service.controller is not None
     handle = w.service.controller.handle
 
-    def listen(now: float, event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.Arrived):
+    def listen(now: float, event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived):
             heard.append(event)
         return handle(now, event)
 
@@ -142,8 +144,10 @@
     w.now += back.after + 0.05
     w.arrive(2, "read", body=b"same", standing=0.3)
     early, kept = heard
-    assert (early.standing, early.kept) == (0.0, False)
-    assert kept.kept and 0.49 < kept.standing < 0.5  # two classes: at the top of the lower half
+    assert (early.priority_rank, early.has_reservation) == (0.0, False)
+    assert (
+        kept.has_reservation and 0.49 < kept.priority_rank < 0.5
+    )  # two classes: at the top of the lower half
 
 
 # ---- on sockets -------------------------------------------------------------------------------
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -14,8 +14,9 @@
 
 from saltcart import succession
 from saltcart.core.keys import Entry
+from saltcart.decision.events import PredecessorLoad
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment
-from saltcart.interface import Beside, Outcome
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import handover as wire
 from saltcart.wire.errors import MalformedMessageError
@@ -53,7 +54,7 @@
 
 
 def test_a_load_is_told_and_read_alike() -> None:
-    load = Beside(3, 1, 120.5)
+    load = PredecessorLoad(3, 1, 120.5)
     assert wire.to_load(wire.decode(wire.encode(wire.of_load(load, 7)))) == (load, 7)
 
 
@@ -71,7 +72,7 @@
 )
 def test_a_load_out_of_its_form_is_malformed(name: str, value: object) -> None:
     with pytest.raises(MalformedMessageError):
-        wire.to_load(wire.Packet("beside", {**wire.of_load(Beside(), 0).fields, name: value}))
+        wire.to_load(wire.Packet("beside", {**wire.of_load(PredecessorLoad(), 0).fields, name: value}))
 
 
 # ---- the core's rules -------------------------------------------------------------------------
@@ -113,7 +114,7 @@
     if how == "dies":
         new.service.bereave()
     else:
-        old.end(1, Outcome.MOOT if how == "never ran" else Outcome.ERROR)
+        old.end(1, Outcome.NOT_STARTED if how == "never ran" else Outcome.FAILED)
     assert new.verdicts(11) == ["failed"]
     new.arrive(12)
     # Only proof that nothing ran makes a key as free as before.
@@ -181,7 +182,7 @@
                 await until(lambda: len(new.fronts["http"].connections) == 2)
                 # Each stays in its place: the silent make way before those that balancers keep.
                 assert len(new.fronts["http"].resting) == len(new.fronts["http"].awaiting) == 1
-                assert new.service.controller is not None and new.service.controller.other.on_core == 2
+                assert new.service.controller is not None and new.service.controller.other.running == 2
                 half.writer.write(b"lf")
                 assert (await half.answer()).body == b"done half"
                 assert (await idle.ask(4)).status == 200 and other.spawned == [ident(3), ident(4)]
@@ -196,7 +197,7 @@
                 pool.finish(ident(1))
                 assert (await busy.answer()).body == b"done x"
                 await asyncio.wait_for(done.wait(), 20)
-                await until(lambda: new.service.controller.other.on_core == 0)  # type: ignore[union-attr]
+                await until(lambda: new.service.controller.other.running == 0)  # type: ignore[union-attr]
                 late = await HttpClient(address).open()
                 assert (await late.ask(7)).status == 200 and not old.fronts["http"].connections
 
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -273,7 +273,7 @@
             await until(lambda: links.keys() == {b"a", b"b"})
             links[b"a"].write(b"noise\r\n")
             await until(lambda: b"c" in links)
-            assert ended == [(b"a", "BROKEN")]
+            assert ended == [(b"a", "BROKEN_OFF")]
             links[b"b"].write(b"b SHED\r\n")
             await until(lambda: b"d" in links)
             assert ended[1:] == [(b"b", "REJECTED")]
@@ -281,7 +281,7 @@
             client.give_up(b"c")
             client.move("127.0.0.1:1")
             links[b"d"].write(b"d HIT 1\r\n!\r\n")  # a call under way ends where it was made
-            await until(lambda: ended[2:] == [(b"d", "OK")] and not client.connections)
+            await until(lambda: ended[2:] == [(b"d", "SUCCEEDED")] and not client.connections)
             client.call(b"e", 9.0, b"?", True)
             await until(lambda: ended[3:] == [(b"e", "UNREACHABLE")] and not client.tasks)
             client.close()
@@ -334,7 +334,7 @@
             client.call(b"a", 9.0, b"?", False)
             await until(lambda: b"a" in links)
             links[b"a"].write(b"a HIT 1\r\n!\r\nhalf a re")
-            await until(lambda: ended == [(b"a", "OK")])
+            await until(lambda: ended == [(b"a", "SUCCEEDED")])
             client.call(b"b", 9.0, b"?", False)
             await until(lambda: b"b" in links)
             assert links[b"b"] is not links[b"a"]
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -16,9 +16,12 @@
 import pytest
 
 from saltcart.admin.registry import Registry
+from saltcart.budget.dependency import ENDED
 from saltcart.core.keys import Entry, digest
+from saltcart.core.request import State as RequestState
+from saltcart.decision.events import PredecessorLoad
+from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment
-from saltcart.interface import Beside
 from saltcart.member import messages
 from saltcart.member.board import Post
 from saltcart.member.detector import Detector
@@ -31,7 +34,7 @@
 FIXTURES = Path(__file__).parent / "fixtures"
 KEY = Entry(("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {ident(0xA1)}, True, True, b"\n{}\0")
 CLOCK_AHEAD = 2.25  # seconds by which the writer's clock was ahead of the Unix clock
-LOAD, CONNECTIONS = Beside(3, 1, 120.5), 7
+LOAD, CONNECTIONS = PredecessorLoad(3, 1, 120.5), 7
 PASSED = {"front": "http", "rests": True, "age": 1.5}
 
 MEMBER = Record("m1", "127.0.0.1:7946", 1000, State.ALIVE, "kranj", "si", "m1")
@@ -167,3 +170,34 @@
     os.unlink(path)
     registry.set_shares({})
     assert path.read_bytes() == recorded.read_bytes()
+
+
+# ---- names that the administration API shows --------------------------------------------------
+
+
+@pytest.mark.parametrize(
+    ("outcome", "shown"),
+    [
+        (Outcome.SUCCEEDED, "ok"),
+        (Outcome.FAILED, "error"),
+        (Outcome.CANCELLED, "cancelled"),
+        (Outcome.NOT_STARTED, "moot"),
+        (Outcome.REJECTED, "rejected"),
+        (Outcome.UNREACHABLE, "unreachable"),
+        (Outcome.TIMED_OUT, "timeout"),
+        (Outcome.BROKEN_OFF, "broken"),
+    ],
+)
+def test_the_outcomes_of_calls_are_counted_under_the_names_of_before(outcome: Outcome, shown: str) -> None:
+    assert ENDED[outcome] == shown
+
+
+def test_the_states_of_requests_are_shown_under_the_names_of_before() -> None:
+    assert {state.value for state in RequestState} == {
+        "held",
+        "waits for another try's result",
+        "running",
+        "paused",
+        "waits for leave to call",
+        "at a call",
+    }
