--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -27,7 +27,7 @@
 from saltcart.admin.registry import Registry
 from saltcart.core.service import Service
 from saltcart.deployment import read_tenant, read_upstream
-from saltcart.settings import Fields, WireError
+from saltcart.field_reader import FieldReader, InvalidFieldError
 
 if TYPE_CHECKING:
     from saltcart.net.composer import Composer
@@ -92,7 +92,7 @@
             return status, b"" if status == 204 else orjson.dumps(value), {}
         except ApiError as problem:
             return problem.status, orjson.dumps({"error": str(problem)}), problem.headers
-        except WireError as error:  # a field of the wrong kind, or a whole that can't stand
+        except InvalidFieldError as error:  # a field of the wrong kind, or a whole that can't stand
             return 422, orjson.dumps({"error": str(error)}), {}
 
     def _authorise(self, headers: Mapping[bytes, bytes]) -> None:
@@ -202,7 +202,7 @@
     def put_shares(self, raw: dict[str, Any]) -> Reply:
         for name in raw:
             self._tenant(name)
-        f = Fields(raw, "shares")
+        f = FieldReader(raw, "shares")
         self.registry.set_shares({name: f.number(name, high=1) for name in raw})
         return self.shares()
 
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -14,8 +14,8 @@
 from saltcart.core.service import Service
 from saltcart.decision.settings import TenantSpec
 from saltcart.deployment import Deployment, TenantConf, UpstreamConf, check, read_tenant, read_upstream
+from saltcart.field_reader import InvalidFieldError
 from saltcart.net.upstreams import Upstreams
-from saltcart.settings import WireError
 
 Named = TypeVar("Named", TenantConf, UpstreamConf)
 
@@ -51,7 +51,7 @@
             tenants = [read_tenant(t, f"tenant[{n}]") for n, t in enumerate(raw["tenants"])]
             upstreams = [read_upstream(u, f"upstream[{n}]") for n, u in enumerate(raw["upstreams"])]
             self._change(tenants, upstreams)
-        except (OSError, ValueError, KeyError, TypeError, WireError) as error:
+        except (OSError, ValueError, KeyError, TypeError, InvalidFieldError) as error:
             raise ConfigError(f"{path}: {error}") from None
 
     def put_tenant(self, tenant: TenantConf) -> None:
@@ -79,10 +79,12 @@
 
     def _change(self, tenants: list[TenantConf], upstreams: list[UpstreamConf]) -> None:
         if gone := self.planned - {None} - {u.name for u in upstreams}:
-            raise WireError(f"upstream {min(map(str, gone))}: plans need it")
+            raise InvalidFieldError(f"upstream {min(map(str, gone))}: plans need it")
         for name in self.zoned & self.upstreams.keys():
             if self.upstreams[name] not in upstreams:
-                raise WireError(f"upstream {name}: all instances agree on its members, from their start")
+                raise InvalidFieldError(
+                    f"upstream {name}: all instances agree on its members, from their start"
+                )
         check(tuple(upstreams), tuple(tenants))  # a change that can't stand leaves all as it was
         before, self.upstreams = self.upstreams, {u.name: u for u in upstreams}
         left, self.tenants = self.tenants.keys() - {t.name for t in tenants}, {t.name: t for t in tenants}
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -16,6 +16,7 @@
 from saltcart.core.service import STOP_MARGIN, Service
 from saltcart.decision.settings import Settings
 from saltcart.deployment import Deployment
+from saltcart.field_reader import InvalidFieldError
 from saltcart.front.ajp import AjpConnection
 from saltcart.front.control import CONNECTIONS as CONTROL_CONNECTIONS
 from saltcart.front.control import ControlConnection
@@ -26,7 +27,6 @@
 from saltcart.net.listener import Listener
 from saltcart.net.pool import PoolLink
 from saltcart.net.upstreams import Upstreams
-from saltcart.settings import WireError
 from saltcart.succession import Succession
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
         raise ConfigError("plan: the worker pool does the work here, plans are for where there is none")
     try:
         check_classes(plans, conf.settings.classes)
-    except WireError as error:
+    except InvalidFieldError as error:
         raise ConfigError(str(error)) from None
 
 
--- a/saltcart/budget/plan.py
+++ b/saltcart/budget/plan.py
@@ -14,7 +14,7 @@
 from msgspec import Meta
 
 from saltcart.decision.settings import ClassSpec, Effect
-from saltcart.settings import WireError
+from saltcart.field_reader import InvalidFieldError
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}\Z")]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -22,7 +22,7 @@
 MOST_CALLS = 16  # of one plan: an answer of 4 KiB from each must fit into one buffer
 
 
-class PlanError(WireError):
+class PlanError(InvalidFieldError):
     """A plan that can't stand; the text names the field and the reason."""
 
 
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from saltcart.decision.settings import Settings
-from saltcart.settings import Fields, WireError, read_settings
+from saltcart.field_reader import FieldReader, InvalidFieldError
+from saltcart.platform_settings import read_settings
 
 PLACE = re.compile(r"([A-Za-z0-9.-]{1,253}):(\d{1,5})\Z")
 HEXADECIMAL = re.compile(r"[0-9a-fA-F]{1,64}\Z")
@@ -23,12 +24,12 @@
     """The configuration can't be used; the text names the field."""
 
 
-def place(f: Fields, key: str) -> str:
+def place(f: FieldReader, key: str) -> str:
     """A field that is host:port."""
     value: str = f.text(key)
     found = PLACE.match(value)
     if not found or int(found[2]) > 65535:
-        raise WireError(f"{f.where}: field {key} is not host:port")
+        raise InvalidFieldError(f"{f.where}: field {key} is not host:port")
     return value
 
 
@@ -53,24 +54,24 @@
 def read_config(raw: Any, environment: Mapping[str, str] = MappingProxyType({})) -> Config:
     """The platform's object; the name and address in the environment come first."""
     try:
-        f = Fields(raw, "config")
+        f = FieldReader(raw, "config")
         for key in ("listen", "control"):
             if environment.get(f"BALANCER_{key.upper()}"):
-                f = Fields({**f.raw, key: environment[f"BALANCER_{key.upper()}"]}, "config")
+                f = FieldReader({**f.raw, key: environment[f"BALANCER_{key.upper()}"]}, "config")
         pool, announce, index, control = (
             None if f.raw.get(key) is None else place(f, key)
             for key in ("pool", "announce", "index", "control")
         )
         fd = environment.get("BALANCER_LISTEN_FD") or ""
         if fd and not fd.isdecimal():
-            raise WireError("BALANCER_LISTEN_FD is not a descriptor")
+            raise InvalidFieldError("BALANCER_LISTEN_FD is not a descriptor")
         listen_fd = int(fd) if fd else None
-        limits = Fields(f.raw.get("limits") or {}, "config.limits")
-        wire = f.part("settings")
-        names = wire.part("extra").array("gauges", [])
+        limits = FieldReader(f.raw.get("limits") or {}, "config.limits")
+        wire = f.section("settings")
+        names = wire.section("extra").array("gauges", [])
         seed = f.text("seed", "0")
         if not HEXADECIMAL.match(seed):
-            raise WireError(f"config: field seed is not hexadecimal: {seed}")
+            raise InvalidFieldError(f"config: field seed is not hexadecimal: {seed}")
         return Config(
             environment.get("BALANCER_NAME") or f.text("name"),
             place(f, "listen"),
@@ -87,7 +88,7 @@
             read_settings(wire),
             tuple(g if g in GAUGES else None for g in names),
         )
-    except WireError as error:
+    except InvalidFieldError as error:
         raise ConfigError(str(error)) from None
 
 
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from saltcart.config import ConfigError, place
-from saltcart.settings import Fields, WireError
+from saltcart.field_reader import FieldReader, InvalidFieldError
 
 if TYPE_CHECKING:
     from saltcart.budget.plan import Plans
@@ -82,27 +82,33 @@
     fleet: FleetSettings | None = None  # how an upstream's members are shared out among the instances
 
 
-def name(f: Fields, key: str = "name") -> str:
+def name(f: FieldReader, key: str = "name") -> str:
     value: str = f.text(key)
     if not NAME.match(value):
-        raise WireError(f"{f.where}: field {key} is not a name")
+        raise InvalidFieldError(f"{f.where}: field {key} is not a name")
     return value
 
 
-def only(f: Fields, *known: str) -> Fields:
+def only(f: FieldReader, *known: str) -> FieldReader:
     """A misspelt field must not pass for an absent one."""
     for key in f.raw:
         if key not in known:
-            raise WireError(f"{f.where}: no such field: {key}")
+            raise InvalidFieldError(f"{f.where}: no such field: {key}")
     return f
 
 
 def read_upstream(raw: Any, where: str) -> UpstreamConf:
-    f = only(Fields(raw, where), "name", "members")
+    f = only(FieldReader(raw, where), "name", "members")
     members = []
     for n, item in enumerate(f.array("members")):
         m = only(
-            Fields(item, f"{where}.members[{n}]"), "host", "weight", "secret", "zone", "region", "capacity"
+            FieldReader(item, f"{where}.members[{n}]"),
+            "host",
+            "weight",
+            "secret",
+            "zone",
+            "region",
+            "capacity",
         )
         weight = m.number("weight", 1.0, low=0.001, high=1000)
         members.append(
@@ -116,50 +122,50 @@
             )
         )
     if not members:
-        raise WireError(f"{where}: field members is empty")
+        raise InvalidFieldError(f"{where}: field members is empty")
     if len({m.host for m in members}) != len(members):
-        raise WireError(f"{where}: field members names a host twice")
+        raise InvalidFieldError(f"{where}: field members names a host twice")
     return UpstreamConf(name(f), tuple(members))
 
 
 def read_tenant(raw: Any, where: str) -> TenantConf:
-    f = only(Fields(raw, where), "name", "share", "quota", "upstream")
+    f = only(FieldReader(raw, where), "name", "share", "quota", "upstream")
     upstream = f.text("upstream", None)
     return TenantConf(name(f), f.number("share", 0.0, high=1), f.number("quota", 0.0), upstream)
 
 
 def check(upstreams: tuple[UpstreamConf, ...], tenants: tuple[TenantConf, ...]) -> None:
-    """What must hold of all together; ``WireError`` says what does not."""
+    """What must hold of all together; ``InvalidFieldError`` says what does not."""
     known = [u.name for u in upstreams]
     for what, names in (("upstream", known), ("tenant", [t.name for t in tenants])):
         for value in names:
             if names.count(value) > 1:
-                raise WireError(f"{what} {value}: named twice")
+                raise InvalidFieldError(f"{what} {value}: named twice")
     for t in tenants:
         if t.upstream is not None and t.upstream not in known:
-            raise WireError(f"tenant {t.name}: no such upstream: {t.upstream}")
+            raise InvalidFieldError(f"tenant {t.name}: no such upstream: {t.upstream}")
     if sum(t.share for t in tenants) > 1 + 1e-9:
-        raise WireError("tenants: the shares add up to more than 1")
+        raise InvalidFieldError("tenants: the shares add up to more than 1")
 
 
 def check_locality(
     locality: LocalitySettings, member: MemberSettings | None, upstreams: tuple[UpstreamConf, ...]
 ) -> None:
-    """What has to hold of zones, members and upstreams together; ``WireError`` says what does not."""
+    """What has to hold of zones, members and upstreams together; ``InvalidFieldError`` says what does not."""
     if member is None:
-        raise WireError("locality: zones are agreed on through [member], which is not there or off")
+        raise InvalidFieldError("locality: zones are agreed on through [member], which is not there or off")
     upstream = next((u for u in upstreams if u.name == locality.upstream), None)
     if upstream is None:
-        raise WireError(f"locality.upstream: no such upstream: {locality.upstream}")
+        raise InvalidFieldError(f"locality.upstream: no such upstream: {locality.upstream}")
     for m in upstream.members:
         if not m.zone or m.capacity <= 0:
-            raise WireError(f"upstream {upstream.name}: member {m.host}: needs a zone and a capacity")
+            raise InvalidFieldError(f"upstream {upstream.name}: member {m.host}: needs a zone and a capacity")
     if member.zone not in {m.zone for m in upstream.members}:
-        raise WireError(f"member.zone: {member.zone!r} is no zone of upstream {upstream.name}")
+        raise InvalidFieldError(f"member.zone: {member.zone!r} is no zone of upstream {upstream.name}")
     regions: dict[str, str] = {}
     for m in upstream.members:
         if regions.setdefault(m.zone, m.region) != m.region:
-            raise WireError(f"upstream {upstream.name}: zone {m.zone} is in two regions")
+            raise InvalidFieldError(f"upstream {upstream.name}: zone {m.zone} is in two regions")
 
 
 def check_fleet(
@@ -170,17 +176,17 @@
 ) -> None:
     """The same of members that are shared out."""
     if member is None:
-        raise WireError("fleet: members are shared out through [member], which is not there or off")
+        raise InvalidFieldError("fleet: members are shared out through [member], which is not there or off")
     if fleet.upstream not in {u.name for u in upstreams}:
-        raise WireError(f"fleet.upstream: no such upstream: {fleet.upstream}")
+        raise InvalidFieldError(f"fleet.upstream: no such upstream: {fleet.upstream}")
     if locality is not None and locality.upstream == fleet.upstream:
-        raise WireError(f"fleet.upstream: the work of {fleet.upstream} is spread over zones already")
+        raise InvalidFieldError(f"fleet.upstream: the work of {fleet.upstream} is spread over zones already")
 
 
 def read(raw: Any) -> Deployment:
     try:
         f = only(
-            Fields(raw, "deployment"),
+            FieldReader(raw, "deployment"),
             "ajp",
             "admin",
             "upstream",
@@ -193,19 +199,19 @@
         )
         ajp = admin = None
         if "ajp" in f.raw:
-            a = only(f.part("ajp"), "enabled", "listen", "secret")
+            a = only(f.section("ajp"), "enabled", "listen", "secret")
             if a.flag("enabled", True):
                 ajp = AjpFront(place(a, "listen"), a.text("secret", ""))
                 if not ajp.secret and not LOOPBACK.match(ajp.listen):
-                    raise WireError("deployment.ajp: off the loopback addresses a secret is needed")
+                    raise InvalidFieldError("deployment.ajp: off the loopback addresses a secret is needed")
         if "admin" in f.raw:
-            a = only(f.part("admin"), "enabled", "listen", "token", "state")
+            a = only(f.section("admin"), "enabled", "listen", "token", "state")
             if a.flag("enabled", True):
                 admin = Admin(place(a, "listen"), a.text("token"), a.text("state", None))
                 if len(admin.token) < 16:
-                    raise WireError("deployment.admin: field token is shorter than 16 characters")
+                    raise InvalidFieldError("deployment.admin: field token is shorter than 16 characters")
                 if not LOOPBACK.match(admin.listen):
-                    raise WireError("deployment.admin: field listen is not a loopback address")
+                    raise InvalidFieldError("deployment.admin: field listen is not a loopback address")
         upstreams = tuple(read_upstream(u, f"upstream[{n}]") for n, u in enumerate(f.array("upstream", [])))
         tenants = tuple(read_tenant(t, f"tenant[{n}]") for n, t in enumerate(f.array("tenant", [])))
         check(upstreams, tenants)
@@ -219,25 +225,25 @@
         if "storm" in f.raw:
             from saltcart.storm.settings import read_storm
 
-            storm = read_storm(f.part("storm").raw)
+            storm = read_storm(f.section("storm").raw)
         member = None
         if "member" in f.raw:
             from saltcart.member.settings import read_member
 
-            member = read_member(f.part("member").raw)
+            member = read_member(f.section("member").raw)
             member = member if member.enabled else None
         locality = None
         if "locality" in f.raw:
             from saltcart.locality.settings import read_locality
 
-            locality = read_locality(f.part("locality").raw)
+            locality = read_locality(f.section("locality").raw)
             check_locality(locality, member, upstreams)
             locality = locality if locality.enabled else None
         fleet = None
         if "fleet" in f.raw:
             from saltcart.fleet.settings import read_fleet
 
-            fleet = read_fleet(f.part("fleet").raw)
+            fleet = read_fleet(f.section("fleet").raw)
             check_fleet(fleet, member, upstreams, locality)
             fleet = fleet if fleet.enabled else None
         return Deployment(
@@ -251,7 +257,7 @@
             locality,
             fleet,
         )
-    except WireError as error:
+    except InvalidFieldError as error:
         raise ConfigError(str(error)) from None
 
 
--- a/saltcart/fleet/settings.py
+++ b/saltcart/fleet/settings.py
@@ -24,5 +24,5 @@
 
 
 def read_fleet(raw: Mapping[str, Any]) -> FleetSettings:
-    """The table; ``WireError`` names the field and the reason."""
+    """The table; ``InvalidFieldError`` names the field and the reason."""
     return convert(raw, FleetSettings, "fleet")
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -31,11 +31,12 @@
 from saltcart.core.service import STOP_MARGIN, Service
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect, Settings
+from saltcart.field_reader import FieldReader
 from saltcart.lab import offices
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.events import Events, Ticks, host
 from saltcart.lab.offices import Day
-from saltcart.settings import Fields, read_settings
+from saltcart.platform_settings import read_settings
 
 RATE = 60.0  # requests a second
 QUICK, FULL = 40.0, 240.0  # seconds of a day
@@ -207,7 +208,7 @@
         self.day, self.seconds, self.tally = day, seconds, Tally()
         rng = np.random.default_rng([seed, 7])
         count = int(seconds * rate)
-        self.settings: Settings = read_settings(Fields(offices.SETTINGS, "settings"))
+        self.settings: Settings = read_settings(FieldReader(offices.SETTINGS, "settings"))
         if policy == "oracle":
             self.settings = replace(self.settings, cores=SLOTS)
         self.arrivals = np.sort(rng.random(count) * seconds).tolist()
@@ -383,7 +384,7 @@
 
     The processor time is that of the whole loop, so it is the desk's and a little more.
     """
-    settings = read_settings(Fields(offices.SETTINGS, "settings"))
+    settings = read_settings(FieldReader(offices.SETTINGS, "settings"))
     desk, rng = Desk(office_plans(settings), seed, settings.classes), random.Random(seed)
     replies, number, sent = list[tuple[float, int, bytes]](), itertools.count(), 0
     peaks, begun, now = list[int](), time.process_time(), 1_000.0
--- a/saltcart/locality/evidence.py
+++ b/saltcart/locality/evidence.py
@@ -102,7 +102,7 @@
     """The test of one zone: ``odds``, the logarithm of how much likelier its ends are if it is well.
 
     It never falls below none, so that what a long failure took need not be made good end by end, nor rises
-    above ``MOST``, so that a long past does not hide what begins now.
+    above ``MAX_VALUE``, so that a long past does not hide what begins now.
     """
 
     __slots__ = ("odds",)
--- a/saltcart/locality/settings.py
+++ b/saltcart/locality/settings.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta
 
+from saltcart.field_reader import InvalidFieldError
 from saltcart.schema import convert
-from saltcart.settings import WireError
 
 Seconds = Annotated[float, Meta(ge=0.05, le=3600.0)]
 Share = Annotated[float, Meta(gt=0.0, le=1.0)]
@@ -43,12 +43,12 @@
 
 
 def read_locality(raw: Mapping[str, Any]) -> LocalitySettings:
-    """The table; ``WireError`` names the field and the reason."""
+    """The table; ``InvalidFieldError`` names the field and the reason."""
     conf = convert(raw, LocalitySettings, "locality")
     if conf.limit_pressed < conf.limit:
-        raise WireError("locality.limit_pressed: less than limit")
+        raise InvalidFieldError("locality.limit_pressed: less than limit")
     if conf.recover_most < conf.recover_for:
-        raise WireError("locality.recover_most: less than recover_for")
+        raise InvalidFieldError("locality.recover_most: less than recover_for")
     if conf.stale < 2 * conf.report_every:
-        raise WireError("locality.stale: less than two reports")
+        raise InvalidFieldError("locality.stale: less than two reports")
     return conf
--- a/saltcart/member/settings.py
+++ b/saltcart/member/settings.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta
 
+from saltcart.field_reader import InvalidFieldError
 from saltcart.schema import convert
-from saltcart.settings import WireError
 
 ADDRESS = r"^[A-Za-z0-9.-]{1,253}:\d{1,5}$"
 LABEL = r"^[A-Za-z0-9._-]{0,32}$"
@@ -45,18 +45,20 @@
 
 
 def read_member(raw: Mapping[str, Any]) -> MemberSettings:
-    """The table; ``WireError`` names the field and the reason."""
+    """The table; ``InvalidFieldError`` names the field and the reason."""
     conf = convert(raw, MemberSettings, "member")
     for key, value in (("listen", conf.listen), ("advertise", conf.advertise)):
         if value is not None and int(value.rpartition(":")[2]) > 65535:
-            raise WireError(f"member.{key}: no such port: {value}")
+            raise InvalidFieldError(f"member.{key}: no such port: {value}")
     for key, value in (
         ("listen", conf.listen),
         ("advertise", conf.advertise),
         *((f"seeds[{n}]", seed) for n, seed in enumerate(conf.seeds)),
     ):
         if value is not None and not LOOPBACK.match(value):
-            raise WireError(f"member.{key}: packets are not signed, so only loopback addresses are allowed")
+            raise InvalidFieldError(
+                f"member.{key}: packets are not signed, so only loopback addresses are allowed"
+            )
     if conf.probe_wait >= conf.probe_every:
-        raise WireError("member.probe_wait: not shorter than probe_every")
+        raise InvalidFieldError("member.probe_wait: not shorter than probe_every")
     return conf
--- /dev/null
+++ b/saltcart/platform_settings.py
@@ -0,0 +1,141 @@
+"""Reads the platform's settings object into the decision module's ``Settings``."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from saltcart.decision.settings import (
+    ClassSpec,
+    DependencyKind,
+    Effect,
+    LoadSignal,
+    ObjectiveWeights,
+    Preemption,
+    Settings,
+    TenantSpec,
+)
+from saltcart.field_reader import MAX_VALUE, FieldReader, InvalidFieldError
+
+EFFECTS = {
+    "read_like": Effect.SAFE,
+    "idempotency_key": Effect.IDEMPOTENT_BY_KEY,
+    "non_idempotent": Effect.NON_IDEMPOTENT,
+}
+PREEMPTION = {"none": Preemption.NONE, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
+SIGNALS = {
+    "none": LoadSignal.NONE,
+    "level": LoadSignal.LEVEL,
+    "credit": LoadSignal.CREDIT,
+    "weight": LoadSignal.WEIGHT,
+}
+DEPENDENCIES = {"none": DependencyKind.NONE, "shared": DependencyKind.SHARED, "tier": DependencyKind.TIER}
+SMALLEST = 1e-6  # of a time or size that must not be 0
+
+
+def read_settings(fields: FieldReader) -> Settings:
+    """Read the settings; ``InvalidFieldError`` names what is wrong with them."""
+    extra = fields.section("extra")
+    contract = fields.section("contract")
+    limits = fields.optional_section("limits")
+    has_retry_after = limits.flag("retryAfter", False)
+    return Settings(
+        classes=_read_classes(fields, extra),
+        tenants=_read_tenants(fields),
+        cores=extra.integer("cores", low=1, high=MAX_VALUE),
+        memory_kb=extra.number("memLimitKb", low=SMALLEST),
+        answer_slack=contract.number("answerSlack"),
+        drain_grace=contract.number("drainGrace"),
+        max_running_per_core=contract.number("fallMultiple", low=1),
+        max_running_span=contract.number("fall"),
+        cold_speed_share=contract.number("coldFrom", 1.0, high=1),
+        warm_up_seconds=contract.number("cold", 0.0),
+        starts_cold=extra.flag("cold", False),
+        over_quota_weight_share=fields.number("overShareWorth", 1.0),
+        objective=_read_objective(fields.optional_section("objectiveMix")),
+        preemption=extra.choice("preemption", PREEMPTION, Preemption.NONE),
+        signal=extra.choice("signal", SIGNALS, LoadSignal.NONE),
+        dependency=extra.choice("below", DEPENDENCIES, DependencyKind.NONE),
+        dependency_call_share=extra.number("depShare", None),
+        dependency_call_span=extra.number("shareSpan", 0.0),
+        abandoned_call_seconds=extra.number("linger", 0.0),
+        run_memory_factor=extra.number("runFactor", 1.0, low=1),
+        key_entry_kb=extra.number("keyKb", 0.0),
+        read_freshness_seconds=extra.number("fresh", 0.0),
+        signal_lifetime=extra.number("heardFor", 0.0),
+        client_idle_timeout=extra.number("idle", 0.0),
+        max_retry_after=limits.number("maxRetryAfter", 0.0) if has_retry_after else 0.0,
+        replica_count=fields.integer("replicasOfMe", 1, high=MAX_VALUE),
+        client_count=extra.integer("clientsTotal", 1, high=MAX_VALUE),
+        batch_interval=fields.number("quantum", 0.001, low=SMALLEST),
+        tier=fields.integer("tier", 0),
+    )
+
+
+def _read_classes(fields: FieldReader, extra: FieldReader) -> tuple[ClassSpec, ...]:
+    calls = extra.array("callsByClass", [])
+    skips = extra.array("classSkipWorth", [])
+    services = fields.array("services")
+    if not services:
+        raise InvalidFieldError(f"{fields.where}: field services is empty")
+    classes: list[ClassSpec] = []
+    for index, raw in enumerate(services):
+        service = FieldReader(raw, f"{fields.where}.services[{index}]")
+        skipped_share = skips[index] if index < len(skips) else 0.0
+        if not _is_share(skipped_share):
+            raise InvalidFieldError(f"{extra.where}: field classSkipWorth[{index}] is not a share")
+        calls_dependency = calls[index] if index < len(calls) else False
+        if not isinstance(calls_dependency, bool):
+            raise InvalidFieldError(f"{extra.where}: field callsByClass[{index}] is not true or false")
+        name = _read_class_name(service)
+        if any(name == known.name for known in classes):
+            raise InvalidFieldError(f"{service.where}: field name stands for two classes: {name}")
+        classes.append(_read_class(service, name, calls_dependency, float(skipped_share)))
+    return tuple(classes)
+
+
+def _is_share(value: Any) -> bool:
+    return not isinstance(value, bool) and isinstance(value, (int, float)) and 0 <= value <= 1
+
+
+def _read_class_name(service: FieldReader) -> str:
+    name: str = service.text("name")
+    if not name or any(c.isspace() or not c.isprintable() for c in name):
+        # It is a word of the pool's lines: what has a space there would be read as two.
+        raise InvalidFieldError(f"{service.where}: field name is not a word")
+    return name
+
+
+def _read_class(service: FieldReader, name: str, calls_dependency: bool, skipped_share: float) -> ClassSpec:
+    return ClassSpec(
+        name=name,
+        effect=service.choice("effect", EFFECTS),
+        latency_objective=service.number("onTime", low=SMALLEST),
+        deadline=service.number("deadline", low=SMALLEST),
+        priority_weight=service.number("worth"),
+        late_weight_share=service.number("lateValue", 0.0),
+        key_window=service.number("memorySpan", 0.0),
+        calls_dependency=calls_dependency,
+        skipped_call_weight_share=skipped_share,
+    )
+
+
+def _read_tenants(fields: FieldReader) -> tuple[TenantSpec, ...]:
+    tenants: list[TenantSpec] = []
+    for index, raw in enumerate(fields.array("orgs", [])):
+        tenant = FieldReader(raw, f"{fields.where}.orgs[{index}]")
+        name = tenant.text("name")
+        if not name or name != name.strip() or not name.isprintable():
+            raise InvalidFieldError(f"{tenant.where}: field name is not one that a header can carry")
+        if any(name == known.name for known in tenants):
+            raise InvalidFieldError(f"{tenant.where}: field name stands for two tenants: {name}")
+        tenants.append(TenantSpec(name, tenant.number("quotaPerS", 0.0), tenant.number("share", 0.0)))
+    return tuple(tenants)
+
+
+def _read_objective(mix: FieldReader) -> ObjectiveWeights:
+    return ObjectiveWeights(
+        whole=mix.number("whole", 1.0),
+        worst_window=mix.number("worstWindow", 0.0),
+        worst_class=mix.number("worstClass", 0.0),
+        worst_tenant=mix.number("worstTenant", 0.0),
+    )
--- a/saltcart/schema.py
+++ b/saltcart/schema.py
@@ -1,6 +1,6 @@
 """Tables and messages checked against a msgspec schema.
 
-A table's errors are in the words of settings.py: place, field, reason.
+A table's errors are worded as in field_reader.py: place, field, reason.
 
 Imported only by the parts that are on: a service without them has no msgspec.
 """
@@ -13,20 +13,20 @@
 
 import msgspec
 
-from saltcart.settings import WireError
+from saltcart.field_reader import InvalidFieldError
 from saltcart.wire.errors import MalformedMessageError
 
 T = TypeVar("T")
 
 
 def convert(raw: Mapping[str, Any], form: type[T], where: str) -> T:
-    """The table ``where`` as ``form``; ``WireError`` names the field and the reason."""
+    """The table ``where`` as ``form``; ``InvalidFieldError`` names the field and the reason."""
     try:
         return msgspec.convert(dict(raw), form)
     except msgspec.ValidationError as error:
         reason, _, path = str(error).partition(" - at `$")
         field = re.sub(r"^\.?", f"{where}.", path.rstrip("`")) if path else where
-        raise WireError(f"{field}: {reason}") from None
+        raise InvalidFieldError(f"{field}: {reason}") from None
 
 
 def unpack(decoder: msgspec.msgpack.Decoder[T], data: bytes, what: str) -> T:
--- a/saltcart/storm/settings.py
+++ b/saltcart/storm/settings.py
@@ -25,5 +25,5 @@
 
 
 def read_storm(raw: Mapping[str, Any]) -> StormSettings:
-    """The table; ``WireError`` names the field and the reason."""
+    """The table; ``InvalidFieldError`` names the field and the reason."""
     return convert(raw, StormSettings, "storm")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,6 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from saltcart.field_reader import InvalidFieldError
 from saltcart.fleet.classes import PARTS, encode_part, follow, part_of, preferred, read_part, short
 from saltcart.fleet.instance import INSTANCES, MEMBERS, SUM, Together
 from saltcart.fleet.settings import FleetSettings, read_fleet
@@ -19,7 +20,6 @@
 from saltcart.fleet.turns import GOLDEN, Retry, next_turn, phase, place_of
 from saltcart.lab import subsets
 from saltcart.member.record import Record
-from saltcart.settings import WireError
 from saltcart.wire.errors import MalformedMessageError
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=6), max_size=40, unique=True)
@@ -299,5 +299,5 @@
     ],
 )
 def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
-    with pytest.raises(WireError, match=reason):
+    with pytest.raises(InvalidFieldError, match=reason):
         read_fleet(raw)
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -12,6 +12,7 @@
 
 from saltcart.config import ConfigError
 from saltcart.deployment import read
+from saltcart.field_reader import InvalidFieldError
 from saltcart.lab import zones as model
 from saltcart.locality.demand import QUICK, Demand, believed
 from saltcart.locality.evidence import BEGUN, MOST, POOR, PROVEN, Proof, Tally, parts, upper
@@ -35,7 +36,6 @@
 from saltcart.locality.shed import MOST_WORTHS, Shed
 from saltcart.locality.sites import Backend, Sites
 from saltcart.member.record import Record
-from saltcart.settings import WireError
 from saltcart.wire.errors import MalformedMessageError
 
 CONF = LocalitySettings(upstream="work")
@@ -829,7 +829,7 @@
 
 
 def test_a_table_out_of_range_names_its_field() -> None:
-    with pytest.raises(WireError, match=r"locality\.limit"):
+    with pytest.raises(InvalidFieldError, match=r"locality\.limit"):
         read_locality({"upstream": "u", "limit": 2.0})
 
 
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -12,6 +12,7 @@
 
 from saltcart.config import ConfigError
 from saltcart.deployment import read
+from saltcart.field_reader import InvalidFieldError
 from saltcart.member import messages as m
 from saltcart.member.detector import Detector
 from saltcart.member.record import Record, State
@@ -19,7 +20,6 @@
 from saltcart.member.spread import Spread, tellings
 from saltcart.member.suspicion import LocalHealth, Suspicion
 from saltcart.member.view import Roster, Rotation, View
-from saltcart.settings import WireError
 from saltcart.wire.errors import MalformedMessageError
 
 CONF = MemberSettings("127.0.0.1:0", "test")
@@ -438,7 +438,7 @@
     ],
 )
 def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
-    with pytest.raises(WireError, match=reason):
+    with pytest.raises(InvalidFieldError, match=reason):
         read_member(raw)
     with pytest.raises(ConfigError):
         read({"member": raw})
--- a/tests/test_storm_parts.py
+++ b/tests/test_storm_parts.py
@@ -14,7 +14,7 @@
 from saltcart.core.service import Service
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.decision.settings import ClassSpec, Effect, Settings
-from saltcart.settings import WireError
+from saltcart.field_reader import InvalidFieldError
 from saltcart.storm.appointments import TICK, Appointments
 from saltcart.storm.calendar import BUCKET, Calendar
 from saltcart.storm.capacity import Strength, Throughput
@@ -384,7 +384,7 @@
     [({"horizon": 0.1}, "storm.horizon"), ({"grace": "x"}, "storm.grace"), ({"hroizon": 3}, "hroizon")],
 )
 def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
-    with pytest.raises(WireError, match=reason):
+    with pytest.raises(InvalidFieldError, match=reason):
         read_storm(raw)
 
 
