--- a/saltcart/decision/admission.py
+++ b/saltcart/decision/admission.py
@@ -8,7 +8,7 @@
 from saltcart.decision.drain import Drain
 from saltcart.decision.estimators import RunTimeEstimator, TenantUsage
 from saltcart.decision.events import PredecessorLoad, RequestArrived
-from saltcart.decision.request import Request, RequestState
+from saltcart.decision.request import HELD, Request
 from saltcart.decision.request_table import RequestTable
 from saltcart.decision.settings import Effect, Settings
 
@@ -120,7 +120,7 @@
         # Requests wait unread as well: reading starves beside the runs on a slow server, and what is shed
         # after reading relieves nothing.  It decays, so that a level which stops all arrivals lapses.
         self.unread_seconds -= self.unread_seconds * sweep_interval / self.objective
-        wait = self.table.counts[RequestState.HELD] * mean_run / slots + self.unread_seconds
+        wait = self.table.counts[HELD] * mean_run / slots + self.unread_seconds
         low = (wait / self.objective - SHED_FROM) / SHED_RANGE
         high = wait / self.objective - SHED_OTHERS_FROM
         self.pressure = max(0.0, min(1.0, low)) + max(0.0, min(1.0, high))
--- a/saltcart/decision/call_admission.py
+++ b/saltcart/decision/call_admission.py
@@ -8,7 +8,7 @@
 from saltcart.decision.decisions import CallDecision
 from saltcart.decision.estimators import CallTimeEstimator, RunTimeEstimator
 from saltcart.decision.outcome import Outcome
-from saltcart.decision.request import Request, RequestState
+from saltcart.decision.request import AWAITING_CALL, CALLING, Request
 from saltcart.decision.request_table import RequestTable
 from saltcart.decision.settings import DependencyKind, Effect, Settings
 
@@ -80,10 +80,10 @@
 
     def _is_waiting(self, request: Request) -> bool:
         is_live = request.id in self.table
-        return is_live and request.state is RequestState.AWAITING_CALL and not request.answered
+        return is_live and request.state is AWAITING_CALL and not request.answered
 
     def _has_room(self, now: float) -> bool:
-        under_way = self.table.counts[RequestState.CALLING]
+        under_way = self.table.counts[CALLING]
         return under_way + 1 <= max(1.0, self.limit) and now >= self.closed_until
 
     def _should_skip(self, now: float, request: Request) -> bool:
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -23,7 +23,7 @@
 from saltcart.decision.estimators import RunTimeEstimator
 from saltcart.decision.idle_timeout import IdleTimeout
 from saltcart.decision.outcome import Outcome
-from saltcart.decision.request import Request, RequestState
+from saltcart.decision.request import AWAITING_CALL, CALLING, HELD, JOINED, RUNNING, Request
 from saltcart.decision.request_table import RequestTable
 from saltcart.decision.run_scheduler import RunScheduler
 from saltcart.decision.settings import ClassSpec, Effect, Preemption, Settings
@@ -83,12 +83,12 @@
     def load(self) -> events.PredecessorLoad:
         """Return what this server has on its cores and in its memory, for a process that takes over."""
         counts = self.table.counts
-        running, calling = counts[RequestState.RUNNING], counts[RequestState.CALLING]
+        running, calling = counts[RUNNING], counts[CALLING]
         return events.PredecessorLoad(running, calling, self.table.memory_kb)
 
     def held_count(self) -> int:
         """Return how many requests wait for a run slot."""
-        return self.table.counts[RequestState.HELD]
+        return self.table.counts[HELD]
 
     # ---- the life of the server ---------------------------------------------------------------
 
@@ -162,7 +162,7 @@
         if not self.admission.may_join(now, first_id):
             self._finish(request)
             return
-        self.table.move(request, RequestState.JOINED)
+        self.table.move(request, JOINED)
         self.actions.append(actions.JoinAttempt(request.id))
         self._watch(now, request)
 
@@ -181,12 +181,12 @@
 
     def _on_run_finished(self, now: float, event: events.RunFinished) -> None:
         request = self.table.get(event.id)
-        if request is None or request.state is RequestState.HELD:
+        if request is None or request.state is HELD:
             return
         succeeded = event.outcome is Outcome.SUCCEEDED
         self.table.record_key_result(request.id, succeeded)
         request.answered |= event.outcome in (Outcome.SUCCEEDED, Outcome.FAILED)
-        if request.state is not RequestState.JOINED:
+        if request.state is not JOINED:
             self._record_run(now, request, event.outcome)
             self.table.remove(request)
         self._finish(request)
@@ -196,7 +196,7 @@
         succeeded = outcome is Outcome.SUCCEEDED
         self.run_times.record_run(request.class_index, seconds, succeeded)
         # What never ran tells nothing of the cores.
-        if request.state is RequestState.RUNNING and outcome is not Outcome.NOT_STARTED:
+        if request.state is RUNNING and outcome is not Outcome.NOT_STARTED:
             self.scheduler.limiter.completions += 1
             self.last_completion_at = now
 
@@ -222,22 +222,22 @@
 
     def _close(self, request: Request, *, stop: bool) -> None:
         """Book off a request that is owed nothing more; what still runs stays on the books."""
-        if request.state in (RequestState.HELD, RequestState.JOINED):
+        if request.state in (HELD, JOINED):
             if not request.has_run and self.table.release_key(request.id):
                 self.actions.append(actions.ReleaseKey(request.id))
             self.table.remove(request)
             return
         can_stop = self.settings.preemption is not Preemption.NONE and request.id in self.table
-        if stop and can_stop and request.state is RequestState.RUNNING:
+        if stop and can_stop and request.state is RUNNING:
             self.actions.append(actions.StopRun(request.id))
 
     # ---- calls --------------------------------------------------------------------------------
 
     def _on_call_requested(self, now: float, event: events.CallRequested) -> None:
         request = self.table.get(event.id)
-        if request is None or request.state not in (RequestState.RUNNING, RequestState.CALLING):
+        if request is None or request.state not in (RUNNING, CALLING):
             return
-        self.table.move(request, RequestState.AWAITING_CALL)
+        self.table.move(request, AWAITING_CALL)
         request.left_cores_at = now
         if not request.answered:
             self.calls.wait(request)
@@ -245,13 +245,13 @@
 
     def _on_call_finished(self, now: float, event: events.CallFinished) -> None:
         request = self.table.get(event.id)
-        if request is None or request.state is not RequestState.CALLING:
+        if request is None or request.state is not CALLING:
             return
         self.calls.record(now, event.outcome, event.seconds)
         if event.outcome is Outcome.SUCCEEDED:
             self._resume(now, request)
         else:
-            self.table.move(request, RequestState.AWAITING_CALL)
+            self.table.move(request, AWAITING_CALL)
             request.broken_calls += event.outcome is Outcome.BROKEN_OFF
             decision = self.calls.decide_after_failure(now, request, event.outcome)
             self._apply_call_decision(now, request, decision)
@@ -264,7 +264,7 @@
     def _apply_call_decision(self, now: float, request: Request, decision: CallDecision) -> None:
         match decision:
             case CallDecision.START:
-                self.table.move(request, RequestState.CALLING)
+                self.table.move(request, CALLING)
                 timeout = max(self.sweep_interval, request.objective_at - now)
                 self.actions.append(actions.StartCall(request.id, timeout))
             case CallDecision.SKIP:
@@ -277,7 +277,7 @@
 
     def _resume(self, now: float, request: Request) -> None:
         """Put a run back on the cores after its call."""
-        self.table.move(request, RequestState.RUNNING)
+        self.table.move(request, RUNNING)
         seconds = now - request.left_cores_at
         request.seconds_at_calls += seconds
         if self.settings.classes[request.class_index].skipped_call_weight_share == 0:
@@ -302,7 +302,7 @@
 
     def _update_pressure(self, now: float) -> None:
         slots = self.scheduler.limiter.slots
-        running = self.table.counts[RequestState.RUNNING] + self.predecessor.running
+        running = self.table.counts[RUNNING] + self.predecessor.running
         if running < slots:
             self.last_completion_at = now
         # With all slots taken and nothing ending the server is slow or hangs, whatever the cause.
--- a/saltcart/decision/due_policy.py
+++ b/saltcart/decision/due_policy.py
@@ -4,7 +4,7 @@
 
 from saltcart.decision.decisions import DueDecision
 from saltcart.decision.estimators import RunTimeEstimator
-from saltcart.decision.request import Request, RequestState
+from saltcart.decision.request import HELD, Request
 from saltcart.decision.settings import Preemption, Settings
 
 WATCH_SWEEPS = 2  # before its answer is due, in which a request is looked at again
@@ -22,7 +22,7 @@
     def next_look(self, now: float, request: Request) -> float:
         """Return when the request can no longer be started, or must be answered."""
         at = request.due_at - WATCH_SWEEPS * self.sweep_interval
-        if request.state is RequestState.HELD:
+        if request.state is HELD:
             return min(at, request.objective_at - self.run_times.expected(request.class_index))
         return min(at, request.objective_at) if now < request.objective_at else at
 
@@ -30,7 +30,7 @@
         """Decide what becomes of a request that is owed its answer."""
         next_sweep = now + self.sweep_interval
         expected = self.run_times.expected(request.class_index)
-        if request.state is RequestState.HELD and next_sweep + expected >= request.objective_at:
+        if request.state is HELD and next_sweep + expected >= request.objective_at:
             return DueDecision.REJECT
         is_past_use = next_sweep >= request.objective_at and self._is_worthless_late(request)
         if is_past_use or now + FAIL_SWEEPS * self.sweep_interval >= request.due_at:
--- a/saltcart/decision/request.py
+++ b/saltcart/decision/request.py
@@ -18,6 +18,14 @@
     JOINED = 4  # waits for the result of the attempt that it repeats
 
 
+# Read through the class a member costs a tenth of a microsecond, which each event would pay several times.
+HELD = RequestState.HELD
+RUNNING = RequestState.RUNNING
+AWAITING_CALL = RequestState.AWAITING_CALL
+CALLING = RequestState.CALLING
+JOINED = RequestState.JOINED
+
+
 class Request:
     """One request that is held or under way.  Times are seconds by the controller's clock."""
 
@@ -54,7 +62,7 @@
         self.due_at = due_at
         self.objective_at = objective_at
         self.tenant = tenant
-        self.state = RequestState.HELD
+        self.state = HELD
         self.has_run = False
         self.answered = False  # or its caller is gone: no answer is owed any more
         self.arrived_at = now - event.unread_seconds
--- a/saltcart/decision/request_table.py
+++ b/saltcart/decision/request_table.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from saltcart.decision.request import Request, RequestState
+from saltcart.decision.request import AWAITING_CALL, CALLING, HELD, RUNNING, Request, RequestState
 from saltcart.decision.settings import Settings
 
-IN_RUN_MEMORY = (RequestState.RUNNING, RequestState.AWAITING_CALL, RequestState.CALLING)
+IN_RUN_MEMORY = (RUNNING, AWAITING_CALL, CALLING)
 
 
 class RequestTable:
@@ -31,7 +31,7 @@
     def add(self, request: Request) -> None:
         """Book a request that was read and is held."""
         self.requests[request.id] = request
-        self.counts[RequestState.HELD] += 1
+        self.counts[HELD] += 1
         self.held_by_class[request.class_index] += 1
         self.memory_kb += request.size_kb
 
@@ -43,7 +43,7 @@
 
     def start_run(self, request: Request, now: float) -> None:
         """Book a held request as running, with the memory of a run."""
-        self.move(request, RequestState.RUNNING)
+        self.move(request, RUNNING)
         request.has_run = True
         request.started_at = now
         self.memory_kb += request.size_kb * (self.run_memory_factor - 1)
@@ -57,7 +57,7 @@
 
     def _leave_state(self, request: Request) -> None:
         self.counts[request.state] -= 1
-        if request.state is RequestState.HELD:
+        if request.state is HELD:
             self.held_by_class[request.class_index] -= 1
 
     def reserve_key(self, request_id: int) -> None:
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -13,7 +13,7 @@
 from saltcart.decision.delay_ratio import DelayRatioController
 from saltcart.decision.estimators import QueueWaits, RunTimeEstimator
 from saltcart.decision.events import PredecessorLoad
-from saltcart.decision.request import Request, RequestState
+from saltcart.decision.request import AWAITING_CALL, CALLING, HELD, RUNNING, Request
 from saltcart.decision.request_table import RequestTable
 from saltcart.decision.settings import Settings
 
@@ -44,14 +44,16 @@
     def decide(self, now: float, age: float, other: PredecessorLoad) -> Iterator[tuple[Request, RunDecision]]:
         """Yield held requests for free slots while there are any; each decision is carried out at once."""
         counts, slots = self.table.counts, self.limiter.slots
+        if counts[RUNNING] + other.running >= slots or not counts[HELD]:
+            return
         # One a core never falls, whatever is survived: below that nothing would run at all.
         survivable = max(self.settings.cores, SURVIVABLE_SHARE * self.limiter.survivable(age))
         most = survivable - (other.running + other.calling)
-        is_stuck = counts[RequestState.AWAITING_CALL] + counts[RequestState.CALLING] >= slots
+        is_stuck = counts[AWAITING_CALL] + counts[CALLING] >= slots
         barred = self.run_times.requires_call if is_stuck else self.none_barred
-        while counts[RequestState.RUNNING] + other.running < slots and counts[RequestState.HELD]:
+        while counts[RUNNING] + other.running < slots and counts[HELD]:
             class_index = self.queues.draw(self.delay_ratios.shares, barred)
-            under_way = counts[RequestState.RUNNING] + counts[RequestState.CALLING]
+            under_way = counts[RUNNING] + counts[CALLING]
             if class_index is None or under_way + 1 > most:
                 return
             request = self.queues.pop(class_index)
