--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -128,11 +128,11 @@
     def state(self) -> Reply:
         s = self.service
         return 200, {
-            "healthy": s.healthy,
+            "healthy": s.is_healthy,
             "draining": s.drain_at is not None,
-            "hint": s.hint,
+            "hint": s.load_level,
             "keys": len(s.keys),
-            "requests": Counter(r.state.value for r in s.requests.values()),
+            "requests": Counter(r.phase.value for r in s.requests.values()),
             "gauges": s.gauge_values,
             "tenants": len(self.registry.tenants),
             "upstreams": len(self.registry.upstreams),
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -12,7 +12,7 @@
 from saltcart.admin.registry import Registry, specs
 from saltcart.admin.server import AdminConnection
 from saltcart.config import Config, ConfigError
-from saltcart.core.ports import Log, Runs
+from saltcart.core.ports import Log, WorkerPool
 from saltcart.core.service import STOP_MARGIN, Service
 from saltcart.decision.settings import Settings
 from saltcart.deployment import Deployment
@@ -79,7 +79,7 @@
         self.service = Service(
             settings, conf.gauges, conf.seed, clock, log, key_room=key_room, ahead=clock.ahead
         )
-        self.service.hosted = hosted
+        self.service.has_hosted_tenants = hosted
         self.listeners: list[Listener] = []
         self.fronts: dict[str, Listener] = {}  # those of the clients
         self.succession: Succession | None = None
@@ -94,7 +94,7 @@
         self.gossip: Gossip | None = None
         self.nearby: Nearby | None = None
         self.evenly: Evenly | None = None
-        self.runs: Runs | None = None  # set before the start: in the place of a pool or upstreams
+        self.runs: WorkerPool | None = None  # set before the start: in the place of a pool or upstreams
         self.ticker: Ticker | None = None
 
     async def start(self) -> None:
@@ -111,22 +111,22 @@
         if self.deployment.storm is not None:
             self._watch_storms(self.deployment.storm)
         if conf.announce:
-            service.announce = self.announcer = Announcer(conf.announce, conf.name, self.log)
+            service.registration = self.announcer = Announcer(conf.announce, conf.name, self.log)
             self.announcer.start()
         if conf.index:
-            service.calls = self.index = IndexClient(conf.index, service, self.log, calls)
+            service.dependency_calls = self.index = IndexClient(conf.index, service, self.log, calls)
         if self.runs is not None:
-            service.runs = self.runs
-            service.pool_up(False, 0.0)
+            service.workers = self.runs
+            service.pool_started(False, 0.0)
         elif conf.pool:
-            service.runs = self.pool = PoolLink(conf.pool, service, self.log)
+            service.workers = self.pool = PoolLink(conf.pool, service, self.log)
             self.pool.start()
         else:
             self.upstreams = Upstreams(self.deployment, service, self.log, service.settings.cores)
-            service.runs = self.upstreams
+            service.workers = self.upstreams
             if self.deployment.plans is not None:
                 self._compose(self.deployment.plans, self.upstreams)
-            service.pool_up(False, 0.0)
+            service.pool_started(False, 0.0)
         self.ticker = Ticker(service, loop)
         if conf.listen_fd is not None and conf.shared_folder is not None:
             self.succession = Succession(
@@ -189,11 +189,11 @@
 
         def make(settings: Settings, started: float) -> Damper:
             damper = Damper(conf, settings, self.conf.seed, service.now, started)
-            service.figures.append(lambda: damper.figures(service.clock()))
+            service.figure_sources.append(lambda: damper.figures(service.clock()))
             self.damper = damper
             return damper
 
-        service.make_storms = make
+        service.make_storm_control = make
 
     async def _join(self, conf: MemberSettings) -> None:
         """Keep a view of the fleet together with its other processes."""
@@ -201,7 +201,7 @@
 
         self.gossip = Gossip(conf, self.conf.name, self.conf.seed, self.log)
         self.addresses["member"] = await self.gossip.open()
-        self.service.figures.append(self.gossip.figures)
+        self.service.figure_sources.append(self.gossip.figures)
         self.log("listening", name=self.conf.name, front="member", address=self.addresses["member"])
         locality, fleet, upstreams = self.deployment.locality, self.deployment.fleet, self.upstreams
         if upstreams is None:
@@ -219,7 +219,7 @@
                 self.log,
                 {c.name: c.priority_weight for c in self.service.settings.classes},
             )
-            self.service.figures.append(self.nearby.locality.figures)
+            self.service.figure_sources.append(self.nearby.locality.figures)
         if fleet is not None:
             from saltcart.net.evenly import Evenly
 
@@ -231,14 +231,14 @@
                 seed + 2,
                 self.log,
             )
-            self.service.figures.append(self.evenly.together.figures)
+            self.service.figure_sources.append(self.evenly.together.figures)
 
     def _compose(self, plans: Plans, upstreams: Upstreams) -> None:
         """Answers of the plans' classes are made of several dependencies' replies."""
         from saltcart.net.composer import Composer
 
         service = self.service
-        service.runs = self.composer = Composer(
+        service.workers = self.composer = Composer(
             plans,
             service.settings.classes,
             upstreams,
@@ -246,11 +246,11 @@
             self.log,
             self.conf.seed,
             service.clock,
-            service.held,
-            service.usable,
+            service.held_count,
+            service.usable_time,
         )
-        service.composed = frozenset(self.composer.desk.plans)
-        service.figures.append(self.composer.figures)
+        service.composed_classes = frozenset(self.composer.desk.plans)
+        service.figure_sources.append(self.composer.figures)
 
     async def _open_fronts(self, most: int) -> None:
         """Where clients connect; ``most`` connections in all."""
@@ -259,7 +259,7 @@
         http = Listener(
             self.conf.listen,
             lambda owner: HttpConnection(owner, service),
-            lambda: service.idle_after,
+            lambda: service.idle_timeout,
             most - ajp_most,
             self.conf.listen_fd,
         )
@@ -269,7 +269,7 @@
             front = Listener(
                 ajp.listen,
                 lambda owner: AjpConnection(owner, service, secret),
-                lambda: service.idle_after,
+                lambda: service.idle_timeout,
                 ajp_most,
                 shared=shared,
             )
@@ -300,7 +300,7 @@
         if self.composer is not None:
             self.composer.hasten(within - STOP_MARGIN)
         if self.succession is None or not self.succession.retire(within, done):
-            self.service.leave(within, ago)
+            self.service.start_drain(within, ago)
 
     def reload(self, conf: Config) -> None:
         """Move to the addresses of a new configuration; requests, runs and notice numbers go on.
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -11,51 +11,53 @@
 from saltcart.decision.outcome import Outcome
 
 
-class Verdict(enum.Enum):
+class ResponseStatus(enum.Enum):
     """The final answer's kind; each front has its own status for it."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
 @dataclass(slots=True)
-class Answer:
+class FinalResponse:
     """One final answer."""
 
-    verdict: Verdict
+    status: ResponseStatus
     body: bytes = b""
-    hint: float | None = None  # the free value
-    back_off: float = 0.0  # seconds
-    come_back: float = 0.0  # seconds until the moment that the calendar gave, if it gave one
-    final: bool = False  # asks that no other server is tried
-    left_out: tuple[str, ...] = ()  # dependencies that a partial answer does without
-    remembered: tuple[str, ...] = ()  # those for which a last good answer stands in
+    load_level: float | None = None  # the free value
+    back_off_seconds: float = 0.0  # seconds
+    retry_after_seconds: float = 0.0  # seconds until the moment that the calendar gave, if it gave one
+    is_final: bool = False  # asks that no other server is tried
+    skipped_dependencies: tuple[str, ...] = ()  # dependencies that a partial answer does without
+    cached_dependencies: tuple[str, ...] = ()  # those for which a last good answer stands in
 
 
 @dataclass(slots=True)
-class Ask:
+class InboundRequest:
     """A request as a front has read it."""
 
-    ident: bytes
-    klass: str
+    request_id: bytes
+    class_name: str
     account: str
-    received: float  # when it came to the machine, Unix seconds
-    budget: float | None  # seconds from ``received``
+    received_at: float  # when it came to the machine, Unix seconds
+    budget_seconds: float | None  # seconds from ``received``
     size_kb: float
-    standing: float
-    cost: float | None = None
-    caller: int = 0
-    key: bytes | None = None
-    subject: str | None = None
-    last: bool = False  # let in after the others, for its source takes more than its part
+    priority_rank: float
+    cost_hint: float | None = None
+    balancer: int = 0
+    idempotency_key: bytes | None = None
+    resource_key: str | None = None
+    admitted_last: bool = False  # let in after the others, for its source takes more than its part
     body: bytes = b""
 
 
-Reply = Callable[[Answer], None]  # where one request's final answer goes; called once at most
+ResponseCallback = Callable[
+    [FinalResponse], None
+]  # where one request's final answer goes; called once at most
 
 
-class Runs(Protocol):
+class WorkerPool(Protocol):
     """Who does the work.
 
     ``once``: the run must never be started a second time.  ``within``: seconds that its caller still waits.
@@ -72,67 +74,67 @@
     def poll(self) -> None: ...
 
 
-class Calls(Protocol):
+class DependencyCalls(Protocol):
     """Calls to what lies below.  ``once``: the call must never be made where a first one may have run."""
 
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None: ...
     def give_up(self, ident: bytes) -> None: ...
 
 
-class Announce(Protocol):
+class Registration(Protocol):
     """Where the service tells that it takes requests."""
 
-    def accepting(self, on: bool) -> None: ...
+    def set_accepting(self, on: bool) -> None: ...
 
 
 class Log(Protocol):
     def __call__(self, event: str, **fields: object) -> None: ...
 
 
-class Try(Protocol):
+class Attempt(Protocol):
     """What is known of one try that arrived."""
 
     @property
-    def mark(self) -> int: ...
+    def fingerprint(self) -> int: ...
     @property
-    def again(self) -> bool: ...
+    def is_retry(self) -> bool: ...
     @property
-    def kept(self) -> bool: ...
+    def has_reservation(self) -> bool: ...
     @property
-    def early(self) -> bool: ...
+    def is_early(self) -> bool: ...
 
 
-class Return(Protocol):
+class RetryAdvice(Protocol):
     """What a refused caller is told."""
 
     @property
-    def after(self) -> float: ...
+    def retry_after(self) -> float: ...
     @property
-    def final(self) -> bool: ...
+    def is_final(self) -> bool: ...
 
 
-class Storms(Protocol):
+class RetryStormControl(Protocol):
     """Who tells tries that come again from new work, and says when a refused caller should come back."""
 
-    def arrived(
+    def record_arrival(
         self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
-    ) -> Try: ...
-    def refused(self, now: float, mark: int) -> Return: ...
-    def served(self, now: float, mark: int, again: bool) -> None: ...
-    def run_ended(self, now: float, took: float, full: bool, running: int) -> None: ...
-    def storm(self, now: float) -> bool: ...
-    def source(self, address: str) -> int: ...
-    def admits(self, now: float, source: int) -> ConnectionAdmission: ...
-    def unread(self, now: float, source: int) -> Return: ...
-    def tell(self, now: float, source: int, after: float) -> None: ...
-
-
-class RunEvents(Protocol):
-    """The core's half of ``Runs``: what a pool tells it."""
-
-    def pool_up(self, cold: bool, age: float) -> None: ...
-    def pool_lost(self, cold: bool, age: float) -> None: ...
-    def run_ended(
+    ) -> Attempt: ...
+    def record_rejection(self, now: float, mark: int) -> RetryAdvice: ...
+    def record_success(self, now: float, mark: int, again: bool) -> None: ...
+    def record_run(self, now: float, took: float, full: bool, running: int) -> None: ...
+    def in_storm(self, now: float) -> bool: ...
+    def source_of(self, address: str) -> int: ...
+    def admit_connection(self, now: float, source: int) -> ConnectionAdmission: ...
+    def reject_unread(self, now: float, source: int) -> RetryAdvice: ...
+    def record_advice(self, now: float, source: int, after: float) -> None: ...
+
+
+class WorkerPoolEvents(Protocol):
+    """The core's half of ``WorkerPool``: what a pool tells it."""
+
+    def pool_started(self, cold: bool, age: float) -> None: ...
+    def pool_replaced(self, cold: bool, age: float) -> None: ...
+    def run_finished(
         self,
         ident: bytes,
         outcome: Outcome,
@@ -141,12 +143,12 @@
         left_out: tuple[str, ...] = (),
         remembered: tuple[str, ...] = (),
     ) -> None: ...
-    def run_blocked(self, ident: bytes, notice: int, body: bytes) -> None: ...
-    def run_lost(self, ident: bytes) -> None: ...
-    def gauges(self, values: tuple[float, ...]) -> None: ...
+    def run_awaits_call(self, ident: bytes, notice: int, body: bytes) -> None: ...
+    def run_uncertain(self, ident: bytes) -> None: ...
+    def gauges_polled(self, values: tuple[float, ...]) -> None: ...
 
 
-class CallEvents(Protocol):
-    """The core's half of ``Calls``."""
+class DependencyCallEvents(Protocol):
+    """The core's half of ``DependencyCalls``."""
 
-    def call_ended(self, ident: bytes, outcome: Outcome, reply: bytes) -> None: ...
+    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None: ...
--- a/saltcart/core/rate.py
+++ b/saltcart/core/rate.py
@@ -7,18 +7,18 @@
 LN2 = log(2)  # of a faded count: what it stands for is its half-life over this
 
 
-class Rate:
+class FadingRate:
     """Events a second, smoothed with a half-life."""
 
-    __slots__ = ("at", "half_life", "level")
+    __slots__ = ("half_life", "level", "updated_at")
 
     def __init__(self, half_life: float) -> None:
-        self.half_life, self.level, self.at = half_life, 0.0, 0.0
+        self.half_life, self.level, self.updated_at = half_life, 0.0, 0.0
 
     def _fade(self, now: float) -> None:
-        if now > self.at:
-            self.level *= 0.5 ** min(1000.0, (now - self.at) / self.half_life)
-            self.at = now
+        if now > self.updated_at:
+            self.level *= 0.5 ** min(1000.0, (now - self.updated_at) / self.half_life)
+            self.updated_at = now
 
     def add(self, now: float, weight: float = 1.0) -> None:
         self._fade(now)
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -4,12 +4,12 @@
 
 import enum
 
-from saltcart.core.keys import Entry, Key
-from saltcart.core.ports import Ask, Reply, Try
+from saltcart.core.idempotency_keys import Key, KeyRecord
+from saltcart.core.ports import Attempt, InboundRequest, ResponseCallback
 from saltcart.decision.settings import ClassSpec
 
 
-class State(enum.Enum):
+class RequestPhase(enum.Enum):
     HELD = "held"
     JOINED = "waits for another try's result"
     RUNNING = "running"
@@ -18,37 +18,45 @@
     CALLING = "at a call"
 
 
-OFF_POOL = (State.HELD, State.JOINED)
+OFF_POOL = (RequestPhase.HELD, RequestPhase.JOINED)
 
 
-class Request:
+class PendingRequest:
     """One request from its reading to the end of its run."""
 
     __slots__ = (
-        "ask",
-        "call_at",
+        "arrived_at",
+        "attempt",
         "call_body",
+        "call_notice",
         "call_number",
-        "came",
-        "due",
-        "entry",
+        "call_started_at",
+        "due_at",
+        "inbound",
         "key",
-        "notice",
+        "key_record",
         "number",
-        "reply",
+        "phase",
+        "respond",
         "spec",
-        "state",
-        "stopped",
-        "tried",
+        "stop_requested",
     )
 
-    def __init__(self, number: int, ask: Ask, spec: ClassSpec, now: float, due: float, reply: Reply) -> None:
-        self.number, self.ask, self.spec, self.due = number, ask, spec, due
+    def __init__(
+        self,
+        number: int,
+        ask: InboundRequest,
+        spec: ClassSpec,
+        now: float,
+        due: float,
+        reply: ResponseCallback,
+    ) -> None:
+        self.number, self.inbound, self.spec, self.due_at = number, ask, spec, due
         # By this its key is looked up: no sender whose clock is ahead puts a try past a window.
-        self.came = min(now, ask.received)
-        self.reply: Reply | None = reply  # None once the answer is given or the caller gone
-        self.state, self.stopped = State.HELD, False
+        self.arrived_at = min(now, ask.received_at)
+        self.respond: ResponseCallback | None = reply  # None once the answer is given or the caller gone
+        self.phase, self.stop_requested = RequestPhase.HELD, False
         self.key: Key | None = None
-        self.entry: Entry | None = None  # of its key, where this try holds it
-        self.tried: Try | None = None  # where storms are watched for
-        self.notice, self.call_body, self.call_at, self.call_number = 0, b"", 0.0, 0
+        self.key_record: KeyRecord | None = None  # of its key, where this try holds it
+        self.attempt: Attempt | None = None  # where storms are watched for
+        self.call_notice, self.call_body, self.call_started_at, self.call_number = 0, b"", 0.0, 0
--- a/saltcart/core/timers.py
+++ b/saltcart/core/timers.py
@@ -12,13 +12,13 @@
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
-        self.earlier: Callable[[], None] | None = None  # told when the next one due has moved forward
+        self.on_earlier_due: Callable[[], None] | None = None  # told when the next one due has moved forward
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         entry = (when, next(self.order), call, args)
         heapq.heappush(self.heap, entry)
-        if self.earlier is not None and self.heap[0] is entry:
-            self.earlier()
+        if self.on_earlier_due is not None and self.heap[0] is entry:
+            self.on_earlier_due()
 
     def next_due(self) -> float | None:
         return self.heap[0][0] if self.heap else None
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -5,34 +5,34 @@
 from collections.abc import Mapping
 from math import ceil
 
-from saltcart.core.ports import Answer, Verdict
+from saltcart.core.ports import FinalResponse, ResponseStatus
 from saltcart.core.service import InvalidRequestError, Service
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.front.fields import read_ask
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire.errors import MalformedMessageError
 
-STATUS = {Verdict.SERVED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 500}
+STATUS = {ResponseStatus.SERVED: 200, ResponseStatus.REJECTED: 503, ResponseStatus.FAILED: 500}
 CLOSE_ON_ANSWER = 0.25  # idle times below this end the connection with the answer, not after it
 AT_ONCE = 8  # requests of one connection that are answered in one turn: a flood must not hold up the others
 Fields = tuple[tuple[str, str], ...]
 
 
-def answer_fields(answer: Answer) -> Fields:
+def answer_fields(answer: FinalResponse) -> Fields:
     """The fields that an answer carries, the same on every front."""
     fields = []
-    if answer.hint is not None:
-        fields.append(("Server-Hint", f"{answer.hint:.4f}"))
-    if answer.verdict is Verdict.REFUSED and answer.back_off > 0:
-        fields.append(("Back-Off-Ms", str(max(1, round(answer.back_off * 1000)))))
-    if answer.come_back > 0:
-        fields.append(("Retry-After", str(max(1, ceil(answer.come_back)))))
-    if answer.verdict is Verdict.REFUSED and answer.final:
+    if answer.load_level is not None:
+        fields.append(("Server-Hint", f"{answer.load_level:.4f}"))
+    if answer.status is ResponseStatus.REJECTED and answer.back_off_seconds > 0:
+        fields.append(("Back-Off-Ms", str(max(1, round(answer.back_off_seconds * 1000)))))
+    if answer.retry_after_seconds > 0:
+        fields.append(("Retry-After", str(max(1, ceil(answer.retry_after_seconds)))))
+    if answer.status is ResponseStatus.REJECTED and answer.is_final:
         fields.append(("Final-Refusal", "1"))
-    if answer.left_out:
-        fields.append(("Left-Out", ", ".join(answer.left_out)))
-    if answer.remembered:
-        fields.append(("From-Memory", ", ".join(answer.remembered)))
+    if answer.skipped_dependencies:
+        fields.append(("Left-Out", ", ".join(answer.skipped_dependencies)))
+    if answer.cached_dependencies:
+        fields.append(("From-Memory", ", ".join(answer.cached_dependencies)))
     return tuple(fields)
 
 
@@ -56,23 +56,25 @@
 
     def opened(self) -> None:
         super().opened()
-        if self.service.storms is not None and self.transport is not None:
+        if self.service.storm_control is not None and self.transport is not None:
             peer = self.transport.get_extra_info("peername")
-            self.source = self.service.storms.source(peer[0] if peer else "")
+            self.source = self.service.storm_control.source_of(peer[0] if peer else "")
 
     def enters(self) -> bool:
         """Whether the request whose first bytes are here may be read.  If not, it is turned back unread."""
-        storms = self.service.storms
+        storms = self.service.storm_control
         if storms is None or self.entered or not len(self.buffer):
             return True
         check = self.check_call()
         if check is None:
             return False
         now = self.service.clock()
-        entry = ConnectionAdmission.READ if check else storms.admits(now, self.source)
+        entry = ConnectionAdmission.READ if check else storms.admit_connection(now, self.source)
         if entry is ConnectionAdmission.REFUSE:
-            back = storms.unread(now, self.source)
-            answer = Answer(Verdict.REFUSED, come_back=back.after, final=back.final)
+            back = storms.reject_unread(now, self.source)
+            answer = FinalResponse(
+                ResponseStatus.REJECTED, retry_after_seconds=back.retry_after, is_final=back.is_final
+            )
             self.cut_off(503, b"", answer_fields(answer))
             return False
         self.entered, self.last = True, entry is ConnectionAdmission.READ_LAST
@@ -184,8 +186,8 @@
         self.carries()
         path = target.partition(b"?")[0]
         if path == b"/ping":
-            hint = answer_fields(Answer(Verdict.SERVED, hint=self.service.hint))
-            self.respond(200 if self.service.healthy else 503, b"", hint)
+            hint = answer_fields(FinalResponse(ResponseStatus.SERVED, load_level=self.service.load_level))
+            self.respond(200 if self.service.is_healthy else 503, b"", hint)
         elif not path.startswith(b"/call/"):
             self.respond(404)
         elif method != b"POST":
@@ -193,7 +195,7 @@
         else:
             try:
                 ask = read_ask(path, headers, body, self.service)
-                ask.last = self.last
+                ask.admitted_last = self.last
                 self.open = self.taking = True
                 number = self.service.arrive(ask, self.reply)
             except InvalidRequestError as error:
@@ -204,13 +206,15 @@
             finally:
                 self.taking = False
 
-    def reply(self, answer: Answer) -> None:
+    def reply(self, answer: FinalResponse) -> None:
         self.open, self.number = False, 0
-        if answer.come_back > 0 and self.service.storms is not None:
-            self.service.storms.tell(self.service.clock(), self.source, answer.come_back)
-        if self.service.idle_after < CLOSE_ON_ANSWER:
+        if answer.retry_after_seconds > 0 and self.service.storm_control is not None:
+            self.service.storm_control.record_advice(
+                self.service.clock(), self.source, answer.retry_after_seconds
+            )
+        if self.service.idle_timeout < CLOSE_ON_ANSWER:
             self.keep_alive = False
-        self.respond(STATUS[answer.verdict], answer.body, answer_fields(answer))
+        self.respond(STATUS[answer.status], answer.body, answer_fields(answer))
         self.hand_over()
         if not self.taking:
             self.again()
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -36,18 +36,18 @@
             case "vars":
                 return self.figures()
             case "drain-on" | "drain-off":
-                self.service.withdraw(call == "drain-on")
+                self.service.set_withdrawn(call == "drain-on")
                 return f"OK {call}\n"
         return "ERR no such call\n"
 
     def figures(self) -> str:
         """Every figure of every class, those at nought too, and the end of them."""
         counts, lines = self.service.counts_by_class(), list[str]()
-        for klass in self.service.klass:
+        for klass in self.service.class_indexes:
             lines += [statsd(f"{name}.{klass}", counts[klass, what], "c") for name, what in FIGURES]
-            lines.append(statsd(f"relayed.{klass}", self.service.relayed[klass], "c"))
-            if klass in self.service.composed:
+            lines.append(statsd(f"relayed.{klass}", self.service.runs_started[klass], "c"))
+            if klass in self.service.composed_classes:
                 lines.append(statsd(f"partial.{klass}", counts[klass, "partial"], "c"))
-        lines.append(statsd("open_requests", self.service.open_requests(), "g"))
-        lines += [statsd(name, value, "g") for more in self.service.figures for name, value in more()]
+        lines.append(statsd("open_requests", self.service.open_request_count(), "g"))
+        lines += [statsd(name, value, "g") for more in self.service.figure_sources for name, value in more()]
         return "".join(lines) + "END\n"
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Mapping
 
-from saltcart.core.ports import Ask
+from saltcart.core.ports import InboundRequest
 from saltcart.core.service import InvalidRequestError, Service
 
 MAX_BODY = 2048
@@ -50,7 +50,7 @@
         return text.decode("latin-1")
 
 
-def read_ask(path: bytes, headers: Mapping[bytes, bytes], body: bytes, service: Service) -> Ask:
+def read_ask(path: bytes, headers: Mapping[bytes, bytes], body: bytes, service: Service) -> InboundRequest:
     """Build the core's request from header fields; times are by the core's clock.
 
     ``InvalidRequestError`` names the field that is wrong.  Every figure is held to its range: one outside it
@@ -70,16 +70,16 @@
     subject = headers.get(b"resource-key")
     if subject is not None and not PRINTABLE.match(subject):
         raise InvalidRequestError("resource-key is malformed")
-    longest = max(LONGEST, 2000 * service.longest)
+    longest = max(LONGEST, 2000 * service.longest_deadline)
     budget = number(headers, b"budget-ms", math.nan, 0, longest)
     cost = number(headers, b"work-estimate", math.nan, 0, longest)
-    ahead = service.ahead()
+    ahead = service.clock_ahead()
     now = service.clock() - ahead  # on the Unix clock, by which the field is written
-    oldest = max(OLDEST, 2 * service.longest)
+    oldest = max(OLDEST, 2 * service.longest_deadline)
     received = (
         ahead + number(headers, b"received-at", None, (now - oldest) * 1000, (now + NEWEST) * 1000) / 1000
     )
-    return Ask(
+    return InboundRequest(
         ident,
         klass,
         account,
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -27,7 +27,7 @@
 from saltcart.budget.judge import Judge, Limits
 from saltcart.budget.plan import Plans, check_classes, read_plans
 from saltcart.budget.run import Ended, GiveUp, Mark, Order, Orders, Part, Run, Send
-from saltcart.core.ports import Answer, Ask
+from saltcart.core.ports import FinalResponse, InboundRequest
 from saltcart.core.service import STOP_MARGIN, Service
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect, Settings
@@ -162,7 +162,7 @@
             case Send():
                 self._send(order)
             case Ended():
-                self.service.run_ended(
+                self.service.run_finished(
                     order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
                 )
             case GiveUp():
@@ -185,7 +185,7 @@
     def spawn(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
-        now, (aim, within) = self.events.now, self.service.usable(aim, within)
+        now, (aim, within) = self.events.now, self.service.usable_time(aim, within)
         self.do(self.desk.start, now, ident, klass, account, body, now + aim, now + within)
 
     def suspend(self, ident: bytes) -> None:
@@ -196,9 +196,9 @@
     def skip(self, ident: bytes, notice: int) -> None: ...
 
     def poll(self) -> None:
-        self.service.gauges((0.0, 0.0))  # runs that wait leave the cores alone
+        self.service.gauges_polled((0.0, 0.0))  # runs that wait leave the cores alone
         if self.presses:
-            self.do(self.desk.press, self.events.now, self.service.held())
+            self.do(self.desk.press, self.events.now, self.service.held_count())
 
 
 class Play:
@@ -234,14 +234,14 @@
         self.desk = Desk(plans, seed, self.settings.classes)
         self.desk.judge = judge_for(policy, self.desk.judge, self.places)
         self.runs = ModelRuns(events, self.service, self.desk, self.places, self.tally)
-        self.service.runs, self.runs.presses = self.runs, policy == "budgets"
+        self.service.workers, self.runs.presses = self.runs, policy == "budgets"
         self.worths = {p.klass: {c.dependency: c.worth for c in p.calls()} for p in plans.plan}
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.answered = Counter[int]()
 
     def run(self) -> Tally:
         begun, events, tally = time.perf_counter(), self.events, self.tally
-        self.service.pool_up(False, 100.0)
+        self.service.pool_started(False, 100.0)
         host(events, self.service)
         stop = self.seconds / 2 if self.day.drain else float("inf")
         for n, at in enumerate(self.arrivals):
@@ -262,14 +262,14 @@
         return tally
 
     def _drain(self) -> None:
-        self.service.leave(WITHIN)
+        self.service.start_drain(WITHIN)
         self.runs.do(self.desk.hasten, self.events.now, self.events.now + WITHIN - STOP_MARGIN)
 
     def _arrive(self, n: int, nth: int) -> None:
         now, spec = self.events.now, self.settings.classes[self.kinds[n]]
         keyed = spec.effect is Effect.IDEMPOTENT_BY_KEY
         ident = b"%016x" % (n + (nth << 32))
-        ask = Ask(
+        ask = InboundRequest(
             ident,
             spec.name,
             "",
@@ -277,7 +277,7 @@
             spec.deadline,
             10.0,
             self.ranks[n],
-            key=b"k%d" % n if keyed else None,
+            idempotency_key=b"k%d" % n if keyed else None,
             body=b'{"n":%d}' % n,
         )
         gone, chance = self.leaves[n]
@@ -294,18 +294,20 @@
             self.answered[n] += 1  # nothing is owed any more
             self.service.abandon(number)
 
-    def _answered(self, n: int, nth: int, begun: float, answer: Answer) -> None:
+    def _answered(self, n: int, nth: int, begun: float, answer: FinalResponse) -> None:
         spec, took = self.settings.classes[self.kinds[n]], self.events.now - begun
         tally = self.tally
-        tally.verdicts["partial" if answer.left_out else answer.verdict.value] += 1
+        tally.verdicts["partial" if answer.skipped_dependencies else answer.status.value] += 1
         tally.late += took > spec.deadline + self.settings.answer_slack
-        tally.writes_partial += bool(answer.left_out) and spec.effect is not Effect.SAFE
+        tally.writes_partial += bool(answer.skipped_dependencies) and spec.effect is not Effect.SAFE
         if nth:
             return
         self.answered[n] += 1
         self.histogram.record_value(max(1, int(took * 1e6)))
-        if answer.verdict.value == "served" and took <= spec.latency_objective:
-            worth = spec.priority_weight * (1 - sum(self.worths[spec.name][name] for name in answer.left_out))
+        if answer.status.value == "served" and took <= spec.latency_objective:
+            worth = spec.priority_weight * (
+                1 - sum(self.worths[spec.name][name] for name in answer.skipped_dependencies)
+            )
             tally.earned += worth
             tally.by_second[int(begun - self.origin)] += worth
 
--- a/saltcart/lab/events.py
+++ b/saltcart/lab/events.py
@@ -57,6 +57,6 @@
 def host(events: Events, service: Service) -> Ticks:
     """The core's timers by the model's clock."""
     ticks = Ticks(events, service.next_due, service.tick)
-    service.timers.earlier = ticks.arm
+    service.timers.on_earlier_due = ticks.arm
     ticks.arm()
     return ticks
--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -142,7 +142,7 @@
             made.changed = lambda change, n=n: self._changed(n, change)  # type: ignore[misc]
             self.members.append(made)
             ticks = Ticks(self.events, made.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
-            made.timers.earlier = ticks.arm
+            made.timers.on_earlier_due = ticks.arm
             self.ticks.append(ticks)
             ticks.arm()
 
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -21,8 +21,8 @@
 
 import numpy as np
 
-from saltcart.core.ports import Answer, Ask, Verdict
-from saltcart.core.request import Request as CoreRequest
+from saltcart.core.ports import FinalResponse, InboundRequest, ResponseStatus
+from saltcart.core.request import PendingRequest as CoreRequest
 from saltcart.core.service import Service
 from saltcart.decision.actions import Reject
 from saltcart.decision.connection_admission import ConnectionAdmission
@@ -147,10 +147,10 @@
             lambda event, **_: None,
             key_room=1 << 30,
         )
-        service.runs = Runs(self, service)
+        service.workers = Runs(self, service)
         decide = service.actions[Reject]
         service.actions[Reject] = lambda action: self._turned_away(service, action, decide)
-        service.pool_up(cold, 0.0 if cold else 100.0)
+        service.pool_started(cold, 0.0 if cold else 100.0)
         self.strength = Strength(service.settings, events.now)
         self.damper: Damper | None = None
         self.tokens, self.tokens_at = 0.0, events.now
@@ -162,18 +162,18 @@
                 events.now,
                 events.now - (0.0 if cold else 100.0),
             )
-            service.storms = self.damper
+            service.storm_control = self.damper
         host(events, service)
 
     def _turned_away(self, service: Service, action: Reject, decide: Callable[..., None]) -> None:
         """Whatever the module gives up is looked at again a tenth of a second later: it must be answered."""
         request = service.requests.get(action.id)
         decide(action)
-        if request is not None and request.reply is not None:
+        if request is not None and request.respond is not None:
             self.fleet.events.at(self.fleet.events.now + 0.1, self._look_back, request)
 
     def _look_back(self, request: CoreRequest) -> None:
-        self.fleet.seen.held_back += request.reply is not None
+        self.fleet.seen.held_back += request.respond is not None
 
     def speed(self) -> float:
         return self.strength.at(self.fleet.events.now)
@@ -182,7 +182,7 @@
         """All that it had is lost; its clients see their connections break."""
         self.up = False
         gone = list(self.fleet.open.pop(self.number, {}).values())
-        self.service.timers.earlier = None
+        self.service.timers.on_earlier_due = None
         self.service.timers.heap.clear()
         self.unread.clear()
         self.ready.clear()
@@ -197,21 +197,26 @@
 
     def replace(self) -> None:
         """A rolling deploy: a cold process with empty sketches takes what comes; the old one ends its own."""
-        self.service.leave(2.0)
+        self.service.start_drain(2.0)
         self.born(True)
 
     def offer(self, request: Request) -> None:
         """A connection with a request on it."""
         now, fleet = self.fleet.events.now, self.fleet
         source = source_of(request)
-        entry = ConnectionAdmission.READ if self.damper is None else self.damper.admits(now, source)
+        entry = ConnectionAdmission.READ if self.damper is None else self.damper.admit_connection(now, source)
         request.last = entry is ConnectionAdmission.READ_LAST
         if self.damper is not None and entry is ConnectionAdmission.REFUSE:
-            back = self.damper.unread(now, source)
+            back = self.damper.reject_unread(now, source)
             self.unread.append(UNREAD_ONE)
-            fleet.answered(request, self, Answer(Verdict.REFUSED, come_back=back.after), marks=False)
+            fleet.answered(
+                request,
+                self,
+                FinalResponse(ResponseStatus.REJECTED, retry_after_seconds=back.retry_after),
+                marks=False,
+            )
         elif fleet.policy == "bucket" and not self._token(now):
-            fleet.answered(request, self, Answer(Verdict.REFUSED))
+            fleet.answered(request, self, FinalResponse(ResponseStatus.REJECTED))
         else:
             fleet.open.setdefault(self.number, {})[request.number] = request
             self.unread.append(request)
@@ -238,7 +243,7 @@
                 events.at(events.now + cost / self.speed(), self._read, self.power, request)
             else:
                 service, ident = self.ready.popleft()
-                if ident not in service.by_ident:  # stopped while it waited for a core
+                if ident not in service.requests_by_id:  # stopped while it waited for a core
                     self.busy -= 1
                     continue
                 took = self.fleet.requests[int(ident, 16) >> 12].work / self.speed()
@@ -263,7 +268,7 @@
         request.tries += 1
         request.ident = b"%016x" % ((request.number << 12) + (request.tries & 0xFFF))
         keyed = spec.effect is Effect.IDEMPOTENT_BY_KEY
-        ask = Ask(
+        ask = InboundRequest(
             request.ident,
             spec.name,
             request.tenant,
@@ -271,8 +276,8 @@
             None,
             10.0,
             self.fleet.ranks[request.number],
-            key=b"k%d" % request.number if keyed else None,
-            last=request.last,
+            idempotency_key=b"k%d" % request.number if keyed else None,
+            admitted_last=request.last,
             body=b"%d" % request.number,
         )
         ident = request.ident
@@ -281,8 +286,8 @@
     def _ran(self, power: int, service: Service, ident: bytes, took: float) -> None:
         if not self._free(power):
             return
-        if ident in service.by_ident:
-            service.run_ended(ident, Outcome.SUCCEEDED, took, b"done")
+        if ident in service.requests_by_id:
+            service.run_finished(ident, Outcome.SUCCEEDED, took, b"done")
         self.work()
 
 
@@ -316,14 +321,14 @@
         self.node.fleet.events.at(self.node.fleet.events.now, self._stopped, ident)
 
     def _stopped(self, ident: bytes) -> None:
-        self.service.run_ended(ident, Outcome.CANCELLED, 0.0, b"")
+        self.service.run_finished(ident, Outcome.CANCELLED, 0.0, b"")
 
     def proceed(self, ident: bytes) -> None: ...
     def supply(self, ident: bytes, reply: bytes) -> None: ...
     def skip(self, ident: bytes, notice: int) -> None: ...
 
     def poll(self) -> None:
-        self.service.gauges((min(1.0, self.node.busy / CORES), float(self.node.busy)))
+        self.service.gauges_polled((min(1.0, self.node.busy / CORES), float(self.node.busy)))
 
 
 class Fleet:
@@ -411,35 +416,39 @@
         self.open.get(node.number, {}).pop(request.number, None)
         if request in node.unread:
             node.unread.remove(request)
-        found = node.service.by_ident.get(request.ident)
+        found = node.service.requests_by_id.get(request.ident)
         if found is not None:
             node.service.abandon(found.number)
         keyed = CLASSES[request.klass].effect is Effect.IDEMPOTENT_BY_KEY
         self.later(request, self.rng.uniform(*HURRY), request.at if keyed else self.next(request))
 
     def answered(
-        self, request: Request, node: Node, answer: Answer, ident: bytes = b"", marks: bool = True
+        self, request: Request, node: Node, answer: FinalResponse, ident: bytes = b"", marks: bool = True
     ) -> None:
         if request.done or request.at != node.number or (ident and ident != request.ident):
             return  # the client has gone on
         now = self.events.now
         self.open.get(node.number, {}).pop(request.number, None)
         spec = CLASSES[request.klass]
-        if answer.verdict is Verdict.SERVED:
+        if answer.status is ResponseStatus.SERVED:
             request.done = True
             if now - request.born <= spec.latency_objective:
                 self.earned[request.tenant, int(request.born)] += spec.priority_weight  # type: ignore[assignment]
             return
-        if marks and node.damper is not None and answer.come_back > 0:
-            node.damper.tell(now, source_of(request), answer.come_back)
+        if marks and node.damper is not None and answer.retry_after_seconds > 0:
+            node.damper.record_advice(now, source_of(request), answer.retry_after_seconds)
         wait, at = self.rng.uniform(*HURRY), self.next(request)
-        if answer.verdict is Verdict.FAILED and spec.effect is Effect.IDEMPOTENT_BY_KEY:
+        if answer.status is ResponseStatus.FAILED and spec.effect is Effect.IDEMPOTENT_BY_KEY:
             at = node.number  # it may have run there
         if self.policy == "bound":
             wait = min(20.0, 0.3 * 2 ** min(8, request.tries)) * self.rng.uniform(0.5, 1.5)
-        elif answer.come_back > 0 and request.obeys:
+        elif answer.retry_after_seconds > 0 and request.obeys:
             # Every other one knows whole seconds only.
-            wait = answer.come_back if request.number % 2 else float(max(1, -int(-answer.come_back // 1)))
+            wait = (
+                answer.retry_after_seconds
+                if request.number % 2
+                else float(max(1, -int(-answer.retry_after_seconds // 1)))
+            )
             wait, at = wait + self.rng.uniform(0.0, 0.05), node.number
         self.later(request, wait, at)
 
@@ -497,7 +506,9 @@
             for node in self.nodes:
                 if node.up:
                     self.seen.node_seconds += 1
-                    self.seen.storm_seconds += node.damper is not None and node.damper.storm(self.events.now)
+                    self.seen.storm_seconds += node.damper is not None and node.damper.in_storm(
+                        self.events.now
+                    )
 
 
 def recovered(worth: list[float], out_at: float = OUT_AT, out_for: float = OUT_FOR) -> float | None:
--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -4,7 +4,7 @@
 
 import math
 
-from saltcart.core.rate import LN2, Rate
+from saltcart.core.rate import LN2, FadingRate
 
 QUICK, STEADY = 6.0, 24.0  # seconds: half-lives of the two rates that are told
 SHORTEST = 1.0  # seconds: over less than that a rate is chance
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, half_life: float) -> None:
-        self.counted = Rate(half_life)
+        self.counted = FadingRate(half_life)
         self.begun: float | None = None
 
     def add(self, now: float) -> None:
--- a/saltcart/member/detector.py
+++ b/saltcart/member/detector.py
@@ -88,11 +88,11 @@
         self.refuted = self.accused = self.foreign = self.packets = 0
         self.view.merge(self.me, now)
         self.peers = tuple(s for s in conf.seeds if s != address)
-        self.timers.at(now + conf.probe_every * rng.random(), self._probe_next)
-        self.timers.at(now + conf.gossip_every * rng.random(), self._gossip)
-        self.timers.at(now + conf.sync_every * rng.random(), self._sync)
+        self.timers.call_at(now + conf.probe_every * rng.random(), self._probe_next)
+        self.timers.call_at(now + conf.gossip_every * rng.random(), self._gossip)
+        self.timers.call_at(now + conf.sync_every * rng.random(), self._sync)
         if self.peers:
-            self.timers.at(now, self._join, 0)
+            self.timers.call_at(now, self._join, 0)
 
     # ---- what the driver calls ----------------------------------------------------------------
 
@@ -258,8 +258,8 @@
                 self.relays[number] = Relay(sender.address, seq)
                 self._send(address, name, m.Ping(number))
                 wait = self.conf.probe_wait
-                self.timers.at(self.now + wait / 2, self._relay_again, number, name, address)
-                self.timers.at(self.now + wait, self._relay_over, number)
+                self.timers.call_at(self.now + wait / 2, self._relay_again, number, name, address)
+                self.timers.call_at(self.now + wait, self._relay_over, number)
             case m.Nack(seq):
                 if (probe := self.probes.get(seq)) is not None:
                     probe.nacks += 1
@@ -279,7 +279,7 @@
     def _probe_next(self) -> None:
         """One member an interval; a member that is in trouble itself takes longer ones."""
         every = self._jittered(self.health.stretched(self.conf.probe_every))
-        self.timers.at(self.now + every, self._probe_next)
+        self.timers.call_at(self.now + every, self._probe_next)
         if self.leaving:
             return
         size = len(self.view)
@@ -293,8 +293,8 @@
         seq, wait = self._number(), self.health.stretched(self.conf.probe_wait)
         self.probes[seq] = Probe(target.name, target.incarnation)
         self._send(target.address, target.name, m.Ping(seq))
-        self.timers.at(self.now + wait / 2, self._again, seq)
-        self.timers.at(self.now + wait, self._ask, seq)
+        self.timers.call_at(self.now + wait / 2, self._again, seq)
+        self.timers.call_at(self.now + wait, self._ask, seq)
 
     def _again(self, seq: int) -> None:
         probe = self.probes[seq]
@@ -314,7 +314,7 @@
         self._send(target.address, target.name, m.Ping(seq))
         probe.asked = len(helpers)
         # A helper needs the wait for its own probe and the way there and back.
-        self.timers.at(self.now + self.health.stretched(2 * self.conf.probe_wait), self._over, seq)
+        self.timers.call_at(self.now + self.health.stretched(2 * self.conf.probe_wait), self._over, seq)
 
     def _over(self, seq: int) -> None:
         probe = self.probes.pop(seq)
@@ -375,7 +375,7 @@
         self.suspicions[record.name] = suspicion
         self._watch(record.name, suspicion)
         if record.by != self.me.name and self.rng.random() < CURIOUS / max(1.0, others):
-            self.timers.at(
+            self.timers.call_at(
                 self.now + self.rng.random() * conf.probe_every / 2, self._look, record.name, suspicion
             )
 
@@ -383,7 +383,7 @@
         ends = suspicion.ends()
         if not suspicion.tried:
             ends += (PATIENCE - 1 + JITTER * self.rng.random()) * (ends - suspicion.began)
-        self.timers.at(max(ends, self.now), self._ended, name, suspicion)
+        self.timers.call_at(max(ends, self.now), self._ended, name, suspicion)
 
     def _confirm(self, record: Record) -> None:
         suspicion = self.suspicions.get(record.name)
@@ -406,7 +406,7 @@
         target = self.view.get(name)
         if self.suspicions.get(name) is suspicion and target is not None:
             self._send(target.address, name, m.Ping(self._number()))
-            self.timers.at(self.now + self.conf.probe_wait, self._knock, name, suspicion)
+            self.timers.call_at(self.now + self.conf.probe_wait, self._knock, name, suspicion)
 
     def _ended(self, name: str, suspicion: Suspicion) -> None:
         if self.suspicions.get(name) is not suspicion:
@@ -433,11 +433,11 @@
     def _gossip(self) -> None:
         if len(self.spread) or len(self.board.tiers):
             self._tell_some()
-        self.timers.at(self.now + self._jittered(self.conf.gossip_every), self._gossip)
+        self.timers.call_at(self.now + self._jittered(self.conf.gossip_every), self._gossip)
 
     def _sync(self) -> None:
         """Compare with one who is there, and try one who is gone or a seed that is not known."""
-        self.timers.at(self.now + self._jittered(self.conf.sync_every), self._sync)
+        self.timers.call_at(self.now + self._jittered(self.conf.sync_every), self._sync)
         self.view.forget(self.now - self.conf.forget_after)
         digest = m.Digest(self.view.digest)
         if not self._in_flux():
@@ -492,7 +492,7 @@
         for seed in self.peers:
             self._packet(seed, digest, [])
         wait = min(self.conf.sync_every, self.conf.probe_wait * 2 ** min(tries, 6))
-        self.timers.at(self.now + self._jittered(wait), self._join, tries + 1)
+        self.timers.call_at(self.now + self._jittered(wait), self._join, tries + 1)
 
     # ---- what is shown ------------------------------------------------------------------------
 
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -47,7 +47,7 @@
         self.connection: ReportConnection | None = None
         self.kept = Kept("announcer", self._run, log)
 
-    def accepting(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         self.state = on
         self.changed.set()
 
--- a/saltcart/net/clock.py
+++ b/saltcart/net/clock.py
@@ -36,11 +36,11 @@
     def __init__(self, service: Service, loop: asyncio.AbstractEventLoop) -> None:
         self.service, self.loop = service, loop
         self.handle: asyncio.TimerHandle | None = None
-        service.timers.earlier = self.arm
+        service.timers.on_earlier_due = self.arm
         self.arm()
 
     def close(self) -> None:
-        self.service.timers.earlier = None
+        self.service.timers.on_earlier_due = None
         if self.handle is not None:
             self.handle.cancel()
 
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -12,7 +12,7 @@
 from saltcart.budget.desk import Desk
 from saltcart.budget.plan import Dependency, Plans
 from saltcart.budget.run import Ended, GiveUp, Order, Orders, Send
-from saltcart.core.ports import Log, RunEvents
+from saltcart.core.ports import Log, WorkerPoolEvents
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
 from saltcart.net.index import IndexClient
@@ -26,7 +26,7 @@
         assert spec.address is not None
         self.client, self.told = IndexClient(spec.address, self, log, spec.most), told
 
-    def call_ended(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
+    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
         self.told(ident, outcome, reply)
 
 
@@ -38,7 +38,7 @@
         plans: Plans,
         classes: Iterable[ClassSpec],
         upstreams: Upstreams,
-        events: RunEvents,
+        events: WorkerPoolEvents,
         log: Log,
         seed: int,
         clock: Callable[[], float],
@@ -132,7 +132,7 @@
                 else:
                     self.upstreams.give_up(order.ident)
             case Ended():
-                self.events.run_ended(
+                self.events.run_finished(
                     order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
                 )
 
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -9,7 +9,7 @@
 import asyncio
 from collections import deque
 
-from saltcart.core.ports import CallEvents, Log
+from saltcart.core.ports import DependencyCallEvents, Log
 from saltcart.decision.outcome import Outcome
 from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
@@ -85,7 +85,7 @@
 class IndexClient:
     """Owns the connections: each is idle, or belongs to the one call it carries."""
 
-    def __init__(self, peer: str, events: CallEvents, log: Log, most: int = 64) -> None:
+    def __init__(self, peer: str, events: DependencyCallEvents, log: Log, most: int = 64) -> None:
         self.peer, self.events, self.log, self.most = address(peer), events, log, most
         self.calls: dict[bytes, Call] = {}
         self.connections = set[IndexConnection]()
@@ -202,7 +202,7 @@
                 connection.used = asyncio.get_running_loop().time()
                 self.idle.append(connection)
                 self.sweeper.start()
-        self.events.call_ended(call.ident, outcome, reply)
+        self.events.call_finished(call.ident, outcome, reply)
         self._serve_waiting()
 
     def _finish(self, call: Call) -> None:
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from saltcart.core.ports import Log, RunEvents
+from saltcart.core.ports import Log, WorkerPoolEvents
 from saltcart.decision.outcome import Outcome
 from saltcart.net.base import Link, LinkConnection, address
 from saltcart.wire import pool as wire
@@ -80,7 +80,7 @@
 
 
 class PoolLink(Link):
-    def __init__(self, peer: str, events: RunEvents, log: Log) -> None:
+    def __init__(self, peer: str, events: WorkerPoolEvents, log: Log) -> None:
         super().__init__("pool", peer, log)
         self.session, self.events, self.pulse = wire.Session(), events, Pulse()
         self.next: str | None = None  # the address to move to
@@ -120,25 +120,25 @@
     def apply(self, message: wire.Message) -> None:
         match message:
             case wire.Polled(gauges):
-                self.events.gauges(gauges)
+                self.events.gauges_polled(gauges)
             case wire.Blocked(ident, notice, body):
-                self.events.run_blocked(ident, notice, body)
+                self.events.run_awaits_call(ident, notice, body)
             case wire.Finished(ident, end, took, result):
-                self.events.run_ended(ident, ENDS.get(end, Outcome.FAILED), took, result)
+                self.events.run_finished(ident, ENDS.get(end, Outcome.FAILED), took, result)
             case wire.Bound(loaded, age):
                 if self.pulse.bound(asyncio.get_running_loop().time(), age):
                     self.log("pool-restarted", age=age)
                     self.session.restarted()
-                    self.events.pool_lost(not loaded, age)
-                self.events.pool_up(not loaded, age)
+                    self.events.pool_replaced(not loaded, age)
+                self.events.pool_started(not loaded, age)
             case wire.Lost(ident):
-                self.events.run_lost(ident)
+                self.events.run_uncertain(ident)
             case wire.Unknown(command, ident):
                 self.log("pool-unknown", command=command.decode("latin-1"), id=ident.decode("latin-1"))
                 # No spawn: nothing was started.  Another command: the run is none of the pool's any more.
                 outcome = Outcome.NOT_STARTED if command == b"spawn" else Outcome.FAILED
                 self.session.forget(ident)
-                self.events.run_ended(ident, outcome, 0.0, b"")
+                self.events.run_finished(ident, outcome, 0.0, b"")
 
     def _send(self, data: bytes) -> None:
         if data and self.connection is not None:
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from saltcart.core.ports import Log, RunEvents
+from saltcart.core.ports import Log, WorkerPoolEvents
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment, UpstreamConf
 from saltcart.net.ajp import AjpUpstream, Member
@@ -15,7 +15,7 @@
 class Upstreams:
     """Sends each run to its tenant's upstream, or to the first one where the tenant names none."""
 
-    def __init__(self, deployment: Deployment, events: RunEvents, log: Log, slots: int) -> None:
+    def __init__(self, deployment: Deployment, events: WorkerPoolEvents, log: Log, slots: int) -> None:
         self.events, self.log, self.slots = events, log, slots
         self.by_name: dict[str, AjpUpstream] = {}
         self.by_tenant: dict[str, str] = {}
@@ -61,7 +61,7 @@
         name = self.by_tenant.get(account)
         upstream = self.by_name.get(name) if name else next(iter(self.by_name.values()), None)
         if upstream is None:
-            self.events.run_ended(ident, Outcome.NOT_STARTED, 0.0, b"")
+            self.events.run_finished(ident, Outcome.NOT_STARTED, 0.0, b"")
             return
         self.where[ident] = upstream
         upstream.spawn(ident, klass, account, body, once, within)
@@ -97,10 +97,10 @@
 
     def poll(self) -> None:
         busy = len(self.where)
-        self.events.gauges((min(1.0, busy / self.slots), float(busy)))
+        self.events.gauges_polled((min(1.0, busy / self.slots), float(busy)))
 
     def _ended(self, ident: bytes, outcome: Outcome, took: float, result: bytes) -> None:
         if (asked := self.asked.pop(ident, None)) is not None:
             asked[1](ident, outcome, result)
         elif self.where.pop(ident, None) is not None:
-            self.events.run_ended(ident, outcome, took, result)
+            self.events.run_finished(ident, outcome, took, result)
--- a/saltcart/storm/damper.py
+++ b/saltcart/storm/damper.py
@@ -34,20 +34,20 @@
     return min(1.0, max(0.0, count / crowd - LIGHT) / (1 - LIGHT))
 
 
-class Try(NamedTuple):
+class TrackedAttempt(NamedTuple):
     """What is known of one try."""
 
-    mark: int  # its fingerprint
-    again: bool  # it was refused here of late
-    kept: bool  # it comes at the moment that it was given
-    early: bool  # it comes before that
+    fingerprint: int  # its fingerprint
+    is_retry: bool  # it was refused here of late
+    has_reservation: bool  # it comes at the moment that it was given
+    is_early: bool  # it comes before that
 
 
-class Return(NamedTuple):
+class RejectionAdvice(NamedTuple):
     """What a caller that is refused is told; ``after``: seconds until its moment."""
 
-    after: float
-    final: bool  # no other server should be tried
+    retry_after: float
+    is_final: bool  # no other server should be tried
 
 
 class Damper:
@@ -62,7 +62,7 @@
         strength = Strength(settings, started)
         self.throughput = Throughput(strength, settings.cores, conf.reading)
         self.calendar = Calendar(self.rng, conf.horizon, self._room)
-        self.gate = Gate(conf.over, conf.reading, self.capacity, self.storm)
+        self.gate = Gate(conf.over, conf.reading, self.capacity, self.in_storm)
         self.sources = Sources()
         self.gated = False  # tries are counted at the door
         self.now, self.kept, self.early, self.again = now, 0, 0, 0
@@ -79,7 +79,7 @@
 
     # ---- what the fronts and the core tell ----------------------------------------------------
 
-    def admits(self, now: float, source: int) -> ConnectionAdmission:
+    def admit_connection(self, now: float, source: int) -> ConnectionAdmission:
         """A connection of this source (a digest of its address) brings a request: may it be read?"""
         self.now, self.gated = now, True
         self.weather.offered(now)
@@ -88,7 +88,7 @@
         # Nobody's place could be taken where there is nobody else, or room for all: a balancer that carries
         # much is no crowd by that alone.
         alone = len(self.sources.offers) < 2 or not (
-            self.storm(now) or self.weather.flooded(now, self.capacity(now))
+            self.in_storm(now) or self.weather.flooded(now, self.capacity(now))
         )
         # How early a source comes tells nothing here: behind one address there may be many callers.
         last = not alone and count > CROWD * part
@@ -96,9 +96,9 @@
             return ConnectionAdmission.REFUSE
         return ConnectionAdmission.READ_LAST if last else ConnectionAdmission.READ
 
-    def arrived(
+    def record_arrival(
         self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
-    ) -> Try:
+    ) -> TrackedAttempt:
         self.now = now
         mark = self.fingerprints.of(account, klass, key, subject, body)
         again = self.refusals.has(now, mark)
@@ -106,60 +106,60 @@
             self.weather.offered(now)
         self.weather.arrived(now, again)
         if not again:
-            return Try(mark, False, False, False)
+            return TrackedAttempt(mark, False, False, False)
         self.again += 1
         self.most_tries = max(self.most_tries, self.counts.add(now, mark))
         self.heavy.add(now, account)
         moment = self.appointments.get(mark)
         if moment is None or now > moment + self.conf.grace:
-            return Try(mark, True, False, False)
+            return TrackedAttempt(mark, True, False, False)
         early = now < moment - EARLY
         self.early += early
         self.kept += not early
-        return Try(mark, True, not early, early)
+        return TrackedAttempt(mark, True, not early, early)
 
-    def refused(self, now: float, mark: int) -> Return:
+    def record_rejection(self, now: float, mark: int) -> RejectionAdvice:
         """A try was turned away.  One that came early is told the same moment again."""
         self.now = now
         self.weather.refused(now)
         self.refusals.add(now, mark)
-        return self._moment(now, mark, self.storm(now) and self.weather.amplification(now) >= FEEDS)
+        return self._moment(now, mark, self.in_storm(now) and self.weather.amplification(now) >= FEEDS)
 
-    def _moment(self, now: float, mark: int, feeds: bool) -> Return:
+    def _moment(self, now: float, mark: int, feeds: bool) -> RejectionAdvice:
         moment = self.appointments.get(mark)
         if moment is None or moment < now + EARLY:
             moment = self.calendar.give(now, self.conf.least)
             if moment is None:  # nothing is free in all the horizon: a moment beyond it, and no place
                 self.full += 1
-                return Return(self.conf.horizon * (1 + self.rng.random() / 2), True)
+                return RejectionAdvice(self.conf.horizon * (1 + self.rng.random() / 2), True)
             self.appointments.put(now, mark, moment)
             self.told += 1
-        return Return(max(0.0, moment - now), feeds)
+        return RejectionAdvice(max(0.0, moment - now), feeds)
 
-    def served(self, now: float, mark: int, again: bool) -> None:
+    def record_success(self, now: float, mark: int, again: bool) -> None:
         self.now = now
         if again:
             self.appointments.remove(mark)
 
-    def run_ended(self, now: float, took: float, full: bool, running: int) -> None:
+    def record_run(self, now: float, took: float, full: bool, running: int) -> None:
         self.throughput.run_ended(now, took, full, running)
         self.gate.run_ended(full)
 
-    def unread(self, now: float, source: int) -> Return:
+    def reject_unread(self, now: float, source: int) -> RejectionAdvice:
         """A connection that was not read: its source is given a moment, the same until then."""
         return self._moment(now, source, False)
 
-    def source(self, address: str) -> int:
+    def source_of(self, address: str) -> int:
         """The digest by which a source is known."""
         return self.fingerprints.of(address, "", None, None, b"")
 
-    def tell(self, now: float, source: int, after: float) -> None:
+    def record_advice(self, now: float, source: int, after: float) -> None:
         """A source was told to come back ``after`` seconds: until then it has only what others leave."""
         self.appointments.put(now, source, now + after)
 
     # ---- a look at it -------------------------------------------------------------------------
 
-    def storm(self, now: float) -> bool:
+    def in_storm(self, now: float) -> bool:
         return self.weather.look(now, self.capacity(now)) is Sky.STORM
 
     def bytes(self) -> int:
@@ -169,7 +169,7 @@
     def figures(self, now: float) -> list[tuple[str, int]]:
         w = self.weather
         return [
-            ("storm.on", int(self.storm(now))),
+            ("storm.on", int(self.in_storm(now))),
             ("storm.storms", w.storms),
             ("storm.amplification_percent", round(100 * w.amplification(now))),
             ("storm.new_per_s", round(w.new_rate(now))),
--- a/saltcart/storm/gate.py
+++ b/saltcart/storm/gate.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from saltcart.core.rate import Rate
+from saltcart.core.rate import FadingRate
 
 CALM = 1.0  # of the capacity, let in at least while there is no storm
 READ_SHARE = 0.2  # of the cores may go into reading: where it is cheap the module chooses among more
@@ -34,7 +34,7 @@
         cheap = min(MOST, READ_SHARE / reading)
         self.over, self.calm, self.capacity, self.storm = max(over, cheap), max(CALM, cheap), capacity, storm
         self.tokens, self.spare, self.at = FEWEST, 1.0, 0.0
-        self.others = Rate(2.0)  # let in, of those who don't come last
+        self.others = FadingRate(2.0)  # let in, of those who don't come last
         self.filled = FILLED  # up to all of it, while nobody waits
         self.passed = self.stopped = 0
 
--- a/saltcart/storm/weather.py
+++ b/saltcart/storm/weather.py
@@ -7,7 +7,7 @@
 
 import enum
 
-from saltcart.core.rate import LN2, Rate
+from saltcart.core.rate import LN2, FadingRate
 
 
 class Sky(enum.Enum):
@@ -32,8 +32,8 @@
     QUIET = 2.0  # seconds without a sign
 
     def __init__(self) -> None:
-        self.offers, self.came, self.again, self.refusals = (Rate(self.HALF_LIFE) for _ in range(4))
-        self.slow = Rate(4 * self.HALF_LIFE)  # offers over a longer time: an end must not be chance
+        self.offers, self.came, self.again, self.refusals = (FadingRate(self.HALF_LIFE) for _ in range(4))
+        self.slow = FadingRate(4 * self.HALF_LIFE)  # offers over a longer time: an end must not be chance
         self.sky, self.sign_at, self.storms = Sky.CALM, 0.0, 0
 
     def offered(self, now: float) -> None:
--- a/saltcart/succession.py
+++ b/saltcart/succession.py
@@ -14,7 +14,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from saltcart.core.keys import Entry
+from saltcart.core.idempotency_keys import KeyRecord
 from saltcart.core.ports import Log
 from saltcart.core.service import Service
 from saltcart.decision.events import PredecessorLoad
@@ -66,7 +66,7 @@
     async def begin(self) -> None:
         """Take over, if there is anyone to take over from, and open the fronts."""
         up = asyncio.Event()
-        self.service.on_up = up.set
+        self.service.on_started = up.set
         link = self.doorway.connect()
         if link is not None:
             self.before, link.received, link.closed = link, self._hear, self._alone
@@ -83,7 +83,7 @@
             except TimeoutError:
                 self.log("takeover-unanswered")
             if not self.told:
-                self.service.doubt()
+                self.service.distrust_keys()
             self.log("took-over", keys=len(self.service.keys))
         self._be_found()
         await self.open_fronts()
@@ -92,14 +92,16 @@
     def _hear(self, packet: wire.Packet, fd: int | None) -> None:
         match packet.say:
             case "entry" | "gone":
-                self.service.inherit(wire.to_entry(packet, self.service.ahead()), packet.say == "gone")
+                self.service.adopt_key(
+                    wire.to_entry(packet, self.service.clock_ahead()), packet.say == "gone"
+                )
             case "beside":
                 load, connections = wire.to_load(packet)
-                self.service.beside(load)
+                self.service.set_predecessor_load(load)
                 self._count_beside(connections)
             case "yours":
                 self.told = True
-                self.service.repeats.doubt_until = 0.0  # told late is told
+                self.service.idempotent_attempts.uncertain_until = 0.0  # told late is told
                 self.given.set()
             case "connection" if fd is not None:
                 self._count_beside(max(0, self.beside - 1))
@@ -136,7 +138,7 @@
         self._count_beside(0)
         if self.index is not None:
             self.index.most *= 2
-        self.service.bereave()
+        self.service.predecessor_gone()
 
     # ---- the old process ----------------------------------------------------------------------
 
@@ -163,7 +165,7 @@
         self.doorway.close()
         if self.announcer is not None:
             self.announcer.close()  # the entry is the new process's
-        for entry in self.service.repeats.hand_over(self._tell):
+        for entry in self.service.idempotent_attempts.hand_over(self._tell):
             self._tell(entry, False)
         self._tell_load()
         link.send(wire.Packet("yours", {}))
@@ -173,9 +175,9 @@
         self.log("handed-over", open=len(self.service.requests), keys=len(self.service.keys))
         self._look()
 
-    def _tell(self, entry: Entry, gone: bool) -> None:
+    def _tell(self, entry: KeyRecord, gone: bool) -> None:
         if self.after is not None:
-            self.after.send(wire.of_entry(entry, gone, self.service.ahead()))
+            self.after.send(wire.of_entry(entry, gone, self.service.clock_ahead()))
 
     def _tell_load(self) -> None:
         """Both share the cores and the memory until this one has finished."""
@@ -225,7 +227,7 @@
         self.after = None
         if self.looking is not None:
             self.looking.cancel()
-        self.service.repeats.resume()
+        self.service.idempotent_attempts.take_back()
         for listener in self.fronts.values():
             listener.heir = None
             for connection in list(listener.connections):
@@ -235,7 +237,7 @@
         if self.told_at is not None:
             ago = self.service.clock() - self.told_at
             self.told_at = None
-            self.service.leave(max(0.0, self.within - ago), ago)
+            self.service.start_drain(max(0.0, self.within - ago), ago)
         task = asyncio.get_running_loop().create_task(self._reopen())
         self.attaching.add(task)
         task.add_done_callback(self.attaching.discard)
@@ -261,8 +263,8 @@
             return False
         if self.told_at is None:
             self.told_at, self.within = self.service.clock(), within
-            stay = min(within, min(LONGEST_STAY, self.service.longest) + STAY_ON)
-            self.service.retire(stay)
+            stay = min(within, min(LONGEST_STAY, self.service.longest_deadline) + STAY_ON)
+            self.service.retire_after(stay)
             self._end_when_done(done, asyncio.get_running_loop().time() + stay - LOOK)
         return True
 
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from saltcart.core.keys import Entry
+from saltcart.core.idempotency_keys import KeyRecord
 from saltcart.decision.events import PredecessorLoad
 from saltcart.wire.errors import MalformedMessageError
 
@@ -39,7 +39,7 @@
     return Packet(say, fields, data)
 
 
-def of_entry(entry: Entry, gone: bool, ahead: float = 0.0) -> Packet:
+def of_entry(entry: KeyRecord, gone: bool, ahead: float = 0.0) -> Packet:
     """One key: what became of it so far, or that it is free again.  ``ahead``: of the Unix clock, as told."""
     account, klass, key = entry.key
     return Packet(
@@ -48,21 +48,21 @@
             "account": account,
             "klass": klass,
             "key": key.decode("latin-1"),
-            "until": entry.until - ahead,
-            "digest": entry.digest.hex(),
-            "idents": [i.decode("latin-1") for i in entry.idents],
-            "ran": entry.ran,
-            "over": entry.over,
+            "until": entry.expires_at - ahead,
+            "digest": entry.body_digest.hex(),
+            "idents": [i.decode("latin-1") for i in entry.attempt_ids],
+            "ran": entry.has_run,
+            "over": entry.is_finished,
             "good": entry.result is not None,
         },
         entry.result or b"",
     )
 
 
-def to_entry(packet: Packet, ahead: float = 0.0) -> Entry:
+def to_entry(packet: Packet, ahead: float = 0.0) -> KeyRecord:
     f = packet.fields
     try:
-        return Entry(
+        return KeyRecord(
             (str(f["account"]), str(f["klass"]), f["key"].encode("latin-1")),
             0,
             float(f["until"]) + ahead,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from saltcart.core.ports import Answer, Ask
+from saltcart.core.ports import FinalResponse, InboundRequest
 from saltcart.core.service import Service
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import (
@@ -44,7 +44,7 @@
     def __init__(self, settings: Settings = SETTINGS, up: bool = True, **more: Any) -> None:
         self.now, self.said = 1_000.0, list[tuple[Any, ...]]()
         self.logged: list[str] = []
-        self.answers: dict[bytes, list[Answer]] = {}
+        self.answers: dict[bytes, list[FinalResponse]] = {}
         self.service = Service(
             settings,
             ("cpu_busy", None, "runnable"),
@@ -53,9 +53,9 @@
             lambda event, **_: self.logged.append(event),
             **more,
         )
-        self.service.runs, self.service.calls, self.service.announce = self, self, self
+        self.service.workers, self.service.dependency_calls, self.service.registration = self, self, self
         if up:
-            self.service.pool_up(False, 100.0)
+            self.service.pool_started(False, 100.0)
 
     # the ports
     def spawn(
@@ -83,14 +83,14 @@
     def give_up(self, ident: bytes) -> None:
         self.said.append(("give up", ident))
 
-    def accepting(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         self.said.append(("accepting", on))
 
     # the driver
     def arrive(self, number: int, klass: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
         ident = b"%016x" % number
         once = klass == "oddaja"  # all tries of one request carry the same body
-        ask = Ask(
+        ask = InboundRequest(
             ident,
             klass,
             "a",
@@ -98,13 +98,13 @@
             3.0,
             10.0,
             0.9,
-            key=key if once else None,
+            idempotency_key=key if once else None,
             body=b"body of %b" % key if once and key else b"body-%d" % number,
         )
         return self.service.arrive(replace(ask, **more), self.answers.setdefault(ident, []).append)
 
     def end(self, number: int, outcome: Outcome = Outcome.SUCCEEDED, result: bytes = b"result") -> None:
-        self.service.run_ended(b"%016x" % number, outcome, 0.1, result)
+        self.service.run_finished(b"%016x" % number, outcome, 0.1, result)
 
     def until(self, then: float) -> None:
         while (due := self.service.next_due()) is not None and due <= then:
@@ -116,4 +116,4 @@
         return [s[1] for s in self.said if s[0] == "spawn"]
 
     def verdicts(self, number: int) -> list[str]:
-        return [a.verdict.value for a in self.answers[b"%016x" % number]]
+        return [a.status.value for a in self.answers[b"%016x" % number]]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -159,7 +159,7 @@
     app = App(conf, deployment or Deployment(), log, clock)
     await app.start()
     try:
-        await until(lambda: app.service.healthy and app.ready())
+        await until(lambda: app.service.is_healthy and app.ready())
         yield app
     finally:
         await app.close()
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -72,7 +72,7 @@
             assert isinstance(await client.message(), ajp.WantBody)
             client.drop()
             await until(lambda: not app.listeners[1].connections)
-            assert not app.service.requests and not app.service.keys.entries and pool.spawned == []
+            assert not app.service.requests and not app.service.keys.records and pool.spawned == []
             # The whole request may come after it, and a drop once it is whole is a caller that has gone.
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             client.send(2, "oddaja", b"x", key="k")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -65,7 +65,7 @@
                 assert (await ping.answer()).status == wanted
                 assert (await call(at, drain))[0].startswith("OK")
             assert "balancer.open_requests:1|g" in await call(at, b"vars\n")
-            app.service.withdraw(True)
+            app.service.set_withdrawn(True)
             pool.finish(pool.spawned[0])
             assert (await client.answer()).status == 200  # what reaches it in a drain is served as always
             client.send(2, "oddaja", key="k")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from saltcart.core.keys import KeyTable
+from saltcart.core.idempotency_keys import KeyTable
 from saltcart.core.service import InvalidRequestError
 from saltcart.core.timers import Timers
 from saltcart.decision.actions import Action
@@ -22,7 +22,7 @@
     assert ("spawn", b"%016x" % 1, "read", b"\x00\xffraw", False) in w.said
     w.end(1, result=b"\x01\r\n\xfe")
     assert w.verdicts(1) == ["served"] and w.answers[b"%016x" % 1][0].body == b"\x01\r\n\xfe"
-    assert not w.service.requests and not w.service.by_ident
+    assert not w.service.requests and not w.service.requests_by_id
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
     if moment == "late read":  # it came inside the window and is read after it
         reached = w.now + 5.9
         w.until(w.now + 7.0)
-        w.arrive(2, received=reached, budget=4.0)
+        w.arrive(2, received_at=reached, budget_seconds=4.0)
     else:
         w.arrive(2)
     if moment in ("running", "caller gone"):
@@ -84,14 +84,14 @@
     w = World(key_room=8000)
     w.arrive(1)
     w.arrive(2, key=b"other")
-    assert w.verdicts(2) == ["refused"] and w.answers[b"%016x" % 2][0].back_off > 0
+    assert w.verdicts(2) == ["refused"] and w.answers[b"%016x" % 2][0].back_off_seconds > 0
     assert w.spawned() == [b"%016x" % 1]
 
 
 def test_the_key_of_a_run_is_never_given_up() -> None:
     w = World()
     r = w.service.requests[w.arrive(1)]
-    w.service.repeats.release(r)
+    w.service.idempotent_attempts.release(r)
     w.arrive(2)
     w.end(1)
     assert w.spawned() == [b"%016x" % 1] and w.verdicts(2) == ["served"]
@@ -99,19 +99,19 @@
 
 def test_the_key_table_forgets_and_keeps_what_has_run() -> None:
     table = KeyTable(99_999, grace=2.0)
-    table.keep(("a", "c", b"x"), 1, 10.0, b"").ran = True
-    table.remove(table.keep(("a", "c", b"y"), 2, 10.0, b""))
-    table.sweep(11.9, lambda _: False)
+    table.reserve(("a", "c", b"x"), 1, 10.0, b"").has_run = True
+    table.remove(table.reserve(("a", "c", b"y"), 2, 10.0, b""))
+    table.expire(11.9, lambda _: False)
     assert len(table) == 1
-    table.sweep(12.1, lambda _: False)
-    assert len(table) == 0 and table.bytes == 0
+    table.expire(12.1, lambda _: False)
+    assert len(table) == 0 and table.used_bytes == 0
 
 
 def test_nothing_runs_that_came_late_in_a_drain_and_all_is_answered() -> None:
     w = World()
     for n in range(1, 9):
         w.arrive(n, "read")
-    w.service.leave(3.0)
+    w.service.start_drain(3.0)
     assert ("accepting", False) in w.said
     w.until(w.now + 1.1)
     before = len(w.spawned())
@@ -148,11 +148,11 @@
     w = World()
     w.arrive(1, klass)
     ident = b"%016x" % 1
-    w.service.run_blocked(ident, 7, b"question")
+    w.service.run_awaits_call(ident, 7, b"question")
     assert ("call", ident, b"question") in w.said
     w.said.clear()
-    w.service.call_ended(ident, outcome, b"reply")
-    w.service.call_ended(ident, outcome, b"reply")  # a second reply to one call is nothing
+    w.service.call_finished(ident, outcome, b"reply")
+    w.service.call_finished(ident, outcome, b"reply")  # a second reply to one call is nothing
     w.until(w.now + 0.2)
     if then == "failed":
         assert w.verdicts(1) == ["failed"] and not any(s[0] == "call" for s in w.said)
@@ -164,7 +164,7 @@
 def test_a_call_without_reply_is_given_up() -> None:
     w = World()
     w.arrive(1)
-    w.service.run_blocked(b"%016x" % 1, 1, b"")
+    w.service.run_awaits_call(b"%016x" % 1, 1, b"")
     w.until(w.now + 2.5)
     assert ("give up", b"%016x" % 1) in w.said and w.verdicts(1) == ["failed"]
 
@@ -186,13 +186,13 @@
     w.until(w.now + 3.05)
     assert w.said.count(("suspend", b"%016x" % 1)) == 4 and len(w.service.requests) == 1
     w.until(w.now + 20.0)  # its end was never told: what is kept by id is bounded all the same
-    assert not w.service.requests and not w.service.by_ident and "written-off" in w.logged
+    assert not w.service.requests and not w.service.requests_by_id and "written-off" in w.logged
 
 
 def test_a_lost_spawn_of_a_keyed_run_fails_and_never_runs_again() -> None:
     w = World()
     w.arrive(1)
-    w.service.run_lost(b"%016x" % 1)
+    w.service.run_uncertain(b"%016x" % 1)
     w.arrive(2)
     assert w.verdicts(1) == w.verdicts(2) == ["failed"] and len(w.spawned()) == 1
 
@@ -208,11 +208,11 @@
 
 def test_before_the_pool_is_up_requests_are_refused_and_checks_are_bad() -> None:
     w = World(up=False)
-    assert not w.service.healthy
+    assert not w.service.is_healthy
     w.arrive(1)
     assert w.verdicts(1) == ["refused"]
-    w.service.pool_up(True, 2.0)
-    assert w.service.healthy and w.service.controller is not None
+    w.service.pool_started(True, 2.0)
+    assert w.service.is_healthy and w.service.controller is not None
     assert w.service.controller.settings.starts_cold
     assert w.service.controller.cores_up_at == w.now - 2.0
 
@@ -247,8 +247,8 @@
 
 def test_a_timer_that_fails_does_not_take_the_others_with_it() -> None:
     timers, rung = Timers(), list[int]()
-    timers.at(1.0, lambda: list[None]().pop())
-    timers.at(1.0, rung.append, 2)
+    timers.call_at(1.0, lambda: list[None]().pop())
+    timers.call_at(1.0, rung.append, 2)
     with pytest.raises(IndexError):
         timers.run(1.0)
     timers.run(1.0)
@@ -257,7 +257,7 @@
 
 def test_a_timer_uses_the_gauges_it_has() -> None:
     w = World()
-    w.service.gauges((0.25, 7.0, 3.0, 9.0))  # a gauge of an unknown name is no argument of the event
+    w.service.gauges_polled((0.25, 7.0, 3.0, 9.0))  # a gauge of an unknown name is no argument of the event
     w.until(w.now + 0.2)
     assert w.service.gauge_values == {"cpu_busy": 0.25, "runnable": 3.0}
 
@@ -285,7 +285,7 @@
 
 def test_old_gauges_are_no_gauges() -> None:
     w = World()
-    w.service.gauges((0.25, 7.0, 3.0, 9.0))
+    w.service.gauges_polled((0.25, 7.0, 3.0, 9.0))
     w.until(w.now + 0.9)
     assert w.service.gauge_values
     w.until(w.now + 0.3)  # the link is away: nothing was polled since
@@ -294,7 +294,7 @@
 
 def test_a_budget_beyond_the_deadline_is_not_held_longer() -> None:
     w = World()
-    w.arrive(1, "read", budget=600.0)
+    w.arrive(1, "read", budget_seconds=600.0)
     w.service.controller.table.requests.clear()  # type: ignore[union-attr]  # as if the module had lost it
     w.until(w.now + 3.05)
     assert w.verdicts(1) == ["failed"]
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -57,7 +57,7 @@
             late = self.now > self.due[ident] + SETTINGS.answer_slack
             assert answers or ident in self.gone or not late, "lost"
             if answers and ident in self.started and ident in self.key:
-                assert answers[0].verdict.value != "refused", "refused once run"
+                assert answers[0].status.value != "refused", "refused once run"
 
     def act(self) -> None:
         what, rng = self.rng.random(), self.rng
@@ -74,27 +74,27 @@
                 self.number,
                 "oddaja" if keyed else "read",
                 self.key.get(ident),
-                received=self.reached[ident],
-                budget=budget,
-                standing=rng.random(),
+                received_at=self.reached[ident],
+                budget_seconds=budget,
+                priority_rank=rng.random(),
             )
         elif what < 0.55 and self.service.requests:
             r = rng.choice(list(self.service.requests.values()))
-            self.gone.add(r.ask.ident)
+            self.gone.add(r.inbound.request_id)
             self.service.abandon(r.number)
         elif what < 0.65 and self.waiting:
             ident = rng.choice(sorted(self.waiting))
-            self.service.call_ended(ident, rng.choice(list(Outcome)), b"reply")
+            self.service.call_finished(ident, rng.choice(list(Outcome)), b"reply")
         elif what < 0.75 and self.under_way - self.waiting:
             ident = rng.choice(sorted(self.under_way - self.waiting))
             self.waiting.add(ident)
             self.called.add(ident)
-            self.service.run_blocked(ident, self.number, b"question")
+            self.service.run_awaits_call(ident, self.number, b"question")
         elif self.under_way:
             ident = rng.choice(sorted(self.under_way))
             self.under_way.discard(ident)
             if rng.random() < 0.1:
-                self.service.run_lost(ident)
+                self.service.run_uncertain(ident)
             else:
                 how = [Outcome.SUCCEEDED] * 5 + [
                     Outcome.FAILED,
@@ -104,7 +104,7 @@
                 outcome = rng.choice(how)
                 if outcome is Outcome.NOT_STARTED and ident in self.key and ident not in self.called:
                     self.ran[self.key[ident]].remove(self.reached[ident])  # proof that it never ran
-                self.service.run_ended(ident, outcome, 0.1, b"result")
+                self.service.run_finished(ident, outcome, 0.1, b"result")
             self.waiting.discard(ident)
 
 
@@ -118,8 +118,8 @@
         h.check()
         if n == 330:
             h.drained = h.now
-            h.service.leave(4.0)
+            h.service.start_drain(4.0)
     h.until(h.drained + 4.0)
     assert all(h.answers[ident] or ident in h.gone for ident in h.answers), "unanswered at the stop"
     h.until(h.now + 20.0)
-    assert not h.service.keys.entries and h.service.keys.bytes == 0
+    assert not h.service.keys.records and h.service.keys.used_bytes == 0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -111,7 +111,7 @@
 
 def test_a_fault_in_sweeping_the_keys_leaves_no_full_table() -> None:
     w = World(key_room=8000)
-    w.service.keys.sweep = failing(w.service.keys.sweep, 2)  # type: ignore[method-assign]
+    w.service.keys.expire = failing(w.service.keys.expire, 2)  # type: ignore[method-assign]
     w.arrive(1)
     w.end(1)
     for _ in range(2):
@@ -124,7 +124,7 @@
 
 def test_a_fault_in_one_action_costs_no_other() -> None:
     w = World()
-    w.service.runs.spawn = failing(w.spawn)  # type: ignore[method-assign]
+    w.service.workers.spawn = failing(w.spawn)  # type: ignore[method-assign]
     w.arrive(1, "read")
     assert "action-fault" in w.logged and w.spawned() == []
     w.arrive(2, "read")
@@ -178,9 +178,9 @@
 
 def test_a_key_handed_over_counts_by_the_unix_clock() -> None:
     """Two processes that started before and after the clock was set agree on a window's end."""
-    entry = World().service.keys.keep(("a", "oddaja", b"k"), 1, 1_000.0, b"")
+    entry = World().service.keys.reserve(("a", "oddaja", b"k"), 1, 1_000.0, b"")
     told = wire.of_entry(entry, False, ahead=100.0)
-    assert told.fields["until"] == 900.0 and wire.to_entry(told, ahead=-5.0).until == 895.0
+    assert told.fields["until"] == 900.0 and wire.to_entry(told, ahead=-5.0).expires_at == 895.0
 
 
 @pytest.mark.parametrize(("ago", "status"), [(-4.0, 200), (-6.0, 400), (0.0, 200), (59.0, 503), (130.0, 503)])
@@ -303,7 +303,7 @@
     w.end(3, result=b"second")
     assert w.answers[ident(3)][0].body == b"second"
     w.until(w.now + 20.0)
-    assert not w.service.keys.entries and not w.service.keys.bytes and not w.service.requests
+    assert not w.service.keys.records and not w.service.keys.used_bytes and not w.service.requests
 
 
 @pytest.mark.parametrize("freed", ["its caller goes", "it never ran"])
@@ -324,7 +324,7 @@
             w.end(n)
         assert ident(3) in w.spawned()
         w.end(3, Outcome.NOT_STARTED)
-    w.arrive(2, received=reached)  # it came inside the first one's window
+    w.arrive(2, received_at=reached)  # it came inside the first one's window
     assert ident(2) not in w.spawned() and w.answers[ident(2)][0].body == b"result"
 
 
@@ -338,18 +338,18 @@
     for n in range(101, 141):
         w.arrive(n, key=b"%d" % n)
         w.end(n, result=b"x" * 4096)
-    assert 4 < len(w.spawned()) - 60 < 20 and w.service.keys.bytes <= 20 * 6000
+    assert 4 < len(w.spawned()) - 60 < 20 and w.service.keys.used_bytes <= 20 * 6000
     again = World(key_room=20 * 6000)
     for n in range(1, 5000):  # nor by further tries of one key
         again.arrive(n)
         if n == 1:
             again.end(1)
-    assert again.service.keys.bytes < 8000 and again.verdicts(4999) == ["served"]
+    assert again.service.keys.used_bytes < 8000 and again.verdicts(4999) == ["served"]
 
 
 def test_keys_that_were_never_told_may_have_run() -> None:
     w = World()
-    w.service.doubt()
+    w.service.distrust_keys()
     w.arrive(1)
     w.arrive(2, "read")
     assert w.verdicts(1) == ["failed"]  # no promise that it never ran
@@ -402,7 +402,7 @@
                     client = await HttpClient("{}:{}".format(*held.getsockname())).open()
                     assert (await client.ask(1)).status == 200
                     if how == "tells late":
-                        await until(lambda: not app.service.repeats.doubt_until)
+                        await until(lambda: not app.service.idempotent_attempts.uncertain_until)
                     status = (await client.ask(2, "oddaja", key="k")).status
                     assert status == (200 if how == "tells late" else 500)
                     assert (ident(2) in pool.spawned) is (how == "tells late")
@@ -425,7 +425,7 @@
         replace(CORE, drain_grace=5.0, classes=tuple(replace(c, latency_objective=0.3) for c in CORE.classes))
     )
     w.arrive(1, klass)
-    w.service.leave(2.0)
+    w.service.start_drain(2.0)
     w.until(w.now + 2.0 - before_stop)
     w.arrive(2, klass, key=b"other")
     assert w.verdicts(1) == ["failed"] and w.verdicts(2) == ["refused"] and len(w.spawned()) == 1
@@ -436,10 +436,10 @@
     """By the time at which it came; the module stops a tenth earlier by itself, so that is taken out."""
     w = World()
     assert w.service.controller is not None
-    w.service.leave(3.0)
+    w.service.start_drain(3.0)
     w.service.controller.drain.accept_until = float("inf")
     w.until(w.now + 1.0)
-    w.arrive(1, "read", received=w.now + late)
+    w.arrive(1, "read", received_at=w.now + late)
     assert (w.spawned() == [ident(1)]) is runs
     w.until(w.now + 3.0)
     assert len(w.verdicts(1)) == 1
@@ -448,16 +448,16 @@
 @pytest.mark.parametrize("notice", ["before the pool is up", "twice", "before and again"])
 def test_a_notice_at_an_odd_moment_is_one_drain(notice: str) -> None:
     w = World(up=notice == "twice")
-    w.service.leave(3.0)
+    w.service.start_drain(3.0)
     if notice != "before the pool is up":
         w.until(w.now + 0.5)
-        w.service.leave(3.0)
+        w.service.start_drain(3.0)
     if notice != "twice":
         w.arrive(1, "read")
         assert w.verdicts(1) == ["refused"]  # no pool yet
         w.until(w.now + 1.2)
-        w.service.pool_up(True, 0.0)
-    assert w.logged.count("drain") == 1 and not w.service.healthy
+        w.service.pool_started(True, 0.0)
+    assert w.logged.count("drain") == 1 and not w.service.is_healthy
     w.until(1_000.0 + 1.5)
     w.arrive(2, "read")  # past the grace of the first notice
     w.until(1_000.0 + 3.0)
@@ -612,7 +612,7 @@
             running(pool=pool.address, announce=announce.address) as app,
         ):
             await until(lambda: len(heard) > 6)
-            app.service.withdraw(True)
+            app.service.set_withdrawn(True)
             await until(lambda: b"false" in heard[-1])
             assert app.announcer is not None and not app.announcer.failing
             assert len(announce.writers) >= 1 and b"true" in heard[0]
@@ -629,7 +629,7 @@
     w.until(w.now + 4.2)
     assert w.verdicts(1) == ["failed"] and w.service.load().running == 1  # it may still be on the cores
     w.until(w.now + 20.0)
-    assert "written-off" in w.logged and not w.service.requests and not w.service.by_ident
+    assert "written-off" in w.logged and not w.service.requests and not w.service.requests_by_id
     table = w.service.controller.table
     assert not any(table.counts) and table.memory_kb == pytest.approx(0)
 
@@ -664,4 +664,4 @@
     assert len(w.verdicts(1)) == (0 if first == "abandon" else 1)
     w.end(1)
     w.until(w.now + 20.0)
-    assert not w.service.requests and not w.service.keys.bytes and len(w.spawned()) == 1
+    assert not w.service.requests and not w.service.keys.used_bytes and len(w.spawned()) == 1
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -11,7 +11,7 @@
 
 from saltcart.app import App
 from saltcart.config import read_config
-from saltcart.core.ports import Ask, Reply
+from saltcart.core.ports import InboundRequest, ResponseCallback
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment
 from saltcart.net.clock import Clock
@@ -31,17 +31,21 @@
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
         outcome = Outcome.FAILED if int(ident, 16) % 11 == 0 else Outcome.SUCCEEDED
-        self.service.timers.at(self.service.now + TAKES, self.service.run_ended, ident, outcome, TAKES, body)
+        self.service.timers.call_at(
+            self.service.now + TAKES, self.service.run_finished, ident, outcome, TAKES, body
+        )
 
     def suspend(self, ident: bytes) -> None:
-        self.service.timers.at(self.service.now, self.service.run_ended, ident, Outcome.CANCELLED, 0.0, b"")
+        self.service.timers.call_at(
+            self.service.now, self.service.run_finished, ident, Outcome.CANCELLED, 0.0, b""
+        )
 
     def proceed(self, ident: bytes) -> None: ...
     def supply(self, ident: bytes, reply: bytes) -> None: ...
     def skip(self, ident: bytes, notice: int) -> None: ...
 
     def poll(self) -> None:
-        self.service.gauges((1.0, 2.0))
+        self.service.gauges_polled((1.0, 2.0))
 
 
 async def play(ajp_first: bool) -> list[tuple[str, str, str]]:
@@ -58,8 +62,8 @@
     taken = list[bytes]()
     arrive = app.service.arrive
 
-    def counted(ask: Ask, reply: Reply) -> int:
-        taken.append(ask.ident)
+    def counted(ask: InboundRequest, reply: ResponseCallback) -> int:
+        taken.append(ask.request_id)
         return arrive(ask, reply)
 
     app.service.arrive = counted  # type: ignore[method-assign]
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -111,9 +111,9 @@
             client = await CLIENTS[front](app.addresses[front]).open()
             client.send(1)
             await until(lambda: pool.spawned == [ident(1)])
-            app.service.idle_after = 0.01  # the module closes idle connections at once
+            app.service.idle_timeout = 0.01  # the module closes idle connections at once
             at_once(client)(b"POST /call/read HTTP/1.1\r\nHost")
-            app.service.run_ended(ident(1), Outcome.SUCCEEDED, 0.1, b"done")
+            app.service.run_finished(ident(1), Outcome.SUCCEEDED, 0.1, b"done")
             assert (await client.answer()).body == b"done"
             assert await client.reader.read() == b""  # an end, and no reset
             client.writer.close()
@@ -213,9 +213,9 @@
     if end is not None:
         w.end(1, end)
     if closed == "handed over":
-        w.service.repeats.hand_over(lambda entry, gone: None)
+        w.service.idempotent_attempts.hand_over(lambda entry, gone: None)
     else:
-        w.service.leave(2.0)
+        w.service.start_drain(2.0)
         w.until(w.now + 1.95)
     w.arrive(2)
     w.arrive(3, key=b"new")
@@ -228,10 +228,10 @@
     w.arrive(1)
     w.end(1)
     w.until(w.now + 0.5)
-    w.arrive(2, received=w.now + 4.0)
+    w.arrive(2, received_at=w.now + 4.0)
     assert w.spawned() == [ident(1)] and w.answers[ident(2)][0].body == b"result"
     ahead = short(1.0)
-    ahead.arrive(1, received=ahead.now + 4.0)  # and its own window is counted from what it says
+    ahead.arrive(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
     ahead.end(1)
     ahead.until(ahead.now + 4.5)
     ahead.arrive(2)
--- a/tests/test_storm_parts.py
+++ b/tests/test_storm_parts.py
@@ -159,7 +159,9 @@
 
 
 def test_callers_of_two_servers_are_not_told_the_same_moments() -> None:
-    first, second = ([damper(seed).refused(100.0, n).after for n in range(30)] for seed in (1, 2))
+    first, second = (
+        [damper(seed).record_rejection(100.0, n).retry_after for n in range(30)] for seed in (1, 2)
+    )
     assert len(set(first) & set(second)) == 0
 
 
@@ -254,39 +256,39 @@
 
 def test_who_keeps_its_moment_is_known_and_who_comes_early_is_told_the_same_again() -> None:
     d = damper()
-    first = d.arrived(100.0, "acme", "read", None, None, b"x")
-    assert (first.again, first.kept, first.early) == (False, False, False)
-    back = d.refused(100.0, first.mark)
-    assert back.after >= 0.2
-    early = d.arrived(100.0 + back.after / 4, "acme", "read", None, None, b"x")
-    assert (early.again, early.early) == (True, back.after / 4 < back.after - 0.1)
-    told = d.refused(100.0 + back.after / 4, early.mark)
-    assert told.after == pytest.approx(back.after * 3 / 4, abs=0.06)
-    kept = d.arrived(100.0 + back.after + 0.05, "acme", "read", None, None, b"x")
-    assert (kept.again, kept.kept, kept.early) == (True, True, False)
-    late = d.arrived(100.0 + back.after + 10.0, "acme", "read", None, None, b"x")
-    assert late.again and not late.kept
-    d.served(120.0, kept.mark, True)
-    assert d.appointments.get(kept.mark) is None
+    first = d.record_arrival(100.0, "acme", "read", None, None, b"x")
+    assert (first.is_retry, first.has_reservation, first.is_early) == (False, False, False)
+    back = d.record_rejection(100.0, first.fingerprint)
+    assert back.retry_after >= 0.2
+    early = d.record_arrival(100.0 + back.retry_after / 4, "acme", "read", None, None, b"x")
+    assert (early.is_retry, early.is_early) == (True, back.retry_after / 4 < back.retry_after - 0.1)
+    told = d.record_rejection(100.0 + back.retry_after / 4, early.fingerprint)
+    assert told.retry_after == pytest.approx(back.retry_after * 3 / 4, abs=0.06)
+    kept = d.record_arrival(100.0 + back.retry_after + 0.05, "acme", "read", None, None, b"x")
+    assert (kept.is_retry, kept.has_reservation, kept.is_early) == (True, True, False)
+    late = d.record_arrival(100.0 + back.retry_after + 10.0, "acme", "read", None, None, b"x")
+    assert late.is_retry and not late.has_reservation
+    d.record_success(120.0, kept.fingerprint, True)
+    assert d.appointments.get(kept.fingerprint) is None
 
 
 def test_a_source_that_was_turned_back_unread_is_told_one_moment_until_then() -> None:
     d = damper()
-    source = d.source("192.0.2.1")
-    after = [d.unread(100.0 + n * 0.05, source).after + n * 0.05 for n in range(3)]
-    assert max(after) - min(after) < 2 * TICK and d.source("192.0.2.2") != source
+    source = d.source_of("192.0.2.1")
+    after = [d.reject_unread(100.0 + n * 0.05, source).retry_after + n * 0.05 for n in range(3)]
+    assert max(after) - min(after) < 2 * TICK and d.source_of("192.0.2.2") != source
 
 
 def test_a_crowd_is_let_in_last() -> None:
     d = damper()
     d.throughput.run_ended(100.0, 0.2, False)  # 19 a second
-    loud, quiet = d.source("loud"), d.source("quiet")
+    loud, quiet = d.source_of("loud"), d.source_of("quiet")
     seen = Counter[tuple[str, ConnectionAdmission]]()
     for n in range(2000):
         now = 100.0 + n * 0.01
-        seen["loud", d.admits(now, loud)] += 1
+        seen["loud", d.admit_connection(now, loud)] += 1
         if n % 50 == 0:
-            seen["quiet", d.admits(now, quiet)] += 1
+            seen["quiet", d.admit_connection(now, quiet)] += 1
     assert (
         seen["quiet", ConnectionAdmission.READ] >= 38
     )  # one may meet the bucket that the crowd has just emptied
@@ -300,13 +302,16 @@
     d = damper(reading=0.05)
     for n in range(40):
         d.throughput.run_ended(100.0 + n, 0.05, False)  # 20 a second and core
-    balancer, seen = d.source("balancer"), Counter[ConnectionAdmission]()
+    balancer, seen = d.source_of("balancer"), Counter[ConnectionAdmission]()
     assert d.capacity(140.0) > 70
     for n in range(600):  # 60 a second, and one a second from each of eight others
         now = 140.0 + n / 60
-        seen[d.admits(now, balancer)] += 1
+        seen[d.admit_connection(now, balancer)] += 1
         if n % 60 == 0:
-            assert all(d.admits(now, d.source(f"other {k}")) is ConnectionAdmission.READ for k in range(8))
+            assert all(
+                d.admit_connection(now, d.source_of(f"other {k}")) is ConnectionAdmission.READ
+                for k in range(8)
+            )
     assert seen == {ConnectionAdmission.READ: 600}
 
 
@@ -314,19 +319,20 @@
     """A flood's first second: nobody is known for a crowd yet, and a quiet source must still find a place."""
     d = damper(reading=0.25)
     d.throughput.run_ended(100.0, 1.0, False)  # 4 a second
-    loud, seen = d.source("loud"), Counter[ConnectionAdmission]()
-    d.admits(97.0, d.source("another"))  # so the crowd is not alone here
+    loud, seen = d.source_of("loud"), Counter[ConnectionAdmission]()
+    d.admit_connection(97.0, d.source_of("another"))  # so the crowd is not alone here
     for n in range(8):  # as many as the door's tokens and more, in half a second
-        seen[d.admits(100.0 + n * 0.05, loud)] += 1
+        seen[d.admit_connection(100.0 + n * 0.05, loud)] += 1
     assert seen[ConnectionAdmission.REFUSE] >= 2
-    assert d.admits(100.45, d.source("quiet")) is ConnectionAdmission.READ
+    assert d.admit_connection(100.45, d.source_of("quiet")) is ConnectionAdmission.READ
 
 
 def test_a_source_alone_takes_all_tokens() -> None:
     d = damper(reading=0.25)
     d.throughput.run_ended(100.0, 1.0, False)
     let_in = sum(
-        d.admits(100.0 + n * 0.01, d.source("balancer")) is not ConnectionAdmission.REFUSE for n in range(8)
+        d.admit_connection(100.0 + n * 0.01, d.source_of("balancer")) is not ConnectionAdmission.REFUSE
+        for n in range(8)
     )
     assert let_in == FEWEST
 
@@ -367,15 +373,15 @@
 def test_the_most_tries_of_one_piece_of_work_are_told() -> None:
     d = damper()
     for n in range(7):
-        tried = d.arrived(100.0 + n, "a", "read", None, None, b"same")
-        d.refused(100.0 + n, tried.mark)
+        tried = d.record_arrival(100.0 + n, "a", "read", None, None, b"same")
+        d.record_rejection(100.0 + n, tried.fingerprint)
     assert dict(d.figures(107.0))["storm.most_tries"] == 6
 
 
 def test_memory_stays_within_its_bound_at_a_thousand_refusals_a_second() -> None:
     d, rng = damper(), random.Random(9)
     for n in range(20_000):
-        d.refused(100.0 + n * 0.001, rng.getrandbits(64))
+        d.record_rejection(100.0 + n * 0.001, rng.getrandbits(64))
     assert d.bytes() <= 1 << 20 and len(d.calendar.places) <= 60 / BUCKET + 20
 
 
@@ -390,5 +396,5 @@
 
 def test_the_core_needs_no_storms() -> None:
     service = Service(SETTINGS, (), 1, lambda: 0.0, lambda event, **_: None)
-    service.pool_up(False, 0.0)
-    assert service.storms is None
+    service.pool_started(False, 0.0)
+    assert service.storm_control is None
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -15,7 +15,7 @@
 from saltcart.app import App
 from saltcart.cli import cli
 from saltcart.config import ConfigError
-from saltcart.core.ports import Answer
+from saltcart.core.ports import FinalResponse
 from saltcart.decision.actions import Action
 from saltcart.decision.events import Event, RequestArrived
 from saltcart.decision.outcome import Outcome
@@ -33,19 +33,19 @@
 def world(**more: Any) -> tuple[World, Damper]:
     made = World(replace(SETTINGS, **more))
     damper = Damper(StormSettings(), made.service.settings, 1, made.now, made.now - 100)
-    made.service.storms = damper
+    made.service.storm_control = damper
     return made, damper
 
 
 def storm_on(damper: Damper) -> None:
     """Many tries of refused work come again: the damper finds out by itself."""
     for n in range(40):
-        damper.refused(1_000.0, n)
+        damper.record_rejection(1_000.0, n)
     for n in range(40):
-        tried = damper.arrived(1_000.0, "x", "read", None, None, b"%d" % n)
-        damper.refused(1_000.0, tried.mark)
-        damper.arrived(1_000.0, "x", "read", None, None, b"%d" % n)
-    assert damper.storm(1_000.0)
+        tried = damper.record_arrival(1_000.0, "x", "read", None, None, b"%d" % n)
+        damper.record_rejection(1_000.0, tried.fingerprint)
+        damper.record_arrival(1_000.0, "x", "read", None, None, b"%d" % n)
+    assert damper.in_storm(1_000.0)
 
 
 # ---- through the core -------------------------------------------------------------------------
@@ -72,13 +72,13 @@
 
 def test_who_is_refused_is_told_a_moment_at_once() -> None:
     w, _ = world(max_retry_after=0.5)
-    w.service.leave(4.0)  # nothing new runs: it is refused
+    w.service.start_drain(4.0)  # nothing new runs: it is refused
     w.until(w.now + 2.0)
     before = w.now
     w.arrive(1, "read")
     (answer,) = w.answers[b"%016x" % 1]
-    assert answer.verdict.value == "refused" and w.now == before  # given up and answered in one moment
-    assert answer.come_back >= 0.2 and answer.back_off <= 0.5
+    assert answer.status.value == "refused" and w.now == before  # given up and answered in one moment
+    assert answer.retry_after_seconds >= 0.2 and answer.back_off_seconds <= 0.5
 
 
 def test_a_callers_moment_is_no_advice_to_its_balancer() -> None:
@@ -87,13 +87,13 @@
     for watched in (True, False):
         w, _ = world(max_retry_after=30.0)
         if not watched:
-            w.service.storms = None
-        w.service.leave(4.0)
+            w.service.storm_control = None
+        w.service.start_drain(4.0)
         w.until(w.now + 2.0)
         for n in range(1, 40):  # the same work again and again, as in a storm
             w.arrive(n, "read")
-        told += [(a.back_off, a.final) for n in range(1, 40) for a in w.answers[b"%016x" % n]]
-        moments = [a.come_back for n in range(1, 40) for a in w.answers[b"%016x" % n]]
+        told += [(a.back_off_seconds, a.is_final) for n in range(1, 40) for a in w.answers[b"%016x" % n]]
+        moments = [a.retry_after_seconds for n in range(1, 40) for a in w.answers[b"%016x" % n]]
         assert all(m > 0 for m in moments) if watched else not any(moments)
     assert told[:39] == told[39:]
 
@@ -103,7 +103,7 @@
     w.arrive(1)
     w.end(1, Outcome.FAILED)
     (answer,) = w.answers[b"%016x" % 1]
-    assert answer.verdict.value == "failed" and answer.come_back == pytest.approx(6.0, abs=0.2)
+    assert answer.status.value == "failed" and answer.retry_after_seconds == pytest.approx(6.0, abs=0.2)
 
 
 def test_in_a_storm_a_held_read_makes_way_for_the_same_work_come_anew() -> None:
@@ -138,11 +138,11 @@
         return handle(now, event)
 
     w.service.controller.handle = listen  # type: ignore[method-assign]
-    mark = damper.arrived(w.now, "a", "read", None, None, b"same").mark
-    back = damper.refused(w.now, mark)
-    w.arrive(1, "read", body=b"same", standing=0.3)  # before its moment
-    w.now += back.after + 0.05
-    w.arrive(2, "read", body=b"same", standing=0.3)
+    mark = damper.record_arrival(w.now, "a", "read", None, None, b"same").fingerprint
+    back = damper.record_rejection(w.now, mark)
+    w.arrive(1, "read", body=b"same", priority_rank=0.3)  # before its moment
+    w.now += back.retry_after + 0.05
+    w.arrive(2, "read", body=b"same", priority_rank=0.3)
     early, kept = heard
     assert (early.priority_rank, early.has_reservation) == (0.0, False)
     assert (
@@ -282,7 +282,7 @@
 def test_without_the_table_nothing_is_told_and_nothing_watched() -> None:
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
-            assert app.service.storms is None
+            assert app.service.storm_control is None
             client = await HttpClient(app.addresses["http"]).open()
             assert b"retry-after" not in (await client.ask(1)).headers
 
@@ -328,9 +328,11 @@
 
 
 def test_a_refused_answer_names_the_moment_in_whole_seconds_never_before_it() -> None:
-    from saltcart.core.ports import Verdict
+    from saltcart.core.ports import ResponseStatus
     from saltcart.front.connection import answer_fields
 
     for after, told in ((0.05, "1"), (1.0, "1"), (1.01, "2")):
-        assert ("Retry-After", told) in answer_fields(Answer(Verdict.REFUSED, come_back=after))
-    assert not answer_fields(Answer(Verdict.SERVED))
+        assert ("Retry-After", told) in answer_fields(
+            FinalResponse(ResponseStatus.REJECTED, retry_after_seconds=after)
+        )
+    assert not answer_fields(FinalResponse(ResponseStatus.SERVED))
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -13,7 +13,7 @@
 import pytest
 
 from saltcart import succession
-from saltcart.core.keys import Entry
+from saltcart.core.idempotency_keys import KeyRecord
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment
@@ -24,7 +24,9 @@
 from tests.standins import SETTINGS, AjpClient, HttpClient, Pool, fields, ident, raw_config, running, until
 from tests.test_sockets import logged, start
 
-ENTRY = Entry(("a", "oddaja", b"k\xff"), 3, 12.5, b"\x00\x01", {ident(1), ident(2)}, True, True, b"\n{}\0")
+ENTRY = KeyRecord(
+    ("a", "oddaja", b"k\xff"), 3, 12.5, b"\x00\x01", {ident(1), ident(2)}, True, True, b"\n{}\0"
+)
 
 
 @pytest.mark.parametrize("gone", [False, True])
@@ -32,7 +34,7 @@
     packet = wire.decode(wire.encode(wire.of_entry(ENTRY, gone)))
     assert packet.say == ("gone" if gone else "entry")
     read = wire.to_entry(packet)
-    assert read == replace(ENTRY, holder=0)
+    assert read == replace(ENTRY, holder_number=0)
 
 
 @pytest.mark.parametrize(
@@ -82,13 +84,13 @@
     """An old service whose keys are told to a new one, all in memory."""
     old, new = World(), World()
 
-    def tell(entry: Entry, gone: bool) -> None:
-        new.service.inherit(wire.to_entry(wire.decode(wire.encode(wire.of_entry(entry, gone)))), gone)
+    def tell(entry: KeyRecord, gone: bool) -> None:
+        new.service.adopt_key(wire.to_entry(wire.decode(wire.encode(wire.of_entry(entry, gone)))), gone)
 
     old.arrive(1)  # runs
     old.arrive(2, key=b"done")
     old.end(2, result=b"before")
-    for entry in old.service.repeats.hand_over(tell):
+    for entry in old.service.idempotent_attempts.hand_over(tell):
         tell(entry, False)
     return old, new
 
@@ -112,7 +114,7 @@
     old, new = two()
     new.arrive(11)
     if how == "dies":
-        new.service.bereave()
+        new.service.predecessor_gone()
     else:
         old.end(1, Outcome.NOT_STARTED if how == "never ran" else Outcome.FAILED)
     assert new.verdicts(11) == ["failed"]
@@ -126,7 +128,7 @@
     _, new = two()
     assert len(new.service.keys) == 2
     new.until(new.now + 30)
-    assert len(new.service.keys) == 0 and new.service.keys.bytes == 0
+    assert len(new.service.keys) == 0 and new.service.keys.used_bytes == 0
 
 
 # ---- on sockets -------------------------------------------------------------------------------
@@ -236,7 +238,7 @@
                 async with running(None, platform, pool=other.address):
                     assert (await (await HttpClient(address).open()).ask(n)).status == 200
                     assert other.spawned[-1] == ident(n)
-                await until(lambda: old.service.repeats.heir is None)
+                await until(lambda: old.service.idempotent_attempts.successor is None)
                 assert (await (await HttpClient(address).open()).ask(n + 1)).status == 200
                 assert pool.spawned[-1] == ident(n + 1)
 
@@ -256,9 +258,9 @@
             busy = await HttpClient(address).open()
             async with running(None, platform, pool=other.address):
                 pool.auto = False
-                await until(lambda: old.service.repeats.heir is not None)
+                await until(lambda: old.service.idempotent_attempts.successor is not None)
                 old.leave(done.set)
-            await until(lambda: old.service.repeats.heir is None)
+            await until(lambda: old.service.idempotent_attempts.successor is None)
             assert old.service.drain_at is not None and not done.is_set()
             pool.auto = True
             late = await HttpClient(address).open()
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -256,7 +256,7 @@
     ended = list[tuple[bytes, str]]()
 
     class Events:
-        def call_ended(self, ident: bytes, outcome: object, reply: bytes) -> None:
+        def call_finished(self, ident: bytes, outcome: object, reply: bytes) -> None:
             ended.append((ident, outcome.name))  # type: ignore[attr-defined]
 
     async def proxy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -319,7 +319,7 @@
     ended = list[tuple[bytes, str]]()
 
     class Events:
-        def call_ended(self, ident: bytes, outcome: object, reply: bytes) -> None:
+        def call_finished(self, ident: bytes, outcome: object, reply: bytes) -> None:
             ended.append((ident, outcome.name))  # type: ignore[attr-defined]
 
     async def proxy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -17,8 +17,8 @@
 
 from saltcart.admin.registry import Registry
 from saltcart.budget.dependency import ENDED
-from saltcart.core.keys import Entry, digest
-from saltcart.core.request import State as RequestState
+from saltcart.core.idempotency_keys import KeyRecord, digest
+from saltcart.core.request import RequestPhase as RequestState
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment
@@ -32,7 +32,7 @@
 from tests.standins import Pool, ident, running
 
 FIXTURES = Path(__file__).parent / "fixtures"
-KEY = Entry(("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {ident(0xA1)}, True, True, b"\n{}\0")
+KEY = KeyRecord(("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {ident(0xA1)}, True, True, b"\n{}\0")
 CLOCK_AHEAD = 2.25  # seconds by which the writer's clock was ahead of the Unix clock
 LOAD, CONNECTIONS = PredecessorLoad(3, 1, 120.5), 7
 PASSED = {"front": "http", "rests": True, "age": 1.5}
@@ -84,8 +84,13 @@
 
 def test_a_recorded_key_is_read_with_all_of_its_fields() -> None:
     read = handover.to_entry(handover.decode(handover_packet("entry")), CLOCK_AHEAD)
-    assert read.key == KEY.key and read.until == KEY.until and read.digest == KEY.digest
-    assert read.idents == KEY.idents and read.ran and read.over and read.result == KEY.result
+    assert read.key == KEY.key and read.expires_at == KEY.expires_at and read.body_digest == KEY.body_digest
+    assert (
+        read.attempt_ids == KEY.attempt_ids
+        and read.has_run
+        and read.is_finished
+        and read.result == KEY.result
+    )
 
 
 def test_a_recorded_load_is_read_with_all_of_its_fields() -> None:
@@ -96,9 +101,9 @@
     world = World()
     recorded = handover.to_entry(handover.decode(handover_packet("entry")))
     recorded.key = ("a", "oddaja", b"k")
-    recorded.until = world.now + 5.0
-    recorded.digest = digest(b"body of k")
-    world.service.inherit(recorded, False)
+    recorded.expires_at = world.now + 5.0
+    recorded.body_digest = digest(b"body of k")
+    world.service.adopt_key(recorded, False)
     world.arrive(2)
     assert world.verdicts(2) == ["served"] and world.spawned() == []
     assert world.answers[ident(2)][0].body == KEY.result
@@ -113,7 +118,7 @@
         with socket.create_server(("127.0.0.1", 0)) as held:
             environment = {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
             async with Pool() as pool, running(None, environment, pool=pool.address) as app:
-                app.service.inherit(handover.to_entry(handover.decode(handover_packet("entry"))), False)
+                app.service.adopt_key(handover.to_entry(handover.decode(handover_packet("entry"))), False)
                 path = next(p for p in tmp_path.iterdir() if p.is_socket())
                 successor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
                 successor.setblocking(False)
