--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -37,7 +37,7 @@
         except Exception as error:  # whatever a file may hold, a running service outlives it
             log("reload-failed", error=str(error))
 
-    on_notice((signal.SIGTERM, signal.SIGINT), app.service.clock, leave)
+    on_notice((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, leave)
     await app.start()
     gc.collect()
     gc.freeze()  # what lives as long as the process need not be looked at again
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -129,11 +129,11 @@
         s = self.service
         return 200, {
             "healthy": s.is_healthy,
-            "draining": s.drain_at is not None,
+            "draining": s.drain.drain_at is not None,
             "hint": s.load_level,
             "keys": len(s.keys),
             "requests": Counter(r.phase.value for r in s.requests.values()),
-            "gauges": s.gauge_values,
+            "gauges": s.loop.gauges,
             "tenants": len(self.registry.tenants),
             "upstreams": len(self.registry.upstreams),
         }
@@ -145,11 +145,13 @@
         return 200, out
 
     def dependencies(self) -> Reply:
-        return 200, {} if self.composer is None else self.composer.desk.state(self.service.clock())
+        return 200, {} if self.composer is None else self.composer.desk.state(
+            self.service.clock.read_seconds()
+        )
 
     def storm(self) -> Reply:
         damper = self.damper()
-        return 200, {} if damper is None else damper.state(self.service.clock())
+        return 200, {} if damper is None else damper.state(self.service.clock.read_seconds())
 
     def members(self) -> Reply:
         return 200, {} if self.gossip is None else self.gossip.state()
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -12,8 +12,9 @@
 from saltcart.admin.registry import Registry, specs
 from saltcart.admin.server import AdminConnection
 from saltcart.config import Config, ConfigError
+from saltcart.core.draining import STOP_MARGIN
 from saltcart.core.ports import Log, WorkerPool
-from saltcart.core.service import STOP_MARGIN, Service
+from saltcart.core.service import Service
 from saltcart.decision.settings import Settings
 from saltcart.deployment import Deployment
 from saltcart.field_reader import InvalidFieldError
@@ -79,7 +80,7 @@
         self.service = Service(
             settings, conf.gauges, conf.seed, clock, log, key_room=key_room, ahead=clock.ahead
         )
-        self.service.has_hosted_tenants = hosted
+        self.service.intake.requires_tenant = hosted
         self.listeners: list[Listener] = []
         self.fronts: dict[str, Listener] = {}  # those of the clients
         self.succession: Succession | None = None
@@ -111,19 +112,19 @@
         if self.deployment.storm is not None:
             self._watch_storms(self.deployment.storm)
         if conf.announce:
-            service.registration = self.announcer = Announcer(conf.announce, conf.name, self.log)
+            service.ports.registration = self.announcer = Announcer(conf.announce, conf.name, self.log)
             self.announcer.start()
         if conf.index:
-            service.dependency_calls = self.index = IndexClient(conf.index, service, self.log, calls)
+            service.ports.dependency_calls = self.index = IndexClient(conf.index, service, self.log, calls)
         if self.runs is not None:
-            service.workers = self.runs
+            service.ports.workers = self.runs
             service.pool_started(False, 0.0)
         elif conf.pool:
-            service.workers = self.pool = PoolLink(conf.pool, service, self.log)
+            service.ports.workers = self.pool = PoolLink(conf.pool, service, self.log)
             self.pool.start()
         else:
             self.upstreams = Upstreams(self.deployment, service, self.log, service.settings.cores)
-            service.workers = self.upstreams
+            service.ports.workers = self.upstreams
             if self.deployment.plans is not None:
                 self._compose(self.deployment.plans, self.upstreams)
             service.pool_started(False, 0.0)
@@ -188,8 +189,8 @@
         service = self.service
 
         def make(settings: Settings, started: float) -> Damper:
-            damper = Damper(conf, settings, self.conf.seed, service.now, started)
-            service.figure_sources.append(lambda: damper.figures(service.clock()))
+            damper = Damper(conf, settings, self.conf.seed, service.clock.now, started)
+            service.figure_sources.append(lambda: damper.figures(service.clock.read_seconds()))
             self.damper = damper
             return damper
 
@@ -238,16 +239,16 @@
         from saltcart.net.composer import Composer
 
         service = self.service
-        service.workers = self.composer = Composer(
+        service.ports.workers = self.composer = Composer(
             plans,
             service.settings.classes,
             upstreams,
             service,
             self.log,
             self.conf.seed,
-            service.clock,
-            service.held_count,
-            service.usable_time,
+            service.clock.read_seconds,
+            service.loop.held_count,
+            service.loop.usable_time,
         )
         service.composed_classes = frozenset(self.composer.desk.plans)
         service.figure_sources.append(self.composer.figures)
--- a/saltcart/core/idempotency_keys.py
+++ b/saltcart/core/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""The key table: which try holds a key, and what became of its run."""
+"""The table of idempotency keys: which attempt holds a key, and what became of its run."""
 
 from __future__ import annotations
 
@@ -7,103 +7,118 @@
 from hashlib import blake2b
 
 Key = tuple[str, str, bytes]  # tenant, class, key: no tenant reaches another's
-# Bytes that an entry takes in this process beside its result, that a result has at most, and that one of its
-# tries' ids takes; of these so many are remembered.
-BARE, MOST_RESULT, IDENT, MOST_IDENTS = 1024, 4096, 80, 64
+
+RECORD_BYTES = 1024  # that a record takes in this process beside its result
+MAX_RESULT_BYTES = 4096  # booked until the result is known
+ATTEMPT_ID_BYTES = 80  # that one remembered id of an attempt takes
+MAX_ATTEMPT_IDS = 64  # remembered for one key
 
 
 def digest(body: bytes) -> bytes:
-    """Tells bodies apart without keeping them."""
+    """Return what tells bodies apart without keeping them."""
     return blake2b(body, digest_size=16).digest()
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """One key.  ``until`` is when tries stop being its repeats, by the time at which they arrived."""
+    """One key in one window, which lasts until ``expires_at`` by the times at which attempts arrived."""
 
     key: Key
-    holder_number: int
+    holder_number: int  # of the request that holds the key; below 0 for one of the predecessor's
     expires_at: float
-    body_digest: bytes  # of the body that all tries of the request carry
-    attempt_ids: set[bytes] = field(default_factory=set)  # of its tries: an id comes once
+    body_digest: bytes  # of the body that all attempts carry
+    attempt_ids: set[bytes] = field(default_factory=set)  # an id comes once
     has_run: bool = False
     is_finished: bool = False
-    result: bytes | None = None  # of a run that went well
-    waiting_attempts: list[int] = field(default_factory=list)  # tries that wait for the result
-    earlier: KeyRecord | None = None  # of an earlier window that a late-read try may still be of
-    booked_bytes: int = 0  # bytes on the table's account
+    result: bytes | None = None  # of a run that succeeded
+    waiting_attempts: list[int] = field(default_factory=list)  # request numbers that wait for the result
+    earlier: KeyRecord | None = None  # of an earlier window, to which an attempt read late may belong
+    booked_bytes: int = 0  # on the table's account
 
     def byte_size(self) -> int:
-        result = len(self.result or b"") if self.is_finished else MOST_RESULT
-        return BARE + result + IDENT * len(self.attempt_ids)
+        """Return the bytes that this record takes, or may come to take."""
+        result_bytes = len(self.result or b"") if self.is_finished else MAX_RESULT_BYTES
+        return RECORD_BYTES + result_bytes + ATTEMPT_ID_BYTES * len(self.attempt_ids)
 
 
 class KeyTable:
-    """Bounded in bytes: a try that finds no place for its key must not run."""
+    """Bounded in bytes: an attempt that finds no room for its key must not run."""
 
-    def __init__(self, limit: int, grace: float) -> None:
-        self.max_bytes, self.grace = limit, grace  # a try may be read this long after it arrived
+    def __init__(self, max_bytes: int, read_grace: float) -> None:
+        """``read_grace``: seconds after its arrival in which an attempt may still be read."""
+        self.max_bytes = max_bytes
+        self.read_grace = read_grace
         self.records: dict[Key, KeyRecord] = {}
         self.used_bytes = 0
 
     def __len__(self) -> int:
+        """Return the number of keys."""
         return len(self.records)
 
     def is_full(self) -> bool:
-        return self.used_bytes + BARE + MOST_RESULT + IDENT > self.max_bytes
-
-    def find(self, key: Key, received: float) -> KeyRecord | None:
-        entry = self.records.get(key)
-        return entry if entry is not None and received <= entry.expires_at else None
-
-    def reserve(self, key: Key, holder: int, until: float, body: bytes) -> KeyRecord:
-        entry = self.records.get(key)
-        if entry is not None and entry.holder_number == holder:
-            entry.expires_at = max(entry.expires_at, until)
-            return entry
-        new = self.records[key] = KeyRecord(key, holder, until, digest(body), earlier=entry)
-        self.book(new)
-        return new
-
-    def add_attempt(self, entry: KeyRecord, ident: bytes) -> None:
-        """One more try of this key: its id is used up."""
-        if len(entry.attempt_ids) < MOST_IDENTS:
-            entry.attempt_ids.add(ident)
-            self.book(entry)
-
-    def book(self, entry: KeyRecord) -> None:
-        """Put what an entry takes on the account, or change it there."""
-        size = entry.byte_size()
-        self.used_bytes, entry.booked_bytes = self.used_bytes + size - entry.booked_bytes, size
-
-    def adopt(self, entry: KeyRecord) -> None:
-        """An entry of the process before; it stands whatever the bound, for its run may have begun."""
-        self.records[entry.key] = entry
-        self.book(entry)
-
-    def remove(self, entry: KeyRecord) -> None:
-        """The key is as free as before; what an earlier window holds stands again."""
-        if self.records.get(entry.key) is entry:
-            if entry.earlier is None:
-                del self.records[entry.key]
-            else:
-                self.records[entry.key] = entry.earlier
+        """Whether there is no room for one more key."""
+        return self.used_bytes + RECORD_BYTES + MAX_RESULT_BYTES + ATTEMPT_ID_BYTES > self.max_bytes
+
+    def find(self, key: Key, arrived_at: float) -> KeyRecord | None:
+        """Return the record of the window to which an attempt that arrived then belongs."""
+        record = self.records.get(key)
+        return record if record is not None and arrived_at <= record.expires_at else None
+
+    def reserve(self, key: Key, holder_number: int, expires_at: float, body: bytes) -> KeyRecord:
+        """Return the holder's record of a key, made anew or with its window extended."""
+        earlier = self.records.get(key)
+        if earlier is not None and earlier.holder_number == holder_number:
+            earlier.expires_at = max(earlier.expires_at, expires_at)
+            return earlier
+        record = KeyRecord(key, holder_number, expires_at, digest(body), earlier=earlier)
+        self.records[key] = record
+        self.update_booking(record)
+        return record
+
+    def add_attempt(self, record: KeyRecord, attempt_id: bytes) -> None:
+        """Note the id of one more attempt, which is used up by that."""
+        if len(record.attempt_ids) < MAX_ATTEMPT_IDS:
+            record.attempt_ids.add(attempt_id)
+            self.update_booking(record)
+
+    def update_booking(self, record: KeyRecord) -> None:
+        """Put the bytes that a record takes on the account, or change them there."""
+        size = record.byte_size()
+        self.used_bytes += size - record.booked_bytes
+        record.booked_bytes = size
+
+    def adopt(self, record: KeyRecord) -> None:
+        """Take a record of the predecessor's, whatever the bound, for its run may have begun."""
+        self.records[record.key] = record
+        self.update_booking(record)
+
+    def remove(self, record: KeyRecord) -> None:
+        """Free a key; the record of an earlier window stands again."""
+        if self.records.get(record.key) is not record:
+            record.expires_at = float("-inf")  # an earlier one: nothing finds it any more
+        elif record.earlier is None:
+            del self.records[record.key]
         else:
-            entry.expires_at = float("-inf")  # an older one: nothing finds it any more
-        self._unbook(entry)
-
-    def _unbook(self, entry: KeyRecord) -> None:
-        self.used_bytes, entry.booked_bytes = self.used_bytes - entry.booked_bytes, 0
-
-    def expire(self, now: float, alive: Callable[[int], bool]) -> None:
-        """Drop what no late-read try can refer to any more."""
-        for entry in list(self.records.values()):
-            at: KeyRecord | None = entry
-            while at is not None:  # the older ones end first
-                if at.earlier is not None and now > at.earlier.expires_at + self.grace:
-                    self._unbook(at.earlier)
-                    at.earlier = at.earlier.earlier
-                else:
-                    at = at.earlier
-            if now > entry.expires_at + self.grace and not alive(entry.holder_number):
-                self.remove(entry)
+            self.records[record.key] = record.earlier
+        self._book_off(record)
+
+    def _book_off(self, record: KeyRecord) -> None:
+        self.used_bytes -= record.booked_bytes
+        record.booked_bytes = 0
+
+    def expire(self, now: float, is_pending: Callable[[int], bool]) -> None:
+        """Drop the records to which no attempt can belong any more, whose holders are not pending."""
+        for record in list(self.records.values()):
+            self._expire_earlier(record, now)
+            if now > record.expires_at + self.read_grace and not is_pending(record.holder_number):
+                self.remove(record)
+
+    def _expire_earlier(self, record: KeyRecord, now: float) -> None:
+        current: KeyRecord | None = record
+        while current is not None:
+            earlier = current.earlier
+            if earlier is not None and now > earlier.expires_at + self.read_grace:
+                self._book_off(earlier)
+                current.earlier = earlier.earlier
+            else:
+                current = earlier
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -1,139 +1,143 @@
-"""What the core exchanges with the outside, and the ports it calls.  No wire, socket or event loop here."""
+"""The ports through which the core acts on the outside.  No wire, socket or event loop here.
+
+Request ids are those of ``InboundRequest``; times are seconds.
+"""
 
 from __future__ import annotations
 
-import enum
-from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.decision.outcome import Outcome
 
 
-class ResponseStatus(enum.Enum):
-    """The final answer's kind; each front has its own status for it."""
-
-    SERVED = "served"
-    REJECTED = "refused"
-    FAILED = "failed"
-
-
-@dataclass(slots=True)
-class FinalResponse:
-    """One final answer."""
-
-    status: ResponseStatus
-    body: bytes = b""
-    load_level: float | None = None  # the free value
-    back_off_seconds: float = 0.0  # seconds
-    retry_after_seconds: float = 0.0  # seconds until the moment that the calendar gave, if it gave one
-    is_final: bool = False  # asks that no other server is tried
-    skipped_dependencies: tuple[str, ...] = ()  # dependencies that a partial answer does without
-    cached_dependencies: tuple[str, ...] = ()  # those for which a last good answer stands in
-
-
-@dataclass(slots=True)
-class InboundRequest:
-    """A request as a front has read it."""
+class WorkerPool(Protocol):
+    """Does the work of requests."""
 
-    request_id: bytes
-    class_name: str
-    account: str
-    received_at: float  # when it came to the machine, Unix seconds
-    budget_seconds: float | None  # seconds from ``received``
-    size_kb: float
-    priority_rank: float
-    cost_hint: float | None = None
-    balancer: int = 0
-    idempotency_key: bytes | None = None
-    resource_key: str | None = None
-    admitted_last: bool = False  # let in after the others, for its source takes more than its part
-    body: bytes = b""
+    def spawn(
+        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+    ) -> None:
+        """Start a run.
 
+        ``once``: it must never be started a second time.  ``within``: seconds for which its caller still
+        waits; ``aim``: seconds in which a response earns its full weight.
+        """
 
-ResponseCallback = Callable[
-    [FinalResponse], None
-]  # where one request's final answer goes; called once at most
+    def suspend(self, ident: bytes) -> None:
+        """Stop a run, as far as the settings' preemption allows."""
 
+    def proceed(self, ident: bytes) -> None:
+        """Go on with a paused run."""
 
-class WorkerPool(Protocol):
-    """Who does the work.
+    def supply(self, ident: bytes, reply: bytes) -> None:
+        """Give a run the reply to the call that it waits for."""
 
-    ``once``: the run must never be started a second time.  ``within``: seconds that its caller still waits.
-    ``aim``: seconds in which an answer is worth most.
-    """
+    def skip(self, ident: bytes, notice: int) -> None:
+        """Let a run go on without the call that this notice asked for."""
 
-    def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
-    ) -> None: ...
-    def suspend(self, ident: bytes) -> None: ...
-    def proceed(self, ident: bytes) -> None: ...
-    def supply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip(self, ident: bytes, notice: int) -> None: ...
-    def poll(self) -> None: ...
+    def poll(self) -> None:
+        """Ask for the gauges."""
 
 
 class DependencyCalls(Protocol):
-    """Calls to what lies below.  ``once``: the call must never be made where a first one may have run."""
+    """Makes calls to the dependency."""
 
-    def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None: ...
-    def give_up(self, ident: bytes) -> None: ...
+    def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
+        """Make a call; ``once``: not a second time where the first one may have run."""
+
+    def give_up(self, ident: bytes) -> None:
+        """Give a request's call up."""
 
 
 class Registration(Protocol):
-    """Where the service tells that it takes requests."""
+    """Where the service is listed for clients."""
 
-    def set_accepting(self, on: bool) -> None: ...
+    def set_accepting(self, on: bool) -> None:
+        """Report whether the service takes requests."""
 
 
 class Log(Protocol):
-    def __call__(self, event: str, **fields: object) -> None: ...
+    """Writes one event with its fields."""
+
+    def __call__(self, event: str, **fields: object) -> None:
+        """Write one event."""
 
 
 class Attempt(Protocol):
-    """What is known of one try that arrived."""
+    """What retry-storm control knows of one attempt that arrived."""
 
     @property
-    def fingerprint(self) -> int: ...
+    def fingerprint(self) -> int:
+        """The same for all attempts of one request."""
+
     @property
-    def is_retry(self) -> bool: ...
+    def is_retry(self) -> bool:
+        """Whether the same request was rejected before."""
+
     @property
-    def has_reservation(self) -> bool: ...
+    def has_reservation(self) -> bool:
+        """Whether it comes at the moment that its caller was given."""
+
     @property
-    def is_early(self) -> bool: ...
+    def is_early(self) -> bool:
+        """Whether it comes before that moment."""
 
 
 class RetryAdvice(Protocol):
-    """What a refused caller is told."""
+    """What a rejected caller is told."""
 
     @property
-    def retry_after(self) -> float: ...
+    def retry_after(self) -> float:
+        """Seconds until the moment at which the request may come again; 0 if none was set."""
+
     @property
-    def is_final(self) -> bool: ...
+    def is_final(self) -> bool:
+        """Whether no other server should be tried."""
 
 
 class RetryStormControl(Protocol):
-    """Who tells tries that come again from new work, and says when a refused caller should come back."""
+    """Tells retries from new work, and says when a rejected caller should come again."""
 
     def record_arrival(
         self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
-    ) -> Attempt: ...
-    def record_rejection(self, now: float, mark: int) -> RetryAdvice: ...
-    def record_success(self, now: float, mark: int, again: bool) -> None: ...
-    def record_run(self, now: float, took: float, full: bool, running: int) -> None: ...
-    def in_storm(self, now: float) -> bool: ...
-    def source_of(self, address: str) -> int: ...
-    def admit_connection(self, now: float, source: int) -> ConnectionAdmission: ...
-    def reject_unread(self, now: float, source: int) -> RetryAdvice: ...
-    def record_advice(self, now: float, source: int, after: float) -> None: ...
+    ) -> Attempt:
+        """Recognise an attempt that arrived."""
+
+    def record_rejection(self, now: float, mark: int) -> RetryAdvice:
+        """Record that an attempt was rejected; returns what its caller is told."""
+
+    def record_success(self, now: float, mark: int, again: bool) -> None:
+        """Record that an attempt was served."""
+
+    def record_run(self, now: float, took: float, full: bool, running: int) -> None:
+        """Record the time of a run; ``full``: requests were held meanwhile."""
+
+    def in_storm(self, now: float) -> bool:
+        """Whether a retry storm is under way."""
+
+    def source_of(self, address: str) -> int:
+        """Return the source to which a client's address belongs."""
+
+    def admit_connection(self, now: float, source: int) -> ConnectionAdmission:
+        """Decide what becomes of a connection that brings a request."""
+
+    def reject_unread(self, now: float, source: int) -> RetryAdvice:
+        """Record a connection that was not read; returns what its client is told."""
+
+    def record_advice(self, now: float, source: int, after: float) -> None:
+        """Record that a source was told to come again after so many seconds."""
 
 
 class WorkerPoolEvents(Protocol):
-    """The core's half of ``WorkerPool``: what a pool tells it."""
+    """The core's half of ``WorkerPool``: what a pool reports."""
+
+    def pool_started(self, cold: bool, age: float) -> None:
+        """The pool took the link; it started ``age`` seconds ago."""
+
+    def pool_replaced(self, cold: bool, age: float) -> None:
+        """Another pool is there: nobody knows how the runs of the one before ended."""
 
-    def pool_started(self, cold: bool, age: float) -> None: ...
-    def pool_replaced(self, cold: bool, age: float) -> None: ...
     def run_finished(
         self,
         ident: bytes,
@@ -142,13 +146,31 @@
         result: bytes,
         left_out: tuple[str, ...] = (),
         remembered: tuple[str, ...] = (),
-    ) -> None: ...
-    def run_awaits_call(self, ident: bytes, notice: int, body: bytes) -> None: ...
-    def run_uncertain(self, ident: bytes) -> None: ...
-    def gauges_polled(self, values: tuple[float, ...]) -> None: ...
+    ) -> None:
+        """A run is over; ``left_out`` and ``remembered``: dependencies skipped and taken from the cache."""
+
+    def run_awaits_call(self, ident: bytes, notice: int, body: bytes) -> None:
+        """A run waits for a call with this body."""
+
+    def run_uncertain(self, ident: bytes) -> None:
+        """A link broke over a start that must not be repeated: the run may or may not have begun."""
+
+    def gauges_polled(self, values: tuple[float, ...]) -> None:
+        """The gauges, in the order of the settings."""
 
 
 class DependencyCallEvents(Protocol):
     """The core's half of ``DependencyCalls``."""
 
-    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None: ...
+    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
+        """A call is over."""
+
+
+@dataclass(slots=True)
+class Ports:
+    """The ports in use; ``workers`` is set before the first request, those that are None are off."""
+
+    workers: WorkerPool = field(init=False)
+    dependency_calls: DependencyCalls | None = None
+    registration: Registration | None = None
+    storm_control: RetryStormControl | None = None
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -1,15 +1,18 @@
-"""One request from its reading to the end of its run."""
+"""The core's record of one request, from its reading to the end of its run."""
 
 from __future__ import annotations
 
 import enum
 
 from saltcart.core.idempotency_keys import Key, KeyRecord
-from saltcart.core.ports import Attempt, InboundRequest, ResponseCallback
+from saltcart.core.messages import InboundRequest, ResponseCallback
+from saltcart.core.ports import Attempt
 from saltcart.decision.settings import ClassSpec
 
 
 class RequestPhase(enum.Enum):
+    """Where a request stands; the values are shown by the administration API."""
+
     HELD = "held"
     JOINED = "waits for another try's result"
     RUNNING = "running"
@@ -18,11 +21,11 @@
     CALLING = "at a call"
 
 
-OFF_POOL = (RequestPhase.HELD, RequestPhase.JOINED)
+NOT_IN_POOL = (RequestPhase.HELD, RequestPhase.JOINED)
 
 
 class PendingRequest:
-    """One request from its reading to the end of its run."""
+    """One request that is owed its response, or has a run that is not over.  Times are seconds."""
 
     __slots__ = (
         "arrived_at",
@@ -45,18 +48,26 @@
     def __init__(
         self,
         number: int,
-        ask: InboundRequest,
+        inbound: InboundRequest,
         spec: ClassSpec,
         now: float,
-        due: float,
-        reply: ResponseCallback,
+        due_at: float,
+        respond: ResponseCallback,
     ) -> None:
-        self.number, self.inbound, self.spec, self.due_at = number, ask, spec, due
-        # By this its key is looked up: no sender whose clock is ahead puts a try past a window.
-        self.arrived_at = min(now, ask.received_at)
-        self.respond: ResponseCallback | None = reply  # None once the answer is given or the caller gone
-        self.phase, self.stop_requested = RequestPhase.HELD, False
+        """``number`` names the request to the decision module, ``inbound.request_id`` to the outside."""
+        self.number = number
+        self.inbound = inbound
+        self.spec = spec
+        self.due_at = due_at
+        # By this its key is looked up: no sender whose clock is ahead puts an attempt past a window.
+        self.arrived_at = min(now, inbound.received_at)
+        self.respond: ResponseCallback | None = respond  # None once answered, or once the caller is gone
+        self.phase = RequestPhase.HELD
+        self.stop_requested = False
         self.key: Key | None = None
-        self.key_record: KeyRecord | None = None  # of its key, where this try holds it
-        self.attempt: Attempt | None = None  # where storms are watched for
-        self.call_notice, self.call_body, self.call_started_at, self.call_number = 0, b"", 0.0, 0
+        self.key_record: KeyRecord | None = None  # of its key, where this attempt holds it
+        self.attempt: Attempt | None = None  # where retry storms are watched for
+        self.call_notice = 0
+        self.call_body = b""
+        self.call_started_at = 0.0
+        self.call_number = 0  # tells the timer of an earlier call from that of the present one
--- /dev/null
+++ b/saltcart/core/request_intake.py
@@ -0,0 +1,157 @@
+"""Takes requests from the fronts: what breaks the protocol, what is not taken, and what is decided on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from saltcart.core.clock import CoreClock
+from saltcart.core.draining import DrainState
+from saltcart.core.idempotency_keys import Key, KeyRecord, digest
+from saltcart.core.messages import (
+    FinalResponse,
+    InboundRequest,
+    InvalidRequestError,
+    ResponseCallback,
+    ResponseStatus,
+)
+from saltcart.core.request import PendingRequest
+from saltcart.core.request_lifecycle import RequestLifecycle
+from saltcart.core.retry_watch import RetryWatch
+from saltcart.core.timers import Timers
+from saltcart.decision.events import RequestArrived
+from saltcart.decision.settings import ClassSpec, Effect, Settings, TenantSpec
+
+UNSERVED_BACK_OFF = 0.25  # seconds, where the core itself rejects: no pool yet, or no room for a key
+MIN_TIME_TO_DEADLINE = 1e-3
+
+
+class RequestIntake:
+    """Checks requests and passes them to the decision module."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: CoreClock,
+        timers: Timers,
+        drain: DrainState,
+        lifecycle: RequestLifecycle,
+        on_overdue: Callable[[int], None],
+    ) -> None:
+        """``on_overdue`` takes the number of a request that the decision module did not answer in time."""
+        self.answer_slack = settings.answer_slack
+        self.classes = settings.classes
+        self.class_indexes = {spec.name: index for index, spec in enumerate(settings.classes)}
+        self.tenant_indexes: dict[str, int] = {}
+        self.set_tenants(settings.tenants)
+        self.requires_tenant = False  # tenants are the administration's: without one there is no service
+        self.clock = clock
+        self.timers = timers
+        self.drain = drain
+        self.lifecycle = lifecycle
+        self.on_overdue = on_overdue
+        self.retry_watch = RetryWatch(clock, lifecycle, len(settings.classes))
+
+    def set_tenants(self, tenants: tuple[TenantSpec, ...]) -> None:
+        """Take requests of these tenants from now on."""
+        self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(tenants)}
+
+    def is_tenant(self, account: str) -> bool:
+        """Whether an account is a known tenant's."""
+        return account in self.tenant_indexes
+
+    def take(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
+        """Take a request and return its number; ``InvalidRequestError`` where it breaks the protocol."""
+        now = self.clock.read()
+        class_index = self._check(inbound)
+        spec = self.classes[class_index]
+        key = self._key(inbound, spec)
+        due_at = max(self._due_at(inbound, spec), now)
+        number = next(self.lifecycle.numbers)
+        request = PendingRequest(number, inbound, spec, now, due_at, respond)
+        record = None if key is None else self.lifecycle.keys.find(key, request.arrived_at)
+        if record is not None:
+            self._check_attempt(inbound, record)
+        is_new_key = key is not None and record is None
+        is_uncertain = is_new_key and self.lifecycle.attempts.is_uncertain(request.arrived_at)
+        if self._takes_nothing(now) or is_uncertain or (is_new_key and self.lifecycle.keys.is_full()):
+            self.lifecycle.respond(request, not_taken(record, is_uncertain=is_uncertain))
+            return number
+        request.key = key
+        self.lifecycle.add(request)
+        # The decision module answers in time by itself.  Should it not, the caller still gets its response.
+        self.timers.call_at(request.due_at + self.answer_slack / 2, self.on_overdue, number)
+        self._decide(request, class_index, record)
+        return number
+
+    def _check(self, inbound: InboundRequest) -> int:
+        class_index = self.class_indexes.get(inbound.class_name)
+        if class_index is None:
+            raise InvalidRequestError("no such class")
+        has_tenants = bool(self.tenant_indexes) or self.requires_tenant
+        if has_tenants and inbound.account not in self.tenant_indexes:
+            raise InvalidRequestError("no such account")
+        if inbound.request_id in self.lifecycle.requests_by_id:
+            raise InvalidRequestError("this id is in use")
+        return class_index
+
+    @staticmethod
+    def _key(inbound: InboundRequest, spec: ClassSpec) -> Key | None:
+        if spec.effect is not Effect.IDEMPOTENT_BY_KEY:
+            return None
+        if not inbound.idempotency_key:
+            raise InvalidRequestError("this class needs a key")
+        return inbound.account, inbound.class_name, inbound.idempotency_key
+
+    @staticmethod
+    def _due_at(inbound: InboundRequest, spec: ClassSpec) -> float:
+        # No caller waits longer than its class's deadline: nothing is held or timed for longer than that.
+        budget = inbound.budget_seconds
+        return inbound.received_at + min(spec.deadline, spec.deadline if budget is None else budget)
+
+    def _check_attempt(self, inbound: InboundRequest, record: KeyRecord) -> None:
+        # Whoever guesses or repeats a key must not be served what another's request has led to.
+        if record.body_digest != digest(inbound.body):
+            raise InvalidRequestError("this key came with another body")
+        if inbound.request_id in record.attempt_ids:
+            raise InvalidRequestError("this id was used before")
+        self.lifecycle.keys.add_attempt(record, inbound.request_id)
+
+    def _takes_nothing(self, now: float) -> bool:
+        # Once all is answered before the stop nothing more is taken: nobody would answer it.
+        has_handed_over = self.lifecycle.attempts.successor is not None
+        return self.lifecycle.loop.controller is None or has_handed_over or now >= self.drain.answer_by
+
+    def _decide(self, request: PendingRequest, class_index: int, record: KeyRecord | None) -> None:
+        inbound, now = request.inbound, self.clock.now
+        time_to_deadline = None
+        if inbound.budget_seconds is not None:
+            due_at = self._due_at(inbound, request.spec)
+            time_to_deadline = max(MIN_TIME_TO_DEADLINE, due_at - now)
+        rank, control = inbound.priority_rank, self.lifecycle.ports.storm_control
+        if control is not None:
+            rank = self.retry_watch.rank(control, request, is_new_key=record is None)
+        event = RequestArrived(
+            id=request.number,
+            class_index=class_index,
+            size_kb=inbound.size_kb,
+            priority_rank=rank,
+            unread_seconds=max(0.0, now - inbound.received_at),
+            time_to_deadline=time_to_deadline,
+            tenant_index=self.tenant_indexes.get(inbound.account),
+            cost_hint=inbound.cost_hint,
+            resource_key=inbound.resource_key,
+            is_write=request.spec.effect is not Effect.SAFE,
+            balancer=inbound.balancer,
+            repeat_of=None if record is None else record.holder_number,
+            has_reservation=request.attempt is not None and request.attempt.has_reservation,
+        )
+        self.lifecycle.loop.feed(event)
+
+
+def not_taken(record: KeyRecord | None, *, is_uncertain: bool) -> FinalResponse:
+    """Return the response to what is not taken: what has run, or may have, is never rejected."""
+    if record is not None and record.result is not None:
+        return FinalResponse(ResponseStatus.SERVED, record.result)
+    if is_uncertain or (record is not None and record.has_run):
+        return FinalResponse(ResponseStatus.FAILED)
+    return FinalResponse(ResponseStatus.REJECTED, back_off_seconds=UNSERVED_BACK_OFF)
--- /dev/null
+++ b/saltcart/core/retry_watch.py
@@ -0,0 +1,59 @@
+"""Retry storms in the core: retries are told from new work, ranked by it, and superseded attempts ended."""
+
+from __future__ import annotations
+
+from saltcart.core.clock import CoreClock
+from saltcart.core.messages import FinalResponse, ResponseStatus
+from saltcart.core.ports import RetryStormControl
+from saltcart.core.request import PendingRequest, RequestPhase
+from saltcart.core.request_lifecycle import RequestLifecycle
+from saltcart.decision.events import RequestAbandoned
+from saltcart.decision.settings import Effect
+
+TOP_OF_CLASS = 0.999  # of a class's part of the priority ranks
+
+
+class RetryWatch:
+    """Recognises attempts by their fingerprints."""
+
+    def __init__(self, clock: CoreClock, lifecycle: RequestLifecycle, class_count: int) -> None:
+        self.clock = clock
+        self.lifecycle = lifecycle
+        self.class_count = class_count
+
+    def rank(self, control: RetryStormControl, request: PendingRequest, is_new_key: bool) -> float:
+        """Recognise an attempt that arrived; returns the priority rank at which it is decided on."""
+        inbound = request.inbound
+        attempt = request.attempt = control.record_arrival(
+            self.clock.now,
+            inbound.account,
+            inbound.class_name,
+            inbound.idempotency_key,
+            inbound.resource_key,
+            inbound.body,
+        )
+        if request.spec.effect is Effect.SAFE:
+            self._supersede_older(control, attempt.fingerprint)
+            self.lifecycle.held_fingerprints[attempt.fingerprint] = request.number
+        goes_last = attempt.is_early or inbound.admitted_last
+        if not (attempt.has_reservation or goes_last) or not is_new_key:
+            return inbound.priority_rank
+        # At the top of its own class if it came at its moment; at the bottom if before it, or in a crowd.
+        own_class = min(self.class_count - 1, int(inbound.priority_rank * self.class_count))
+        return (own_class + (TOP_OF_CLASS if attempt.has_reservation else 0.0)) / self.class_count
+
+    def _supersede_older(self, control: RetryStormControl, fingerprint: int) -> None:
+        """In a storm, end a held attempt whose work comes anew: its caller has gone."""
+        lifecycle = self.lifecycle
+        older = lifecycle.requests.get(lifecycle.held_fingerprints.get(fingerprint, 0))
+        if older is None or older.phase is not RequestPhase.HELD or not control.in_storm(self.clock.now):
+            return
+        if older.respond is None or older.attempt is None:
+            return
+        advice = control.record_rejection(self.clock.now, older.attempt.fingerprint)
+        response = FinalResponse(
+            ResponseStatus.REJECTED, retry_after_seconds=advice.retry_after, is_final=advice.is_final
+        )
+        lifecycle.respond(older, response)
+        lifecycle.loop.feed(RequestAbandoned(older.number))
+        lifecycle.settle(older)
--- /dev/null
+++ b/saltcart/core/run_tracker.py
@@ -0,0 +1,139 @@
+"""Follows runs and their calls by what the worker pool and the dependency report."""
+
+from __future__ import annotations
+
+from saltcart.core.clock import CoreClock
+from saltcart.core.messages import FinalResponse, ResponseStatus
+from saltcart.core.ports import Log, Ports
+from saltcart.core.request import NOT_IN_POOL, PendingRequest, RequestPhase
+from saltcart.core.request_lifecycle import RequestLifecycle
+from saltcart.decision.events import CallFinished, CallRequested, RunFinished, WorkersRestarted
+from saltcart.decision.outcome import Outcome
+from saltcart.decision.settings import Preemption
+
+WRITE_OFF_SECONDS = 15.0  # past its due time, until which the end of an answered request's run is awaited
+
+
+class RunTracker:
+    """Turns reports into events for the decision module, and results into final responses."""
+
+    def __init__(
+        self, clock: CoreClock, ports: Ports, lifecycle: RequestLifecycle, preemption: Preemption, log: Log
+    ) -> None:
+        self.clock = clock
+        self.ports = ports
+        self.lifecycle = lifecycle
+        self.loop = lifecycle.loop
+        self.preemption = preemption
+        self.log = log
+
+    def _in_pool(self, request_id: bytes) -> PendingRequest | None:
+        request = self.lifecycle.requests_by_id.get(request_id)
+        return None if request is None or request.phase in NOT_IN_POOL else request
+
+    def run_finished(
+        self,
+        request_id: bytes,
+        outcome: Outcome,
+        seconds: float,
+        result: bytes,
+        skipped_dependencies: tuple[str, ...] = (),
+        cached_dependencies: tuple[str, ...] = (),
+    ) -> None:
+        """A run is over."""
+        request = self._in_pool(request_id)
+        if request is None:
+            return
+        self.clock.read()
+        if request.phase is RequestPhase.CALLING:
+            self.lifecycle.give_up_call(request)
+        if outcome is Outcome.SUCCEEDED:
+            response = FinalResponse(
+                ResponseStatus.SERVED,
+                result,
+                skipped_dependencies=skipped_dependencies,
+                cached_dependencies=cached_dependencies,
+            )
+            self.lifecycle.respond(request, response)
+        elif outcome is Outcome.FAILED:
+            self.lifecycle.respond(request, FinalResponse(ResponseStatus.FAILED))
+        event = RunFinished(request.number, outcome, seconds)
+        if self._is_paused(request):
+            request.phase = RequestPhase.PAUSED  # still owed a response, and may be taken up again
+            self.loop.feed(event)
+            return
+        self.lifecycle.attempts.run_finished(request, outcome, result)
+        if outcome is Outcome.SUCCEEDED:
+            self._record_success(request, seconds)
+        request.phase = RequestPhase.HELD  # nothing of it is left in the pool
+        self.loop.feed(event)
+        self.lifecycle.fail(request)  # the decision module has answered by now; never leave one open
+
+    def _is_paused(self, request: PendingRequest) -> bool:
+        can_pause = self.preemption is Preemption.PAUSE
+        return can_pause and request.stop_requested and request.respond is not None
+
+    def _record_success(self, request: PendingRequest, seconds: float) -> None:
+        control, now = self.ports.storm_control, self.clock.now
+        if control is None:
+            return
+        is_full = self.loop.held_count() > 0
+        control.record_run(now, seconds, is_full, self.loop.load().running)
+        if request.attempt is not None:
+            control.record_success(now, request.attempt.fingerprint, request.attempt.is_retry)
+
+    def run_awaits_call(self, request_id: bytes, notice: int, body: bytes) -> None:
+        """A run waits for a call with this body; ``notice`` names its wait to the pool."""
+        request = self._in_pool(request_id)
+        if request is None:
+            return
+        self.clock.read()
+        request.phase = RequestPhase.BLOCKED
+        request.call_notice = notice
+        request.call_body = body
+        self.loop.feed(CallRequested(request.number))
+
+    def run_uncertain(self, request_id: bytes) -> None:
+        """A link broke over a start that must not be repeated: the run may or may not have begun."""
+        self._suspend(request_id)
+        self.run_finished(request_id, Outcome.FAILED, 0.0, b"")
+
+    def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
+        """A call is over."""
+        request = self.lifecycle.requests_by_id.get(request_id)
+        if request is None or request.phase is not RequestPhase.CALLING:
+            return
+        now = self.clock.read()
+        request.call_number += 1
+        if outcome is Outcome.SUCCEEDED:
+            request.phase = RequestPhase.RUNNING
+            request.call_body = b""
+            self.ports.workers.supply(request_id, reply)
+        else:
+            request.phase = RequestPhase.BLOCKED
+        self.loop.feed(CallFinished(request.number, outcome, now - request.call_started_at))
+
+    def pool_replaced(self, starts_cold: bool, age: float) -> None:
+        """Another pool has taken the place of the one before: how the runs there ended, nobody knows."""
+        self.clock.read()
+        self.loop.feed(WorkersRestarted(starts_cold, max(0.0, age)))
+        for request in list(self.lifecycle.requests.values()):
+            if request.phase not in NOT_IN_POOL:
+                self.run_finished(request.inbound.request_id, Outcome.FAILED, 0.0, b"")
+
+    def write_off(self) -> None:
+        """Give up the answered requests whose runs should have ended long ago.
+
+        What is kept by id must not grow with what a peer leaves unsaid.
+        """
+        latest_due = self.clock.now - WRITE_OFF_SECONDS
+        for request in list(self.lifecycle.requests.values()):
+            if request.respond is not None or request.due_at >= latest_due:
+                continue
+            request_id = request.inbound.request_id
+            self.log("written-off", id=request_id.decode(), state=request.phase.value)
+            self._suspend(request_id)
+            self.run_finished(request_id, Outcome.CANCELLED, 0.0, b"")
+
+    def _suspend(self, request_id: bytes) -> None:
+        self.ports.workers.suspend(request_id)
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from math import ceil
 
-from saltcart.core.ports import FinalResponse, ResponseStatus
-from saltcart.core.service import InvalidRequestError, Service
+from saltcart.core.messages import FinalResponse, InvalidRequestError, ResponseStatus
+from saltcart.core.service import Service
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.front.fields import read_ask
 from saltcart.net.listener import Listener, ServerConnection
@@ -56,19 +56,19 @@
 
     def opened(self) -> None:
         super().opened()
-        if self.service.storm_control is not None and self.transport is not None:
+        if self.service.ports.storm_control is not None and self.transport is not None:
             peer = self.transport.get_extra_info("peername")
-            self.source = self.service.storm_control.source_of(peer[0] if peer else "")
+            self.source = self.service.ports.storm_control.source_of(peer[0] if peer else "")
 
     def enters(self) -> bool:
         """Whether the request whose first bytes are here may be read.  If not, it is turned back unread."""
-        storms = self.service.storm_control
+        storms = self.service.ports.storm_control
         if storms is None or self.entered or not len(self.buffer):
             return True
         check = self.check_call()
         if check is None:
             return False
-        now = self.service.clock()
+        now = self.service.clock.read_seconds()
         entry = ConnectionAdmission.READ if check else storms.admit_connection(now, self.source)
         if entry is ConnectionAdmission.REFUSE:
             back = storms.reject_unread(now, self.source)
@@ -208,9 +208,9 @@
 
     def reply(self, answer: FinalResponse) -> None:
         self.open, self.number = False, 0
-        if answer.retry_after_seconds > 0 and self.service.storm_control is not None:
-            self.service.storm_control.record_advice(
-                self.service.clock(), self.source, answer.retry_after_seconds
+        if answer.retry_after_seconds > 0 and self.service.ports.storm_control is not None:
+            self.service.ports.storm_control.record_advice(
+                self.service.clock.read_seconds(), self.source, answer.retry_after_seconds
             )
         if self.service.idle_timeout < CLOSE_ON_ANSWER:
             self.keep_alive = False
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -42,12 +42,12 @@
 
     def figures(self) -> str:
         """Every figure of every class, those at nought too, and the end of them."""
-        counts, lines = self.service.counts_by_class(), list[str]()
-        for klass in self.service.class_indexes:
+        counts, lines = self.service.counters.by_class(), list[str]()
+        for klass in self.service.intake.class_indexes:
             lines += [statsd(f"{name}.{klass}", counts[klass, what], "c") for name, what in FIGURES]
-            lines.append(statsd(f"relayed.{klass}", self.service.runs_started[klass], "c"))
+            lines.append(statsd(f"relayed.{klass}", self.service.counters.runs_started[klass], "c"))
             if klass in self.service.composed_classes:
                 lines.append(statsd(f"partial.{klass}", counts[klass, "partial"], "c"))
-        lines.append(statsd("open_requests", self.service.open_request_count(), "g"))
+        lines.append(statsd("open_requests", self.service.lifecycle.open_request_count(), "g"))
         lines += [statsd(name, value, "g") for more in self.service.figure_sources for name, value in more()]
         return "".join(lines) + "END\n"
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -6,8 +6,8 @@
 import re
 from collections.abc import Mapping
 
-from saltcart.core.ports import InboundRequest
-from saltcart.core.service import InvalidRequestError, Service
+from saltcart.core.messages import InboundRequest, InvalidRequestError
+from saltcart.core.service import Service
 
 MAX_BODY = 2048
 # What no request can say, unless the settings' longest deadline allows more: milliseconds that a caller waits
@@ -73,8 +73,8 @@
     longest = max(LONGEST, 2000 * service.longest_deadline)
     budget = number(headers, b"budget-ms", math.nan, 0, longest)
     cost = number(headers, b"work-estimate", math.nan, 0, longest)
-    ahead = service.clock_ahead()
-    now = service.clock() - ahead  # on the Unix clock, by which the field is written
+    ahead = service.clock.seconds_ahead()
+    now = service.clock.read_seconds() - ahead  # on the Unix clock, by which the field is written
     oldest = max(OLDEST, 2 * service.longest_deadline)
     received = (
         ahead + number(headers, b"received-at", None, (now - oldest) * 1000, (now + NEWEST) * 1000) / 1000
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -27,8 +27,9 @@
 from saltcart.budget.judge import Judge, Limits
 from saltcart.budget.plan import Plans, check_classes, read_plans
 from saltcart.budget.run import Ended, GiveUp, Mark, Order, Orders, Part, Run, Send
-from saltcart.core.ports import FinalResponse, InboundRequest
-from saltcart.core.service import STOP_MARGIN, Service
+from saltcart.core.draining import STOP_MARGIN
+from saltcart.core.messages import FinalResponse, InboundRequest
+from saltcart.core.service import Service
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect, Settings
 from saltcart.field_reader import FieldReader
@@ -185,7 +186,7 @@
     def spawn(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
-        now, (aim, within) = self.events.now, self.service.usable_time(aim, within)
+        now, (aim, within) = self.events.now, self.service.loop.usable_time(aim, within)
         self.do(self.desk.start, now, ident, klass, account, body, now + aim, now + within)
 
     def suspend(self, ident: bytes) -> None:
@@ -198,7 +199,7 @@
     def poll(self) -> None:
         self.service.gauges_polled((0.0, 0.0))  # runs that wait leave the cores alone
         if self.presses:
-            self.do(self.desk.press, self.events.now, self.service.held_count())
+            self.do(self.desk.press, self.events.now, self.service.loop.held_count())
 
 
 class Play:
@@ -234,7 +235,7 @@
         self.desk = Desk(plans, seed, self.settings.classes)
         self.desk.judge = judge_for(policy, self.desk.judge, self.places)
         self.runs = ModelRuns(events, self.service, self.desk, self.places, self.tally)
-        self.service.workers, self.runs.presses = self.runs, policy == "budgets"
+        self.service.ports.workers, self.runs.presses = self.runs, policy == "budgets"
         self.worths = {p.klass: {c.dependency: c.worth for c in p.calls()} for p in plans.plan}
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.answered = Counter[int]()
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -21,7 +21,7 @@
 
 import numpy as np
 
-from saltcart.core.ports import FinalResponse, InboundRequest, ResponseStatus
+from saltcart.core.messages import FinalResponse, InboundRequest, ResponseStatus
 from saltcart.core.request import PendingRequest as CoreRequest
 from saltcart.core.service import Service
 from saltcart.decision.actions import Reject
@@ -147,9 +147,9 @@
             lambda event, **_: None,
             key_room=1 << 30,
         )
-        service.workers = Runs(self, service)
-        decide = service.actions[Reject]
-        service.actions[Reject] = lambda action: self._turned_away(service, action, decide)
+        service.ports.workers = Runs(self, service)
+        decide = service.executor.handlers[Reject]
+        service.executor.handlers[Reject] = lambda action: self._turned_away(service, action, decide)
         service.pool_started(cold, 0.0 if cold else 100.0)
         self.strength = Strength(service.settings, events.now)
         self.damper: Damper | None = None
@@ -162,7 +162,7 @@
                 events.now,
                 events.now - (0.0 if cold else 100.0),
             )
-            service.storm_control = self.damper
+            service.ports.storm_control = self.damper
         host(events, service)
 
     def _turned_away(self, service: Service, action: Reject, decide: Callable[..., None]) -> None:
--- a/saltcart/net/clock.py
+++ b/saltcart/net/clock.py
@@ -50,7 +50,7 @@
             self.handle = None
         due = self.service.next_due()
         if due is not None:
-            self.handle = self.loop.call_later(max(0.0, due - self.service.clock()), self._tick)
+            self.handle = self.loop.call_later(max(0.0, due - self.service.clock.read_seconds()), self._tick)
 
     def _tick(self) -> None:
         self.handle = None
--- a/saltcart/succession.py
+++ b/saltcart/succession.py
@@ -93,7 +93,7 @@
         match packet.say:
             case "entry" | "gone":
                 self.service.adopt_key(
-                    wire.to_entry(packet, self.service.clock_ahead()), packet.say == "gone"
+                    wire.to_entry(packet, self.service.clock.seconds_ahead()), packet.say == "gone"
                 )
             case "beside":
                 load, connections = wire.to_load(packet)
@@ -101,7 +101,7 @@
                 self._count_beside(connections)
             case "yours":
                 self.told = True
-                self.service.idempotent_attempts.uncertain_until = 0.0  # told late is told
+                self.service.lifecycle.attempts.uncertain_until = 0.0  # told late is told
                 self.given.set()
             case "connection" if fd is not None:
                 self._count_beside(max(0, self.beside - 1))
@@ -165,7 +165,7 @@
         self.doorway.close()
         if self.announcer is not None:
             self.announcer.close()  # the entry is the new process's
-        for entry in self.service.idempotent_attempts.hand_over(self._tell):
+        for entry in self.service.lifecycle.attempts.hand_over(self._tell):
             self._tell(entry, False)
         self._tell_load()
         link.send(wire.Packet("yours", {}))
@@ -177,7 +177,7 @@
 
     def _tell(self, entry: KeyRecord, gone: bool) -> None:
         if self.after is not None:
-            self.after.send(wire.of_entry(entry, gone, self.service.clock_ahead()))
+            self.after.send(wire.of_entry(entry, gone, self.service.clock.seconds_ahead()))
 
     def _tell_load(self) -> None:
         """Both share the cores and the memory until this one has finished."""
@@ -227,7 +227,7 @@
         self.after = None
         if self.looking is not None:
             self.looking.cancel()
-        self.service.idempotent_attempts.take_back()
+        self.service.lifecycle.attempts.take_back()
         for listener in self.fronts.values():
             listener.heir = None
             for connection in list(listener.connections):
@@ -235,7 +235,7 @@
                     connection.again()
         self.log("took-back", told=self.told_at is not None)
         if self.told_at is not None:
-            ago = self.service.clock() - self.told_at
+            ago = self.service.clock.read_seconds() - self.told_at
             self.told_at = None
             self.service.start_drain(max(0.0, self.within - ago), ago)
         task = asyncio.get_running_loop().create_task(self._reopen())
@@ -262,7 +262,7 @@
         if self.after is None:
             return False
         if self.told_at is None:
-            self.told_at, self.within = self.service.clock(), within
+            self.told_at, self.within = self.service.clock.read_seconds(), within
             stay = min(within, min(LONGEST_STAY, self.service.longest_deadline) + STAY_ON)
             self.service.retire_after(stay)
             self._end_when_done(done, asyncio.get_running_loop().time() + stay - LOOK)
@@ -274,7 +274,7 @@
         loop = asyncio.get_running_loop()
         carrying = any(listener.connections for listener in self.fronts.values())
         busy = carrying or self.service.requests or (self.after is not None and self.after.waiting)
-        early = self.service.clock() < self.told_at + LEAST_STAY
+        early = self.service.clock.read_seconds() < self.told_at + LEAST_STAY
         if (busy or early) and loop.time() < until:
             loop.call_later(LOOK, self._end_when_done, done, until)
         else:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from saltcart.core.ports import FinalResponse, InboundRequest
+from saltcart.core.messages import FinalResponse, InboundRequest
 from saltcart.core.service import Service
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import (
@@ -53,7 +53,11 @@
             lambda event, **_: self.logged.append(event),
             **more,
         )
-        self.service.workers, self.service.dependency_calls, self.service.registration = self, self, self
+        self.service.ports.workers, self.service.ports.dependency_calls, self.service.ports.registration = (
+            self,
+            self,
+            self,
+        )
         if up:
             self.service.pool_started(False, 100.0)
 
--- a/tests/test_composed.py
+++ b/tests/test_composed.py
@@ -38,7 +38,7 @@
 
     def state(self, name: str) -> dict[str, Any]:
         assert self.app.composer is not None
-        return dict(self.app.composer.desk.state(self.app.service.clock())[name])
+        return dict(self.app.composer.desk.state(self.app.service.clock.read_seconds())[name])
 
 
 def tables(tariff: str, archive: str, ledger: str, spare: str, **more: Any) -> dict[str, Any]:
@@ -153,7 +153,7 @@
         async with site() as s:
             assert s.app.composer is not None
             kept = s.app.composer.desk.last_good
-            kept.put(s.app.service.clock(), "acme", b"k", b"told")
+            kept.put(s.app.service.clock.read_seconds(), "acme", b"k", b"told")
             status, _ = await admin(s.app, "DELETE", "/v1/tenants/acme")
             assert status == 204 and kept.count == 0
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -72,7 +72,7 @@
             await until(lambda: len(pool.spawned) == 2)
             pool.finish(pool.spawned[1], b"FAIL")
             assert (await client.answer()).status == 500
-            app.service._answer_all()
+            app.service.lifecycle.fail_all()
             lines = await call(at, b"vars\n")
             assert lines[-1] == "END" and set(lines[:-1]) == {
                 "balancer.fulfilled.read:1|c",
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 import pytest
 
 from saltcart.core.idempotency_keys import KeyTable
-from saltcart.core.service import InvalidRequestError
+from saltcart.core.messages import InvalidRequestError
 from saltcart.core.timers import Timers
 from saltcart.decision.actions import Action
 from saltcart.decision.events import Event, RequestArrived, TimerFired
@@ -91,14 +91,14 @@
 def test_the_key_of_a_run_is_never_given_up() -> None:
     w = World()
     r = w.service.requests[w.arrive(1)]
-    w.service.idempotent_attempts.release(r)
+    w.service.lifecycle.attempts.release(r)
     w.arrive(2)
     w.end(1)
     assert w.spawned() == [b"%016x" % 1] and w.verdicts(2) == ["served"]
 
 
 def test_the_key_table_forgets_and_keeps_what_has_run() -> None:
-    table = KeyTable(99_999, grace=2.0)
+    table = KeyTable(99_999, read_grace=2.0)
     table.reserve(("a", "c", b"x"), 1, 10.0, b"").has_run = True
     table.remove(table.reserve(("a", "c", b"y"), 2, 10.0, b""))
     table.expire(11.9, lambda _: False)
@@ -259,7 +259,7 @@
     w = World()
     w.service.gauges_polled((0.25, 7.0, 3.0, 9.0))  # a gauge of an unknown name is no argument of the event
     w.until(w.now + 0.2)
-    assert w.service.gauge_values == {"cpu_busy": 0.25, "runnable": 3.0}
+    assert w.service.loop.gauges == {"cpu_busy": 0.25, "runnable": 3.0}
 
 
 @pytest.mark.parametrize(("again", "named"), [({"body": b"another"}, "body"), ({"number": 1}, "id")])
@@ -287,9 +287,9 @@
     w = World()
     w.service.gauges_polled((0.25, 7.0, 3.0, 9.0))
     w.until(w.now + 0.9)
-    assert w.service.gauge_values
+    assert w.service.loop.gauges
     w.until(w.now + 0.3)  # the link is away: nothing was polled since
-    assert not w.service.gauge_values
+    assert not w.service.loop.gauges
 
 
 def test_a_budget_beyond_the_deadline_is_not_held_longer() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -124,7 +124,7 @@
 
 def test_a_fault_in_one_action_costs_no_other() -> None:
     w = World()
-    w.service.workers.spawn = failing(w.spawn)  # type: ignore[method-assign]
+    w.service.ports.workers.spawn = failing(w.spawn)  # type: ignore[method-assign]
     w.arrive(1, "read")
     assert "action-fault" in w.logged and w.spawned() == []
     w.arrive(2, "read")
@@ -402,7 +402,7 @@
                     client = await HttpClient("{}:{}".format(*held.getsockname())).open()
                     assert (await client.ask(1)).status == 200
                     if how == "tells late":
-                        await until(lambda: not app.service.idempotent_attempts.uncertain_until)
+                        await until(lambda: not app.service.lifecycle.attempts.uncertain_until)
                     status = (await client.ask(2, "oddaja", key="k")).status
                     assert status == (200 if how == "tells late" else 500)
                     assert (ident(2) in pool.spawned) is (how == "tells late")
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -11,7 +11,7 @@
 
 from saltcart.app import App
 from saltcart.config import read_config
-from saltcart.core.ports import InboundRequest, ResponseCallback
+from saltcart.core.messages import InboundRequest, ResponseCallback
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment
 from saltcart.net.clock import Clock
@@ -32,12 +32,12 @@
     ) -> None:
         outcome = Outcome.FAILED if int(ident, 16) % 11 == 0 else Outcome.SUCCEEDED
         self.service.timers.call_at(
-            self.service.now + TAKES, self.service.run_finished, ident, outcome, TAKES, body
+            self.service.clock.now + TAKES, self.service.run_finished, ident, outcome, TAKES, body
         )
 
     def suspend(self, ident: bytes) -> None:
         self.service.timers.call_at(
-            self.service.now, self.service.run_finished, ident, Outcome.CANCELLED, 0.0, b""
+            self.service.clock.now, self.service.run_finished, ident, Outcome.CANCELLED, 0.0, b""
         )
 
     def proceed(self, ident: bytes) -> None: ...
@@ -62,9 +62,9 @@
     taken = list[bytes]()
     arrive = app.service.arrive
 
-    def counted(ask: InboundRequest, reply: ResponseCallback) -> int:
-        taken.append(ask.request_id)
-        return arrive(ask, reply)
+    def counted(inbound: InboundRequest, respond: ResponseCallback) -> int:
+        taken.append(inbound.request_id)
+        return arrive(inbound, respond)
 
     app.service.arrive = counted  # type: ignore[method-assign]
     asked = list[tuple[str, str, asyncio.Task[int]]]()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -28,7 +28,7 @@
 
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
-            clock, heard = app.service.clock, asyncio.Event()
+            clock, heard = app.service.clock.read_seconds, asyncio.Event()
 
             def leave(ago: float) -> None:
                 app.leave(heard.set, ago)
@@ -41,7 +41,7 @@
                 while clock() < came[-1] + 0.5:  # the turn goes on
                     pass
             await heard.wait()
-            drain_at, stop_at = app.service.drain_at, app.service.stop_at
+            drain_at, stop_at = app.service.drain.drain_at, app.service.drain.stop_at
             assert drain_at is not None and drain_at < came[1]
             assert stop_at - drain_at == pytest.approx(app.conf.stop_after, abs=0.1)
 
@@ -111,7 +111,7 @@
             client = await CLIENTS[front](app.addresses[front]).open()
             client.send(1)
             await until(lambda: pool.spawned == [ident(1)])
-            app.service.idle_timeout = 0.01  # the module closes idle connections at once
+            app.service.executor.idle_timeout = 0.01  # the module closes idle connections at once
             at_once(client)(b"POST /call/read HTTP/1.1\r\nHost")
             app.service.run_finished(ident(1), Outcome.SUCCEEDED, 0.1, b"done")
             assert (await client.answer()).body == b"done"
@@ -213,7 +213,7 @@
     if end is not None:
         w.end(1, end)
     if closed == "handed over":
-        w.service.idempotent_attempts.hand_over(lambda entry, gone: None)
+        w.service.lifecycle.attempts.hand_over(lambda entry, gone: None)
     else:
         w.service.start_drain(2.0)
         w.until(w.now + 1.95)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -61,7 +61,7 @@
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1, "oddaja", key="k")
             await until(lambda: pool.spawned == [ident(1)] and pool.told[-1].startswith(b"poll"))
-            await until(lambda: not app.service.workers.session.pending)  # type: ignore[attr-defined]
+            await until(lambda: not app.service.ports.workers.session.pending)  # type: ignore[attr-defined]
             pool.writer = None
             pool.cut()
             pool.finish(ident(1))  # no link exists: the notice waits
@@ -217,7 +217,7 @@
             half.writer.write(b"POST /call/read HT")
             busy.send(1)
             await until(lambda: len(pool.spawned) == 1)
-            app.service.idle_timeout = 0.3
+            app.service.executor.idle_timeout = 0.3
             assert (await half.answer()).status == 408 and await idle.reader.read() == b""
             pool.finish(pool.spawned[0])
             assert (await busy.answer()).status == 200
--- a/tests/test_storm_parts.py
+++ b/tests/test_storm_parts.py
@@ -397,4 +397,4 @@
 def test_the_core_needs_no_storms() -> None:
     service = Service(SETTINGS, (), 1, lambda: 0.0, lambda event, **_: None)
     service.pool_started(False, 0.0)
-    assert service.storm_control is None
+    assert service.ports.storm_control is None
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -15,7 +15,7 @@
 from saltcart.app import App
 from saltcart.cli import cli
 from saltcart.config import ConfigError
-from saltcart.core.ports import FinalResponse
+from saltcart.core.messages import FinalResponse
 from saltcart.decision.actions import Action
 from saltcart.decision.events import Event, RequestArrived
 from saltcart.decision.outcome import Outcome
@@ -33,7 +33,7 @@
 def world(**more: Any) -> tuple[World, Damper]:
     made = World(replace(SETTINGS, **more))
     damper = Damper(StormSettings(), made.service.settings, 1, made.now, made.now - 100)
-    made.service.storm_control = damper
+    made.service.ports.storm_control = damper
     return made, damper
 
 
@@ -62,7 +62,7 @@
 
 
 def test_another_body_under_the_same_key_is_no_repeat() -> None:
-    from saltcart.core.service import InvalidRequestError
+    from saltcart.core.messages import InvalidRequestError
 
     w, _ = world()
     w.arrive(1)
@@ -87,7 +87,7 @@
     for watched in (True, False):
         w, _ = world(max_retry_after=30.0)
         if not watched:
-            w.service.storm_control = None
+            w.service.ports.storm_control = None
         w.service.start_drain(4.0)
         w.until(w.now + 2.0)
         for n in range(1, 40):  # the same work again and again, as in a storm
@@ -172,7 +172,7 @@
         async with Pool(auto=False) as pool, running(STORM, pool=pool.address) as app:
             damper = app.damper
             assert damper is not None
-            damper.throughput.run_ended(app.service.clock(), 0.5, False)  # four runs a second
+            damper.throughput.run_ended(app.service.clock.read_seconds(), 0.5, False)  # four runs a second
             seen = asyncio.create_task(crowd(app, 60))
             await until(lambda: damper.gate.stopped > 30)
             pool.auto = True
@@ -282,7 +282,7 @@
 def test_without_the_table_nothing_is_told_and_nothing_watched() -> None:
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
-            assert app.service.storm_control is None
+            assert app.service.ports.storm_control is None
             client = await HttpClient(app.addresses["http"]).open()
             assert b"retry-after" not in (await client.ask(1)).headers
 
@@ -328,7 +328,7 @@
 
 
 def test_a_refused_answer_names_the_moment_in_whole_seconds_never_before_it() -> None:
-    from saltcart.core.ports import ResponseStatus
+    from saltcart.core.messages import ResponseStatus
     from saltcart.front.connection import answer_fields
 
     for after, told in ((0.05, "1"), (1.0, "1"), (1.01, "2")):
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -90,7 +90,7 @@
     old.arrive(1)  # runs
     old.arrive(2, key=b"done")
     old.end(2, result=b"before")
-    for entry in old.service.idempotent_attempts.hand_over(tell):
+    for entry in old.service.lifecycle.attempts.hand_over(tell):
         tell(entry, False)
     return old, new
 
@@ -195,7 +195,7 @@
                 assert other.spawned == [ident(3), ident(4)] and len(pool.spawned) == 2
                 done = asyncio.Event()
                 old.leave(done.set)
-                assert not done.is_set() and not new.service.drain_at
+                assert not done.is_set() and not new.service.drain.drain_at
                 pool.finish(ident(1))
                 assert (await busy.answer()).body == b"done x"
                 await asyncio.wait_for(done.wait(), 20)
@@ -238,7 +238,7 @@
                 async with running(None, platform, pool=other.address):
                     assert (await (await HttpClient(address).open()).ask(n)).status == 200
                     assert other.spawned[-1] == ident(n)
-                await until(lambda: old.service.idempotent_attempts.successor is None)
+                await until(lambda: old.service.lifecycle.attempts.successor is None)
                 assert (await (await HttpClient(address).open()).ask(n + 1)).status == 200
                 assert pool.spawned[-1] == ident(n + 1)
 
@@ -258,10 +258,10 @@
             busy = await HttpClient(address).open()
             async with running(None, platform, pool=other.address):
                 pool.auto = False
-                await until(lambda: old.service.idempotent_attempts.successor is not None)
+                await until(lambda: old.service.lifecycle.attempts.successor is not None)
                 old.leave(done.set)
-            await until(lambda: old.service.idempotent_attempts.successor is None)
-            assert old.service.drain_at is not None and not done.is_set()
+            await until(lambda: old.service.lifecycle.attempts.successor is None)
+            assert old.service.drain.drain_at is not None and not done.is_set()
             pool.auto = True
             late = await HttpClient(address).open()
             assert (await late.ask(2)).status == 200 and pool.spawned == [ident(2)]
