--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -45,10 +45,10 @@
     if HANGUPS:
         reload()
     end = loop.create_task(ended.wait())
-    if app.beginning is not None:  # the fronts open later: what keeps them from that ends the program
-        await asyncio.wait((app.beginning, end), return_when=asyncio.FIRST_COMPLETED)
-        if app.beginning.done():
-            app.beginning.result()
+    if app.takeover_task is not None:  # the fronts open later: what keeps them from that ends the program
+        await asyncio.wait((app.takeover_task, end), return_when=asyncio.FIRST_COMPLETED)
+        if app.takeover_task.done():
+            app.takeover_task.result()
     await end
     log("stopped", counts={" ".join(key): count for key, count in app.service.counts.items()})
     await app.close()
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -28,7 +28,7 @@
 from saltcart.net.listener import Listener
 from saltcart.net.pool import PoolLink
 from saltcart.net.upstreams import Upstreams
-from saltcart.succession import Succession
+from saltcart.takeover import Takeover
 
 if TYPE_CHECKING:
     from saltcart.budget.plan import Plans
@@ -83,8 +83,8 @@
         self.service.intake.requires_tenant = hosted
         self.listeners: list[Listener] = []
         self.fronts: dict[str, Listener] = {}  # those of the clients
-        self.succession: Succession | None = None
-        self.beginning: asyncio.Task[None] | None = None
+        self.takeover: Takeover | None = None
+        self.takeover_task: asyncio.Task[None] | None = None
         self.addresses: dict[str, str] = {}
         self.announcer: Announcer | None = None
         self.index: IndexClient | None = None
@@ -130,7 +130,7 @@
             service.pool_started(False, 0.0)
         self.ticker = Ticker(service, loop)
         if conf.listen_fd is not None and conf.shared_folder is not None:
-            self.succession = Succession(
+            self.takeover = Takeover(
                 Path(conf.shared_folder),
                 conf.name,
                 service,
@@ -140,7 +140,7 @@
                 self.announcer,
                 self.index,
             )
-            self.beginning = loop.create_task(self.succession.begin())
+            self.takeover_task = loop.create_task(self.takeover.begin())
         else:
             await self._open_fronts(most)
         if conf.control:
@@ -178,7 +178,7 @@
                     lambda owner: AdminConnection(owner, api),
                     lambda: ADMIN_IDLE,
                     administration,
-                    shared=self.succession is not None,
+                    shared=self.takeover is not None,
                 ),
             )
 
@@ -255,7 +255,7 @@
 
     async def _open_fronts(self, most: int) -> None:
         """Where clients connect; ``most`` connections in all."""
-        service, shared = self.service, self.succession is not None
+        service, shared = self.service, self.takeover is not None
         ajp_most = most // 3 if self.deployment.ajp is not None else 0
         http = Listener(
             self.conf.listen,
@@ -300,7 +300,7 @@
         within = max(0.0, self.conf.stop_after - ago)
         if self.composer is not None:
             self.composer.hasten(within - STOP_MARGIN)
-        if self.succession is None or not self.succession.retire(within, done):
+        if self.takeover is None or not self.takeover.retire(within, done):
             self.service.start_drain(within, ago)
 
     def reload(self, conf: Config) -> None:
@@ -322,10 +322,10 @@
         self.log("reloaded", pool=conf.pool, index=conf.index, announce=conf.announce)
 
     async def close(self) -> None:
-        if self.beginning is not None:
-            self.beginning.cancel()
-        if self.succession is not None:
-            self.succession.close()
+        if self.takeover_task is not None:
+            self.takeover_task.cancel()
+        if self.takeover is not None:
+            self.takeover.close()
         for listener in self.listeners:
             listener.close()
         for part in (self.nearby, self.evenly, self.pool, self.index, self.announcer, self.gossip):
--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -9,7 +9,7 @@
 from saltcart.core.draining import DrainState
 from saltcart.core.messages import FinalResponse, ResponseStatus
 from saltcart.core.ports import Log, Ports
-from saltcart.core.request import PendingRequest, RequestPhase
+from saltcart.core.request import BLOCKED, CALLING, HELD, JOINED, PAUSED, RUNNING, PendingRequest
 from saltcart.core.request_lifecycle import RequestLifecycle
 from saltcart.core.timers import Timers
 from saltcart.decision import actions
@@ -20,7 +20,7 @@
 CALL_SLACK = 0.15  # seconds after its time-out at which a call without a reply is given up
 STOP_RETRY_SECONDS = 1.0  # after which an answered run is told to stop again: idle cores stop nothing
 
-CANNOT_START = (RequestPhase.JOINED, RequestPhase.BLOCKED, RequestPhase.CALLING)
+CANNOT_START = (JOINED, BLOCKED, CALLING)
 
 
 class ActionExecutor:
@@ -77,11 +77,11 @@
         request = self._request(action.id)
         if request is None or request.respond is None or request.phase in CANNOT_START:
             self.loop.defer(RunFinished(action.id, Outcome.NOT_STARTED, 0.0))
-        elif request.phase is RequestPhase.PAUSED:
-            request.phase = RequestPhase.RUNNING
+        elif request.phase is PAUSED:
+            request.phase = RUNNING
             request.stop_requested = False
             self.ports.workers.proceed(request.inbound.request_id)
-        elif request.phase is RequestPhase.HELD:
+        elif request.phase is HELD:
             self._spawn(request)
 
     def _spawn(self, request: PendingRequest) -> None:
@@ -90,7 +90,7 @@
         if is_too_late or not self.lifecycle.attempts.claim_run(request):
             self.loop.defer(RunFinished(request.number, Outcome.NOT_STARTED, 0.0))
             return
-        request.phase = RequestPhase.RUNNING
+        request.phase = RUNNING
         self.lifecycle.counters.runs_started[inbound.class_name] += 1
         self.ports.workers.spawn(
             inbound.request_id,
@@ -104,7 +104,7 @@
 
     def _stop_run(self, action: actions.StopRun) -> None:
         request = self._request(action.id)
-        if request is None or request.phase is not RequestPhase.RUNNING or request.stop_requested:
+        if request is None or request.phase is not RUNNING or request.stop_requested:
             return
         request.stop_requested = True
         self._suspend(request)
@@ -114,7 +114,7 @@
     def _stop_again(self, number: int) -> None:
         """Tell a run again to stop; it has its slot and its memory in the pool until its end is reported."""
         request = self._request(number)
-        if request is None or not request.stop_requested or request.phase is not RequestPhase.RUNNING:
+        if request is None or not request.stop_requested or request.phase is not RUNNING:
             return
         self.log("stop-unheard", id=request.inbound.request_id.decode())
         self._suspend(request)
@@ -129,7 +129,7 @@
         request = self._request(action.id)
         if request is None or request.respond is None:
             return
-        if request.phase is not RequestPhase.HELD:  # what has run, or shares a run, is never rejected
+        if request.phase is not HELD:  # what has run, or shares a run, is never rejected
             self.lifecycle.fail(request)
             return
         response = FinalResponse(
@@ -153,7 +153,7 @@
 
     def _start_call(self, action: actions.StartCall) -> None:
         request = self._request(action.id)
-        if request is None or request.phase is not RequestPhase.BLOCKED:
+        if request is None or request.phase is not BLOCKED:
             return
         request.call_started_at = self.clock.now
         request.call_number += 1
@@ -162,25 +162,25 @@
         if self.ports.dependency_calls is None:
             self.loop.defer(CallFinished(action.id, Outcome.UNREACHABLE, 0.0))
             return
-        request.phase = RequestPhase.CALLING
+        request.phase = CALLING
         must_run_once = request.spec.effect is not Effect.SAFE
         request_id = request.inbound.request_id
         self.ports.dependency_calls.call(request_id, action.timeout, request.call_body, must_run_once)
 
     def _call_overdue(self, number: int, call_number: int) -> None:
         request = self._request(number)
-        if request is None or request.phase is not RequestPhase.CALLING or request.call_number != call_number:
+        if request is None or request.phase is not CALLING or request.call_number != call_number:
             return
         self.lifecycle.give_up_call(request)
         self.on_call_overdue(request.inbound.request_id)
 
     def _skip_call(self, action: actions.SkipCall) -> None:
         request = self._request(action.id)
-        if request is None or request.phase is not RequestPhase.BLOCKED:
+        if request is None or request.phase is not BLOCKED:
             return
         if request.spec.skipped_call_weight_share == 0:
             return
-        request.phase = RequestPhase.RUNNING
+        request.phase = RUNNING
         request.call_body = b""
         self.ports.workers.skip(request.inbound.request_id, request.call_notice)
 
@@ -199,7 +199,7 @@
     def _join_attempt(self, action: actions.JoinAttempt) -> None:
         request = self._request(action.id)
         if request is not None and request.respond is not None:
-            request.phase = RequestPhase.JOINED
+            request.phase = JOINED
             self.lifecycle.attempts.join(request)
 
     # ---- the server ---------------------------------------------------------------------------
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -21,7 +21,15 @@
     CALLING = "at a call"
 
 
-NOT_IN_POOL = (RequestPhase.HELD, RequestPhase.JOINED)
+# Read through the class a member costs a tenth of a microsecond, which each request would pay many times.
+HELD = RequestPhase.HELD
+JOINED = RequestPhase.JOINED
+RUNNING = RequestPhase.RUNNING
+PAUSED = RequestPhase.PAUSED
+BLOCKED = RequestPhase.BLOCKED
+CALLING = RequestPhase.CALLING
+
+NOT_IN_POOL = (HELD, JOINED)
 
 
 class PendingRequest:
@@ -62,7 +70,7 @@
         # By this its key is looked up: no sender whose clock is ahead puts an attempt past a window.
         self.arrived_at = min(now, inbound.received_at)
         self.respond: ResponseCallback | None = respond  # None once answered, or once the caller is gone
-        self.phase = RequestPhase.HELD
+        self.phase = HELD
         self.stop_requested = False
         self.key: Key | None = None
         self.key_record: KeyRecord | None = None  # of its key, where this attempt holds it
--- a/saltcart/core/request_lifecycle.py
+++ b/saltcart/core/request_lifecycle.py
@@ -10,12 +10,12 @@
 from saltcart.core.idempotency_keys import KeyTable
 from saltcart.core.messages import FinalResponse, ResponseStatus
 from saltcart.core.ports import Ports
-from saltcart.core.request import PendingRequest, RequestPhase
+from saltcart.core.request import BLOCKED, CALLING, HELD, JOINED, PAUSED, PendingRequest
 from saltcart.core.request_counters import RequestCounters
 from saltcart.decision.events import RequestAbandoned, RunFinished
 from saltcart.decision.outcome import Outcome
 
-ENDED_PHASES = (RequestPhase.HELD, RequestPhase.JOINED, RequestPhase.PAUSED)  # nothing of it runs in the pool
+ENDED_PHASES = (HELD, JOINED, PAUSED)  # nothing of it runs in the pool
 
 
 class RequestLifecycle:
@@ -90,9 +90,9 @@
         """Forget a request that is owed nothing and has nothing in the pool; the one place that does."""
         if request.respond is not None or self.requests.get(request.number) is not request:
             return
-        if request.phase is RequestPhase.CALLING:
+        if request.phase is CALLING:
             self.give_up_call(request)  # the pool ends the run by itself
-            request.phase = RequestPhase.BLOCKED
+            request.phase = BLOCKED
         if request.phase not in ENDED_PHASES:
             return
         del self.requests[request.number]
--- a/saltcart/core/retry_watch.py
+++ b/saltcart/core/retry_watch.py
@@ -5,7 +5,7 @@
 from saltcart.core.clock import CoreClock
 from saltcart.core.messages import FinalResponse, ResponseStatus
 from saltcart.core.ports import RetryStormControl
-from saltcart.core.request import PendingRequest, RequestPhase
+from saltcart.core.request import HELD, PendingRequest
 from saltcart.core.request_lifecycle import RequestLifecycle
 from saltcart.decision.events import RequestAbandoned
 from saltcart.decision.settings import Effect
@@ -46,7 +46,7 @@
         """In a storm, end a held attempt whose work comes anew: its caller has gone."""
         lifecycle = self.lifecycle
         older = lifecycle.requests.get(lifecycle.held_fingerprints.get(fingerprint, 0))
-        if older is None or older.phase is not RequestPhase.HELD or not control.in_storm(self.clock.now):
+        if older is None or older.phase is not HELD or not control.in_storm(self.clock.now):
             return
         if older.respond is None or older.attempt is None:
             return
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -5,7 +5,7 @@
 from saltcart.core.clock import CoreClock
 from saltcart.core.messages import FinalResponse, ResponseStatus
 from saltcart.core.ports import Log, Ports
-from saltcart.core.request import NOT_IN_POOL, PendingRequest, RequestPhase
+from saltcart.core.request import BLOCKED, CALLING, HELD, NOT_IN_POOL, PAUSED, RUNNING, PendingRequest
 from saltcart.core.request_lifecycle import RequestLifecycle
 from saltcart.decision.events import CallFinished, CallRequested, RunFinished, WorkersRestarted
 from saltcart.decision.outcome import Outcome
@@ -45,7 +45,7 @@
         if request is None:
             return
         self.clock.read()
-        if request.phase is RequestPhase.CALLING:
+        if request.phase is CALLING:
             self.lifecycle.give_up_call(request)
         if outcome is Outcome.SUCCEEDED:
             response = FinalResponse(
@@ -59,13 +59,13 @@
             self.lifecycle.respond(request, FinalResponse(ResponseStatus.FAILED))
         event = RunFinished(request.number, outcome, seconds)
         if self._is_paused(request):
-            request.phase = RequestPhase.PAUSED  # still owed a response, and may be taken up again
+            request.phase = PAUSED  # still owed a response, and may be taken up again
             self.loop.feed(event)
             return
         self.lifecycle.attempts.run_finished(request, outcome, result)
         if outcome is Outcome.SUCCEEDED:
             self._record_success(request, seconds)
-        request.phase = RequestPhase.HELD  # nothing of it is left in the pool
+        request.phase = HELD  # nothing of it is left in the pool
         self.loop.feed(event)
         self.lifecycle.fail(request)  # the decision module has answered by now; never leave one open
 
@@ -88,7 +88,7 @@
         if request is None:
             return
         self.clock.read()
-        request.phase = RequestPhase.BLOCKED
+        request.phase = BLOCKED
         request.call_notice = notice
         request.call_body = body
         self.loop.feed(CallRequested(request.number))
@@ -101,16 +101,16 @@
     def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
         """A call is over."""
         request = self.lifecycle.requests_by_id.get(request_id)
-        if request is None or request.phase is not RequestPhase.CALLING:
+        if request is None or request.phase is not CALLING:
             return
         now = self.clock.read()
         request.call_number += 1
         if outcome is Outcome.SUCCEEDED:
-            request.phase = RequestPhase.RUNNING
+            request.phase = RUNNING
             request.call_body = b""
             self.ports.workers.supply(request_id, reply)
         else:
-            request.phase = RequestPhase.BLOCKED
+            request.phase = BLOCKED
         self.loop.feed(CallFinished(request.number, outcome, now - request.call_started_at))
 
     def pool_replaced(self, starts_cold: bool, age: float) -> None:
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -98,7 +98,7 @@
 
     def hand_over(self) -> bool:
         """Pass the connection to the process that takes over, unless a request or an end is under way."""
-        heir, transport = self.listener.heir, self.transport
+        heir, transport = self.listener.pass_on, self.transport
         if (
             heir is None
             or transport is None
@@ -123,7 +123,7 @@
     def received(self) -> None:
         if not self.open:
             self.awaits()
-            if self.listener.heir is not None and self.keep_alive and self.unread() is not None:
+            if self.listener.pass_on is not None and self.keep_alive and self.unread() is not None:
                 if not self.hand_over() and self.transport is not None:
                     self.transport.pause_reading()  # it goes later, and no more must come here meanwhile
                 return
@@ -136,7 +136,7 @@
                         self.awaits()
                     return
             else:
-                self.again()
+                self.continue_reading()
         except MalformedMessageError as error:
             self.cut_off(error.status, str(error).encode())
             return
@@ -144,7 +144,7 @@
         if self.transport is not None and len(self.buffer) + 1024 > self.buffer.limit:
             self.transport.pause_reading()
 
-    def again(self) -> None:
+    def continue_reading(self) -> None:
         """Go on with what the buffer holds in the next turn of the loop."""
         if self.able() and len(self.buffer):
             assert self.transport is not None
@@ -157,7 +157,7 @@
 
     def resume_writing(self) -> None:
         super().resume_writing()
-        self.again()
+        self.continue_reading()
 
     def expire(self) -> None:
         if self.partial():
@@ -217,7 +217,7 @@
         self.respond(STATUS[answer.status], answer.body, answer_fields(answer))
         self.hand_over()
         if not self.taking:
-            self.again()
+            self.continue_reading()
 
     def eof_received(self) -> bool:
         """The peer sends no more: it has stopped waiting.  Should it still read, it is told."""
--- a/saltcart/net/handover.py
+++ b/saltcart/net/handover.py
@@ -1,4 +1,4 @@
-"""The socket between an old process and the new one that takes over: packets that may carry descriptors.
+"""The socket between an old process and the one that takes over: packets that may carry descriptors.
 
 asyncio's transports carry no descriptors, so this one socket is read and written on the loop by hand.
 """
@@ -14,39 +14,45 @@
 from pathlib import Path
 
 from saltcart.wire.errors import MalformedMessageError
-from saltcart.wire.handover import MAX_PACKET, Packet, decode, encode
+from saltcart.wire.handover import MAX_PACKET, HandoverPacket, decode, encode
 
-MAX_PATH = 100  # a longer one does not fit a Unix address
-ROOM = 256 * 1024
+MAX_PATH = 100  # bytes; a longer one does not fit a Unix address
+SEND_BUFFER = 256 * 1024  # bytes
+MAX_DESCRIPTORS = 4  # read with one packet; one is expected
+BACKLOG = 4
 
 
 class HandoverLink:
     """Owns its socket; a descriptor goes with a packet at once or not at all, so none is held twice."""
 
-    def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.loop = sock, asyncio.get_running_loop()
-        self.waiting = deque[bytes]()
-        self.received: Callable[[Packet, int | None], None] = lambda packet, fd: None
-        self.closed: Callable[[], None] = lambda: None
-        self.open = True
-        sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, ROOM)
+    def __init__(self, link_socket: socket.socket) -> None:
+        self.socket = link_socket
+        self.loop = asyncio.get_running_loop()
+        self.outgoing = deque[bytes]()
+        self.on_packet: Callable[[HandoverPacket, int | None], None] = lambda packet, descriptor: None
+        self.on_closed: Callable[[], None] = lambda: None
+        self.is_open = True
+        link_socket.setblocking(False)
+        link_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
 
     def start(self) -> None:
-        self.loop.add_reader(self.sock, self._read)
+        """Read packets from now on; ``on_packet`` owns the descriptor that it is given."""
+        self.loop.add_reader(self.socket, self._read)
 
-    def send(self, packet: Packet) -> None:
-        if self.open:
-            self.waiting.append(encode(packet))
-            if len(self.waiting) == 1:
-                self._write()
+    def send(self, packet: HandoverPacket) -> None:
+        """Send a packet, as soon as there is room for it."""
+        if not self.is_open:
+            return
+        self.outgoing.append(encode(packet))
+        if len(self.outgoing) == 1:
+            self._write()
 
-    def give(self, packet: Packet, fd: int) -> bool:
+    def send_descriptor(self, packet: HandoverPacket, descriptor: int) -> bool:
         """Send a descriptor, which stays the caller's to close; False where it can't go now."""
-        if not self.open or self.waiting:  # what was said before comes first
+        if not self.is_open or self.outgoing:  # what was sent before comes first
             return False
         try:
-            socket.send_fds(self.sock, [encode(packet)], [fd])
+            socket.send_fds(self.socket, [encode(packet)], [descriptor])
         except OSError as error:
             if not isinstance(error, BlockingIOError) and error.errno != errno.ETOOMANYREFS:
                 self.close()
@@ -54,57 +60,61 @@
         return True
 
     def close(self) -> None:
-        if not self.open:
+        """End the link; what was not sent is lost."""
+        if not self.is_open:
             return
-        self.open = False
-        self.loop.remove_reader(self.sock)
-        self.loop.remove_writer(self.sock)
-        self.sock.close()
-        self.waiting.clear()
-        self.closed()
+        self.is_open = False
+        self.loop.remove_reader(self.socket)
+        self.loop.remove_writer(self.socket)
+        self.socket.close()
+        self.outgoing.clear()
+        self.on_closed()
 
     def _write(self) -> None:
-        while self.open and self.waiting:
+        while self.is_open and self.outgoing:
             try:
-                self.sock.send(self.waiting[0])
+                self.socket.send(self.outgoing[0])
             except BlockingIOError:
-                self.loop.add_writer(self.sock, self._write)
+                self.loop.add_writer(self.socket, self._write)
                 return
             except OSError:
                 self.close()
                 return
-            self.waiting.popleft()
-        if self.open:
-            self.loop.remove_writer(self.sock)
+            self.outgoing.popleft()
+        if self.is_open:
+            self.loop.remove_writer(self.socket)
 
     def _read(self) -> None:
         try:
-            data, fds, _, _ = socket.recv_fds(self.sock, MAX_PACKET, 4)
+            data, descriptors, _, _ = socket.recv_fds(self.socket, MAX_PACKET, MAX_DESCRIPTORS)
         except BlockingIOError:
             return
         except OSError:
-            data, fds = b"", []
-        for fd in fds[1:]:
-            os.close(fd)
+            data, descriptors = b"", []
+        for descriptor in descriptors[1:]:
+            os.close(descriptor)
         if not data:
             self.close()
             return
+        first = descriptors[0] if descriptors else None
         try:
-            self.received(decode(data), fds[0] if fds else None)
+            self.on_packet(decode(data), first)
         except MalformedMessageError:
-            if fds:
-                os.close(fds[0])
+            if first is not None:
+                os.close(first)
             self.close()
 
 
-class Doorway:
-    """The path in a private folder where the process that serves is found by the one that is to follow it."""
+class HandoverListener:
+    """The path in a private folder where a serving process is found by the one that is to take over."""
 
-    def __init__(self, folder: Path, name: str, found: Callable[[HandoverLink], None]) -> None:
-        self.folder, self.name, self.found = folder, name, found
-        self.sock: socket.socket | None = None
+    def __init__(self, folder: Path, name: str, on_connected: Callable[[HandoverLink], None]) -> None:
+        self.folder = folder
+        self.name = name
+        self.on_connected = on_connected
+        self.socket: socket.socket | None = None
 
-    def _at(self, call: Callable[[str], None]) -> None:
+    def _with_path(self, call: Callable[[str], None]) -> None:
         path = str(self.folder / self.name)
         if len(os.fsencode(path)) <= MAX_PATH:
             call(path)
@@ -116,41 +126,43 @@
             os.close(folder)
 
     def connect(self) -> HandoverLink | None:
-        """To the process that serves now, if there is one."""
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        """Return a link to the process that serves now, or None where there is none."""
+        link_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            self._at(sock.connect)
+            self._with_path(link_socket.connect)
         except OSError:
-            sock.close()
+            link_socket.close()
             return None
-        return HandoverLink(sock)
+        return HandoverLink(link_socket)
 
     def open(self) -> None:
-        """Be found from now on, in the place of whoever was."""
+        """Be found from now on, in the place of whoever was; ``OSError`` where that can not be."""
         self.close()
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        listening = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            (self.folder / self.name).unlink(missing_ok=True)
-            self._at(sock.bind)
-            (self.folder / self.name).chmod(0o600)
-            sock.listen(4)
-            sock.setblocking(False)
+            path = self.folder / self.name
+            path.unlink(missing_ok=True)
+            self._with_path(listening.bind)
+            path.chmod(0o600)
+            listening.listen(BACKLOG)
+            listening.setblocking(False)
         except BaseException:
-            sock.close()
+            listening.close()
             raise
-        self.sock = sock
-        asyncio.get_running_loop().add_reader(sock, self._accept)
+        self.socket = listening
+        asyncio.get_running_loop().add_reader(listening, self._accept)
 
     def _accept(self) -> None:
-        assert self.sock is not None
+        assert self.socket is not None
         try:
-            sock, _ = self.sock.accept()
+            accepted, _ = self.socket.accept()
         except OSError:
             return
-        self.found(HandoverLink(sock))
+        self.on_connected(HandoverLink(accepted))
 
     def close(self) -> None:
-        if self.sock is not None:
-            asyncio.get_running_loop().remove_reader(self.sock)
-            self.sock.close()
-            self.sock = None
+        """Be found no longer."""
+        if self.socket is not None:
+            asyncio.get_running_loop().remove_reader(self.socket)
+            self.socket.close()
+            self.socket = None
--- a/saltcart/net/listener.py
+++ b/saltcart/net/listener.py
@@ -120,8 +120,10 @@
         self.inherited = inherited  # a descriptor that listens already; it is somebody else's and stays open
         self.shared = shared  # another process may listen here while it hands over
         # Once another process takes over: what connections are passed to, with what was read of them.
-        self.heir: Callable[[ServerConnection, bytes], bool] | None = None
-        self.beside = 0  # connections that the process before still has of those that there may be
+        self.pass_on: Callable[[ServerConnection, bytes], bool] | None = None
+        self.predecessor_connections = (
+            0  # connections that the process before still has of those that there may be
+        )
         self.loop = asyncio.get_running_loop()
         self.connections: set[ServerConnection] = set()
         # Both in the order of ``since``; a connection that carries a request is in neither.
@@ -198,8 +200,8 @@
         would make way for all that come meanwhile.
         """
         # While connections come over from the process before, new ones must not end at the door for that.
-        room = self.most + (self.COMING if self.beside else 0)
-        if len(self.connections) + self.beside >= room and not self._make_way():
+        room = self.most + (self.COMING if self.predecessor_connections else 0)
+        if len(self.connections) + self.predecessor_connections >= room and not self._make_way():
             new.abort()  # nothing of it was read: whoever it is may come again
             return
         self.connections.add(new)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -179,8 +179,8 @@
 def test_a_key_handed_over_counts_by_the_unix_clock() -> None:
     """Two processes that started before and after the clock was set agree on a window's end."""
     entry = World().service.keys.reserve(("a", "oddaja", b"k"), 1, 1_000.0, b"")
-    told = wire.of_entry(entry, False, ahead=100.0)
-    assert told.fields["until"] == 900.0 and wire.to_entry(told, ahead=-5.0).expires_at == 895.0
+    told = wire.key_packet(entry, False, seconds_ahead=100.0)
+    assert told.fields["until"] == 900.0 and wire.read_key(told, seconds_ahead=-5.0).expires_at == 895.0
 
 
 @pytest.mark.parametrize(("ago", "status"), [(-4.0, 200), (-6.0, 400), (0.0, 200), (59.0, 503), (130.0, 503)])
@@ -364,7 +364,7 @@
 def test_an_old_process_that_does_not_tell_its_keys_leaves_them_in_doubt(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("saltcart.succession.ANSWER_WAIT", 0.2)
+    monkeypatch.setattr("saltcart.takeover.ANSWER_WAIT", 0.2)
 
     async def play() -> None:
         old = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -384,7 +384,7 @@
                 return
             await until(lambda: bool(app.fronts))
             if how == "tells late":
-                link.send(wire.encode(wire.Packet("yours", {})))
+                link.send(wire.encode(wire.HandoverPacket("yours", {})))
 
         with socket.create_server(("127.0.0.1", 0)) as held:
             environment = {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
--- a/tests/test_succession.py
+++ b/tests/test_takeover.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from saltcart import succession
+from saltcart import takeover
 from saltcart.core.idempotency_keys import KeyRecord
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
@@ -31,9 +31,9 @@
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_key_is_told_and_read_alike(gone: bool) -> None:
-    packet = wire.decode(wire.encode(wire.of_entry(ENTRY, gone)))
-    assert packet.say == ("gone" if gone else "entry")
-    read = wire.to_entry(packet)
+    packet = wire.decode(wire.encode(wire.key_packet(ENTRY, gone)))
+    assert packet.kind == ("gone" if gone else "entry")
+    read = wire.read_key(packet)
     assert read == replace(ENTRY, holder_number=0)
 
 
@@ -48,16 +48,16 @@
 
 @pytest.mark.parametrize("name", ["key", "until", "digest", "idents", "good"])
 def test_a_key_with_a_field_amiss_is_malformed(name: str) -> None:
-    packet = wire.of_entry(ENTRY, False)
+    packet = wire.key_packet(ENTRY, False)
     for wrong in ({k: v for k, v in packet.fields.items() if k != name}, {**packet.fields, name: object()}):
         if name != "good" or name not in wrong:
             with pytest.raises(MalformedMessageError):
-                wire.to_entry(wire.Packet("entry", wrong))
+                wire.read_key(wire.HandoverPacket("entry", wrong))
 
 
 def test_a_load_is_told_and_read_alike() -> None:
     load = PredecessorLoad(3, 1, 120.5)
-    assert wire.to_load(wire.decode(wire.encode(wire.of_load(load, 7)))) == (load, 7)
+    assert wire.read_load(wire.decode(wire.encode(wire.load_packet(load, 7)))) == (load, 7)
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,9 @@
 )
 def test_a_load_out_of_its_form_is_malformed(name: str, value: object) -> None:
     with pytest.raises(MalformedMessageError):
-        wire.to_load(wire.Packet("beside", {**wire.of_load(PredecessorLoad(), 0).fields, name: value}))
+        wire.read_load(
+            wire.HandoverPacket("beside", {**wire.load_packet(PredecessorLoad(), 0).fields, name: value})
+        )
 
 
 # ---- the core's rules -------------------------------------------------------------------------
@@ -85,7 +87,7 @@
     old, new = World(), World()
 
     def tell(entry: KeyRecord, gone: bool) -> None:
-        new.service.adopt_key(wire.to_entry(wire.decode(wire.encode(wire.of_entry(entry, gone)))), gone)
+        new.service.adopt_key(wire.read_key(wire.decode(wire.encode(wire.key_packet(entry, gone)))), gone)
 
     old.arrive(1)  # runs
     old.arrive(2, key=b"done")
@@ -249,7 +251,7 @@
     platform: dict[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A release may stop both at once: what waits at the platform's socket must still be answered."""
-    monkeypatch.setattr(succession, "LEAST_STAY", 10.0)
+    monkeypatch.setattr(takeover, "MIN_STAY", 10.0)
     address = at(platform)
 
     async def play() -> None:
@@ -276,7 +278,7 @@
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address, limits={"sockets": 200}) as app:
             listener = app.listeners[0]
-            listener.beside = listener.most
+            listener.predecessor_connections = listener.most
             client = await HttpClient(app.addresses["http"]).open()
             assert (await client.ask(1)).status == 200
 
@@ -308,7 +310,7 @@
                     return not old.fronts["http"].connections
 
                 await until(moved)
-                await until(lambda: not new.fronts["http"].beside)
+                await until(lambda: not new.fronts["http"].predecessor_connections)
                 assert highest < before + 60  # not twice the flood
                 client = await HttpClient(address).open()
                 assert (await client.ask(1)).status == 200
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -69,21 +69,21 @@
 @pytest.mark.parametrize(
     ("name", "packet"),
     [
-        ("take", handover.Packet("take", {})),
-        ("yours", handover.Packet("yours", {})),
-        ("entry", handover.of_entry(KEY, False, CLOCK_AHEAD)),
-        ("gone", handover.of_entry(KEY, True, CLOCK_AHEAD)),
-        ("beside", handover.of_load(LOAD, CONNECTIONS)),
-        ("connection", handover.Packet("connection", PASSED, b"POST /call")),
+        ("take", handover.HandoverPacket("take", {})),
+        ("yours", handover.HandoverPacket("yours", {})),
+        ("entry", handover.key_packet(KEY, False, CLOCK_AHEAD)),
+        ("gone", handover.key_packet(KEY, True, CLOCK_AHEAD)),
+        ("beside", handover.load_packet(LOAD, CONNECTIONS)),
+        ("connection", handover.HandoverPacket("connection", PASSED, b"POST /call")),
     ],
 )
-def test_a_handover_packet_is_written_and_read_as_before(name: str, packet: handover.Packet) -> None:
+def test_a_handover_packet_is_written_and_read_as_before(name: str, packet: handover.HandoverPacket) -> None:
     assert handover.encode(packet) == handover_packet(name)
     assert handover.decode(handover_packet(name)) == packet
 
 
 def test_a_recorded_key_is_read_with_all_of_its_fields() -> None:
-    read = handover.to_entry(handover.decode(handover_packet("entry")), CLOCK_AHEAD)
+    read = handover.read_key(handover.decode(handover_packet("entry")), CLOCK_AHEAD)
     assert read.key == KEY.key and read.expires_at == KEY.expires_at and read.body_digest == KEY.body_digest
     assert (
         read.attempt_ids == KEY.attempt_ids
@@ -94,12 +94,12 @@
 
 
 def test_a_recorded_load_is_read_with_all_of_its_fields() -> None:
-    assert handover.to_load(handover.decode(handover_packet("beside"))) == (LOAD, CONNECTIONS)
+    assert handover.read_load(handover.decode(handover_packet("beside"))) == (LOAD, CONNECTIONS)
 
 
 def test_a_key_that_the_earlier_release_ran_is_answered_from_its_record() -> None:
     world = World()
-    recorded = handover.to_entry(handover.decode(handover_packet("entry")))
+    recorded = handover.read_key(handover.decode(handover_packet("entry")))
     recorded.key = ("a", "oddaja", b"k")
     recorded.expires_at = world.now + 5.0
     recorded.body_digest = digest(b"body of k")
@@ -118,7 +118,7 @@
         with socket.create_server(("127.0.0.1", 0)) as held:
             environment = {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
             async with Pool() as pool, running(None, environment, pool=pool.address) as app:
-                app.service.adopt_key(handover.to_entry(handover.decode(handover_packet("entry"))), False)
+                app.service.adopt_key(handover.read_key(handover.decode(handover_packet("entry"))), False)
                 path = next(p for p in tmp_path.iterdir() if p.is_socket())
                 successor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
                 successor.setblocking(False)
@@ -133,7 +133,7 @@
     said = asyncio.run(play())
     key, load, _ = said
     sent, recorded = handover.decode(key), handover.decode(handover_packet("entry"))
-    assert sent.say == recorded.say and sent.data == recorded.data and [*sent.fields] == [*recorded.fields]
+    assert sent.kind == recorded.kind and sent.data == recorded.data and [*sent.fields] == [*recorded.fields]
     assert {**sent.fields, "until": 0.0} == {**recorded.fields, "until": 0.0}
     assert load == b'{"v":1,"say":"beside","on_core":0,"calling":0,"memory_kb":0.0,"connections":0}\n'
 
