--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -116,7 +116,7 @@
         request = self._request(number)
         if request is None or not request.stop_requested or request.phase is not RUNNING:
             return
-        self.log("stop-unheard", id=request.inbound.request_id.decode())
+        self.log("stop-retried", id=request.inbound.request_id.decode())
         self._suspend(request)
         self.timers.call_at(self.clock.now + STOP_RETRY_SECONDS, self._stop_again, number)
 
@@ -217,4 +217,4 @@
         self.timers.call_at(action.at, self.loop.fire_timer, action.token)
 
     def _log_message(self, action: actions.LogMessage) -> None:
-        self.log("module", text=action.text)
+        self.log("decision", text=action.text)
--- a/saltcart/core/decision_loop.py
+++ b/saltcart/core/decision_loop.py
@@ -62,7 +62,7 @@
         try:
             return controller.handle(self.clock.now, event)
         except Exception as error:
-            self.log("module-fault", on=type(event).__name__, error=repr(error))
+            self.log("decision-fault", on=type(event).__name__, error=repr(error))
             if isinstance(event, TimerFired):
                 self.timers.call_at(self.clock.now + FAULT_RETRY_SECONDS, self.fire_timer, event.token)
             return []
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -194,7 +194,7 @@
     def retire_after(self, within: float) -> None:
         """Handed over and stopped soon: no drain, for the server stays, but all is answered before that."""
         self.timers.call_at(self.clock.read() + within - STOP_MARGIN, self.lifecycle.fail_all)
-        self.log("retire", within=within, open=len(self.requests))
+        self.log("retiring", within=within, open=len(self.requests))
 
     def adopt_key(self, record: KeyRecord, is_free: bool) -> None:
         """Take what the predecessor reports of one of its keys: further attempts reach this process."""
@@ -207,7 +207,7 @@
         windows = [spec.key_window for spec in classes if spec.effect is Effect.IDEMPOTENT_BY_KEY]
         until = self.clock.read() + max(windows, default=0.0) + self.settings.answer_slack
         self.lifecycle.attempts.uncertain_until = until
-        self.log("keys-in-doubt", until=until)
+        self.log("keys-uncertain", until=until)
 
     def predecessor_gone(self) -> None:
         """The predecessor is gone, and with it what it ran."""
@@ -220,7 +220,7 @@
     def pool_started(self, cold: bool, age: float) -> None:
         """The pool took the link.  The decision module starts with the pool, not with the process."""
         now = self.clock.read()
-        self.log("pool-up", cold=cold, age=age, again=self.controller is not None)
+        self.log("pool-started", cold=cold, age=age, again=self.controller is not None)
         if self.controller is not None:
             return
         self.settings = replace(self.settings, starts_cold=cold)
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -309,7 +309,7 @@
         if self.successor.link is not link or self.is_closed:
             return
         self.successor.take_back()
-        self.log("took-back", told=self.stopped_at is not None)
+        self.log("takeover-reverted", stopping=self.stopped_at is not None)
         if self.stopped_at is not None:
             ago = self.service.clock.read_seconds() - self.stopped_at
             self.stopped_at = None
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -239,7 +239,7 @@
     w.service.controller.handle = faulty  # type: ignore[method-assign]
     w.arrive(1, "read")
     w.until(w.now + 3.1)
-    assert w.verdicts(1) == ["failed"] and w.logged.count("module-fault") == 2
+    assert w.verdicts(1) == ["failed"] and w.logged.count("decision-fault") == 2
     w.arrive(2, "read")
     w.until(w.now + 2.5)  # the timer rings on: the run that hangs is answered by the module itself
     assert w.verdicts(2) == ["failed"] and w.logged.count("overdue") == 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -503,7 +503,7 @@
                 listen = "{}:{}".format(*free.getsockname())
             program = await start(tmp_path / "c.json", raw_config(pool=address, listen=listen, stop_ms=900))
             assert program.stdout is not None
-            await logged(program.stdout, "listening" if silent else "pool-up")
+            await logged(program.stdout, "listening" if silent else "pool-started")
             client = await HttpClient(listen).open()
             if silent:
                 assert (await client.ask(1)).status == 503  # says when to come back
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -82,7 +82,7 @@
             try:
                 told = dict[str, dict[str, str]]()
                 async with asyncio.timeout(30):
-                    while not {"listening", "pool-up"} <= set(told):
+                    while not {"listening", "pool-started"} <= set(told):
                         line = json.loads(await shell.stdout.readline())
                         told[line["event"]] = line
                     client = await HttpClient(told["listening"]["address"]).open()
