--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from saltcart.net.composer import Composer
     from saltcart.net.evenly import Evenly
-    from saltcart.net.gossip import Gossip
+    from saltcart.net.membership_driver import MembershipDriver
     from saltcart.net.nearby import Nearby
     from saltcart.storm.damper import Damper
 
@@ -55,7 +55,7 @@
         token: str,
         composer: Composer | None = None,
         damper: Callable[[], Damper | None] = lambda: None,
-        gossip: Gossip | None = None,
+        gossip: MembershipDriver | None = None,
         nearby: Nearby | None = None,
         evenly: Evenly | None = None,
     ) -> None:
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -32,10 +32,10 @@
 
 if TYPE_CHECKING:
     from saltcart.budget.plan import Plans
-    from saltcart.member.settings import MemberSettings
+    from saltcart.membership.settings import MemberSettings
     from saltcart.net.composer import Composer
     from saltcart.net.evenly import Evenly
-    from saltcart.net.gossip import Gossip
+    from saltcart.net.membership_driver import MembershipDriver
     from saltcart.net.nearby import Nearby
     from saltcart.storm.damper import Damper
     from saltcart.storm.settings import StormSettings
@@ -92,7 +92,7 @@
         self.upstreams: Upstreams | None = None
         self.composer: Composer | None = None
         self.damper: Damper | None = None
-        self.gossip: Gossip | None = None
+        self.gossip: MembershipDriver | None = None
         self.nearby: Nearby | None = None
         self.evenly: Evenly | None = None
         self.runs: WorkerPool | None = None  # set before the start: in the place of a pool or upstreams
@@ -198,9 +198,9 @@
 
     async def _join(self, conf: MemberSettings) -> None:
         """Keep a view of the fleet together with its other processes."""
-        from saltcart.net.gossip import Gossip
+        from saltcart.net.membership_driver import MembershipDriver
 
-        self.gossip = Gossip(conf, self.conf.name, self.conf.seed, self.log)
+        self.gossip = MembershipDriver(conf, self.conf.name, self.conf.seed, self.log)
         self.addresses["member"] = await self.gossip.open()
         self.service.figure_sources.append(self.gossip.figures)
         self.log("listening", name=self.conf.name, front="member", address=self.addresses["member"])
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -21,7 +21,7 @@
     from saltcart.budget.plan import Plans
     from saltcart.fleet.settings import FleetSettings
     from saltcart.locality.settings import LocalitySettings
-    from saltcart.member.settings import MemberSettings
+    from saltcart.membership.settings import MemberSettings
     from saltcart.storm.settings import StormSettings
 
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
@@ -228,7 +228,7 @@
             storm = read_storm(f.section("storm").raw)
         member = None
         if "member" in f.raw:
-            from saltcart.member.settings import read_member
+            from saltcart.membership.settings import read_member
 
             member = read_member(f.section("member").raw)
             member = member if member.enabled else None
--- a/saltcart/fleet/instance.py
+++ b/saltcart/fleet/instance.py
@@ -18,7 +18,7 @@
 from saltcart.fleet.shares import Share
 from saltcart.fleet.turns import Retry, next_turn, place_of
 from saltcart.locality.demand import QUICK, Demand
-from saltcart.member.record import Record
+from saltcart.membership.member_record import MemberRecord
 from saltcart.schema import unpack
 
 MEMBERS, INSTANCES, SUM, REPORT = "fleet/members/", "fleet/instances/", "fleet/sum/", "fleet/report"
@@ -50,8 +50,8 @@
     def present(self) -> Sequence[str]:
         """The names of those present, sorted."""
 
-    def post(self, topic: str, data: bytes) -> None: ...
-    def give(self, name: str, topic: str, data: bytes) -> None: ...
+    def write_register(self, topic: str, data: bytes) -> None: ...
+    def send_direct(self, name: str, topic: str, data: bytes) -> None: ...
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -134,11 +134,11 @@
         for part in range(PARTS):
             data = encode_part(after, part)
             if read_part(data, self.classes) != self.tables[kind].get(part, {}):
-                self.fleet.post(f"{kind}{part}", data)
+                self.fleet.write_register(f"{kind}{part}", data)
 
     # ---- telling ------------------------------------------------------------------------------
 
-    def given(self, now: float, sender: Record, topic: str, data: bytes) -> None:
+    def given(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """``MalformedMessageError`` for a report that is none."""
         if topic == REPORT:
             self.reports[sender.name] = now, unpack(_tolds, data, "report")
@@ -171,9 +171,9 @@
             total = Sum(
                 round(sum(t.demand for _, t in self.reports.values()), 3), len(self.reports), dict(loads)
             )
-            self.fleet.post(f"{SUM}{own}", _encoder.encode(total))
+            self.fleet.write_register(f"{SUM}{own}", _encoder.encode(total))
         else:
-            self.fleet.give(peers[0], REPORT, _encoder.encode(told))
+            self.fleet.send_direct(peers[0], REPORT, _encoder.encode(told))
 
     # ---- requests -----------------------------------------------------------------------------
 
--- a/saltcart/lab/faults/plays.py
+++ b/saltcart/lab/faults/plays.py
@@ -15,7 +15,7 @@
 
 from saltcart.lab.faults.links import Rule
 from saltcart.lab.faults.members import Rig, rig
-from saltcart.member.settings import MemberSettings
+from saltcart.membership.settings import MemberSettings
 
 PROBE = MemberSettings("127.0.0.1:0", "rig").probe_every
 SETTLE = 20.0  # seconds for views to agree, at most
--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -1,7 +1,7 @@
 """Membership in the model: the deciding code of thousands of members on one clock, and plain heartbeats.
 
-Members start with a view of all, which they share (``Roster``); links lose and delay by one seed.  The
-baseline sends a beat from each to each and takes for dead whom it has not heard for a fixed time.
+Members start with a view of all, which they share (``MembershipSnapshot``); links lose and delay by one seed.
+The baseline sends a beat from each to each and takes for dead whom it has not heard for a fixed time.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from typing import NamedTuple
 
 from saltcart.lab.events import Events, Ticks
-from saltcart.member.detector import Detector
-from saltcart.member.messages import Packet
-from saltcart.member.record import Record, State
-from saltcart.member.settings import MemberSettings
-from saltcart.member.view import Change, Roster
+from saltcart.membership.member import Member
+from saltcart.membership.member_record import MemberRecord, MemberState
+from saltcart.membership.messages import Datagram
+from saltcart.membership.settings import MemberSettings
+from saltcart.membership.view import MembershipChange, MembershipSnapshot
 
 LATENCY = 0.001  # seconds from one member to another
 BEAT, SILENCE = 0.5, 2.0  # seconds between beats of the baseline; without one, until it says dead
@@ -132,22 +132,22 @@
     def __init__(self, day: Day, seed: int, conf: MemberSettings = CONF) -> None:
         super().__init__(day, seed)
         self.place = {f"h:{n}": n for n in range(day.members)}
-        roster = Roster(Record(f"m{n}", f"h:{n}", 1) for n in range(day.members))
-        self.members: list[Detector] = []
+        roster = MembershipSnapshot(MemberRecord(f"m{n}", f"h:{n}", 1) for n in range(day.members))
+        self.members: list[Member] = []
         self.ticks: list[Ticks] = []
         for n in range(day.members):
-            made = Detector(
+            made = Member(
                 conf, f"m{n}", f"h:{n}", random.Random(self.luck.random()), self.events.now, 1, roster
             )
-            made.changed = lambda change, n=n: self._changed(n, change)  # type: ignore[misc]
+            made.on_changed = lambda change, n=n: self._changed(n, change)  # type: ignore[misc]
             self.members.append(made)
             ticks = Ticks(self.events, made.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
-            made.timers.on_earlier_due = ticks.arm
+            made.context.timers.on_earlier_due = ticks.arm
             self.ticks.append(ticks)
             ticks.arm()
 
-    def _changed(self, observer: int, change: Change) -> None:
-        if change.record.state == State.DEAD:
+    def _changed(self, observer: int, change: MembershipChange) -> None:
+        if change.record.state == MemberState.DEAD:
             self.called_dead(observer, int(change.record.name[1:]), change.record.incarnation)
 
     def _tick(self, number: int) -> None:
@@ -157,25 +157,24 @@
 
     def _flush(self, number: int) -> None:
         member = self.members[number]
-        if member.out:
-            for to, packet in member.drain():
-                receiver = self.place[to]
-                self.carry(number, receiver, self._receive, receiver, packet)
+        for to, packet in member.take_outgoing():
+            receiver = self.place[to]
+            self.carry(number, receiver, self._receive, receiver, packet)
 
-    def _receive(self, number: int, packet: Packet) -> None:
+    def _receive(self, number: int, packet: Datagram) -> None:
         if self.up[number]:
             self.members[number].received(self.events.now, packet)
             self._flush(number)
 
     def crash(self, number: int) -> None:
         super().crash(number)
-        self.members[number].timers.heap.clear()
+        self.members[number].context.timers.heap.clear()
 
     def views(self) -> Counter[object]:
         return Counter(m.view.digest for n, m in enumerate(self.members) if self.up[n])
 
     def whole(self) -> bool:
-        return all(m.view.present == sum(self.up) for n, m in enumerate(self.members) if self.up[n])
+        return all(m.view.present_count == sum(self.up) for n, m in enumerate(self.members) if self.up[n])
 
 
 class Heartbeats(Net):
--- a/saltcart/lab/views.py
+++ b/saltcart/lab/views.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from saltcart.member.record import Record, State
-from saltcart.member.spread import Spread, tellings
-from saltcart.member.view import Roster, Rotation, View
+from saltcart.membership.dissemination import NewsQueue, retransmit_limit
+from saltcart.membership.member_record import MemberRecord, MemberState
+from saltcart.membership.view import MembershipSnapshot, MembershipView, ProbeRotation
 
 ROOM = 1000  # bytes of a packet for news
 VIEWS = 20  # members that hold the same list
@@ -25,17 +25,17 @@
     """Reports with how often each was told; sorted whenever some are taken."""
 
     def __init__(self) -> None:
-        self.told: dict[str, tuple[int, Record]] = {}
+        self.told: dict[str, tuple[int, MemberRecord]] = {}
 
-    def put(self, record: Record) -> None:
+    def put(self, record: MemberRecord) -> None:
         self.told[record.name] = 0, record
 
-    def take(self, room: int, most: int) -> list[Record]:
-        out = list[Record]()
+    def take(self, room: int, most: int) -> list[MemberRecord]:
+        out = list[MemberRecord]()
         for name, (times, record) in sorted(self.told.items(), key=lambda item: item[1][0]):
-            if record.size() > room:
+            if record.max_bytes() > room:
                 break
-            room -= record.size()
+            room -= record.max_bytes()
             out.append(record)
             self.told[name] = times + 1, record
             if times + 1 >= most:
@@ -74,23 +74,23 @@
 
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
     count = 2_000 if quick else 10_000
-    records = [Record(f"member-{n}", f"127.0.0.1:{n}", 1 << 40, zone="z1") for n in range(count)]
-    roster, rng = Roster(records), random.Random(seed)
+    records = [MemberRecord(f"member-{n}", f"127.0.0.1:{n}", 1 << 40, zone="z1") for n in range(count)]
+    roster, rng = MembershipSnapshot(records), random.Random(seed)
     out: dict[str, tuple[float, float]] = {}  # ours and the plain one's
 
-    def changed(view: View) -> View:
+    def changed(view: MembershipView) -> MembershipView:
         for record in records[:20]:
-            view.merge(record.said(State.DEAD, "x"), 0.0)
+            view.merge(record.reported_as(MemberState.DEAD, "x"), 0.0)
         return view
 
-    ours, _ = held(lambda: [changed(View(roster)) for _ in range(VIEWS)])
+    ours, _ = held(lambda: [changed(MembershipView(roster)) for _ in range(VIEWS)])
     plain, _ = held(lambda: [{r.name: r for r in records} for _ in range(VIEWS)])
     out["view, bytes each"] = ours / VIEWS, plain / VIEWS
 
-    def news(made: Spread | SortedNews) -> Callable[[int], object]:
+    def news(made: NewsQueue | SortedNews) -> Callable[[int], object]:
         for record in records[:500]:
             made.put(record)
-        most = tellings(count)
+        most = retransmit_limit(count)
 
         def step(n: int) -> None:
             made.put(records[n % 500])
@@ -98,20 +98,23 @@
 
         return step
 
-    out["news, ns a packet"] = timed(2_000, news(Spread())), timed(2_000, news(SortedNews()))
-    turns = Rotation(rng), Shuffled(rng)
+    out["news, ns a packet"] = timed(2_000, news(NewsQueue())), timed(2_000, news(SortedNews()))
+    turns = ProbeRotation(rng), Shuffled(rng)
     out["turn, ns each"] = (
         timed(5 * count, lambda n: turns[0].next(count)),
         timed(5 * count, lambda n: turns[1].next(count)),
     )
-    sizes = held(lambda: _walked(Rotation(rng), count))[0], held(lambda: _walked(Shuffled(rng), count))[0]
+    sizes = (
+        held(lambda: _walked(ProbeRotation(rng), count))[0],
+        held(lambda: _walked(Shuffled(rng), count))[0],
+    )
     out["turn, bytes"] = sizes[0], sizes[1]
-    view = View(roster)
+    view = MembershipView(roster)
 
     def made_anew(n: int) -> int:
         digest = 0
         for record in view:
-            digest ^= record.mark()
+            digest ^= record.fingerprint()
         return digest
 
     out["digest, ns each"] = timed(200, lambda n: view.digest), timed(5, made_anew)
@@ -123,6 +126,6 @@
     return rows, figures
 
 
-def _walked(turn: Rotation | Shuffled, size: int) -> Rotation | Shuffled:
+def _walked(turn: ProbeRotation | Shuffled, size: int) -> ProbeRotation | Shuffled:
     turn.next(size)
     return turn
--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -26,7 +26,7 @@
 from saltcart.locality.plan import Plan, row_of
 from saltcart.locality.settings import LocalitySettings
 from saltcart.locality.sites import Backend, Sites
-from saltcart.member.record import Record
+from saltcart.membership.member_record import MemberRecord
 
 STEP = 0.1  # seconds
 REGIONS, ZONES_EACH, MEMBERS_EACH = 3, 3, 4
@@ -136,10 +136,10 @@
     def speakers(self) -> Mapping[str, str]:
         return self.fleet.speakers(self.zone)
 
-    def post(self, topic: str, data: bytes) -> None:
+    def write_register(self, topic: str, data: bytes) -> None:
         self.fleet.post(self, topic, data)
 
-    def give(self, name: str, topic: str, data: bytes) -> None:
+    def send_direct(self, name: str, topic: str, data: bytes) -> None:
         self.fleet.give(self, int(name[1:]), topic, data)
 
 
@@ -303,7 +303,7 @@
     def give(self, sender: Common, to: int, topic: str, data: bytes) -> None:
         receiver = self.instances[to]
         assert isinstance(receiver, Common)
-        record = Record(sender.locality.name, "h:1", 1, zone=sender.locality.zone)
+        record = MemberRecord(sender.locality.name, "h:1", 1, zone=sender.locality.zone)
         self.after(
             self.luck.uniform(0.001, 0.01), lambda: receiver.locality.given(self.now, record, topic, data)
         )
--- a/saltcart/locality/instance.py
+++ b/saltcart/locality/instance.py
@@ -18,7 +18,7 @@
 from saltcart.locality.settings import LocalitySettings
 from saltcart.locality.shed import Shed
 from saltcart.locality.sites import Sites
-from saltcart.member.record import Record
+from saltcart.membership.member_record import MemberRecord
 
 PLAN, ZONE, REPORT = "locality/plan", "locality/zone/", "locality/report"
 ABROAD = 0.25  # tries in other zones than planned, for each request: more would be a herd of its own
@@ -30,8 +30,8 @@
     """Membership, as far as it is needed here."""
 
     def speakers(self) -> Mapping[str, str]: ...
-    def post(self, topic: str, data: bytes) -> None: ...
-    def give(self, name: str, topic: str, data: bytes) -> None: ...
+    def write_register(self, topic: str, data: bytes) -> None: ...
+    def send_direct(self, name: str, topic: str, data: bytes) -> None: ...
 
 
 class Locality:
@@ -66,7 +66,7 @@
 
     # ---- what others say ----------------------------------------------------------------------
 
-    def given(self, now: float, sender: Record, topic: str, data: bytes) -> None:
+    def given(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """``MalformedMessageError`` for a report that is none."""
         if topic == REPORT and sender.zone == self.zone:
             self.collector.take(now, sender.name, read_report(data))
@@ -110,18 +110,18 @@
             self.collector.take(now, self.name, report)
             summary = self.collector.summary(now)
             self._heard(now, summary)
-            self.fleet.post(ZONE + self.zone, encode_report(summary))
+            self.fleet.write_register(ZONE + self.zone, encode_report(summary))
             if self.name == min(speakers.values()):
                 self._propose(now, unix)
         elif spoken is not None:
-            self.fleet.give(spoken, REPORT, encode_report(report))
+            self.fleet.send_direct(spoken, REPORT, encode_report(report))
 
     def _propose(self, now: float, unix: float) -> None:
         """The first of all by name makes the plan that follows, if one does."""
         heard = {z: Heard(now - at, summary) for z, (at, summary) in self.summaries.items()}
         plan = propose(self.conf, self.sites, self.plan, heard, unix)
         if plan is not None:
-            self.fleet.post(PLAN, encode(plan))
+            self.fleet.write_register(PLAN, encode(plan))
 
     # ---- requests -----------------------------------------------------------------------------
 
--- a/saltcart/locality/reports.py
+++ b/saltcart/locality/reports.py
@@ -15,7 +15,7 @@
 from saltcart.locality.evidence import MEMBER_FADE, MEMBER_LAST, POOR, PROVEN, Proof, Tally, parts
 from saltcart.locality.outliers import Ends
 from saltcart.locality.settings import LocalitySettings
-from saltcart.member.record import Record
+from saltcart.membership.member_record import MemberRecord
 from saltcart.schema import unpack
 
 EVIDENCE = 3.0  # ends of late below which an instance's grade of a zone is no word on it
@@ -71,7 +71,7 @@
     return unpack(_summaries, data, "summary")
 
 
-def firsts(present: Iterable[Record]) -> dict[str, str]:
+def firsts(present: Iterable[MemberRecord]) -> dict[str, str]:
     """Who speaks for each zone: its first member by name."""
     out = dict[str, str]()
     for r in present:
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -14,8 +14,8 @@
 
 from saltcart.core.ports import Log
 from saltcart.decision.outcome import Outcome
-from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
+from saltcart.net.supervision import PeriodicTask
 from saltcart.wire import ajp
 from saltcart.wire.errors import MalformedMessageError
 
@@ -101,7 +101,7 @@
         self.chooser: Chooser | None = None
         self.tasks: dict[bytes, asyncio.Task[None]] = {}
         self.closed = False
-        self.sweeper = Turns(SWEEP, self._sweep)
+        self.sweeper = PeriodicTask(SWEEP, self._sweep)
 
     def spawn(self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float) -> None:
         if ident not in self.tasks:
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -7,8 +7,8 @@
 import orjson
 
 from saltcart.core.ports import Log
-from saltcart.net.alive import Kept
 from saltcart.net.base import Connection, address
+from saltcart.net.supervision import SupervisedTask
 from saltcart.wire import http1
 from saltcart.wire.errors import MalformedMessageError
 
@@ -45,7 +45,7 @@
         self.changed = asyncio.Event()
         self.failing = False
         self.connection: ReportConnection | None = None
-        self.kept = Kept("announcer", self._run, log)
+        self.kept = SupervisedTask("announcer", self._run, log)
 
     def set_accepting(self, on: bool) -> None:
         self.state = on
--- a/saltcart/net/base.py
+++ b/saltcart/net/base.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from saltcart.core.ports import Log
-from saltcart.net.alive import Kept
+from saltcart.net.supervision import SupervisedTask
 from saltcart.wire.buffer import Buffer
 
 
@@ -96,7 +96,7 @@
         self.name, self.peer, self.log = name, address(peer), log
         self.connection: LinkConnection | None = None
         self.ended = asyncio.Event()
-        self.kept = Kept(f"{name} link", self._run, log)
+        self.kept = SupervisedTask(f"{name} link", self._run, log)
 
     def make(self) -> LinkConnection:
         raise NotImplementedError
--- a/saltcart/net/evenly.py
+++ b/saltcart/net/evenly.py
@@ -10,18 +10,18 @@
 from saltcart.fleet.instance import Together
 from saltcart.fleet.settings import FleetSettings
 from saltcart.net.ajp import AjpUpstream
-from saltcart.net.boarded import Boarded
-from saltcart.net.gossip import Gossip
+from saltcart.net.membership_driver import MembershipDriver
+from saltcart.net.register_listener import RegisterListener
 
 
-class Evenly(Boarded):
+class Evenly(RegisterListener):
     """The chooser of one upstream whose members are shared out among the instances."""
 
     def __init__(
         self,
         conf: FleetSettings,
         upstream: UpstreamConf,
-        gossip: Gossip,
+        gossip: MembershipDriver,
         runs: AjpUpstream,
         seed: int,
         log: Log,
@@ -38,22 +38,22 @@
             self._load,
             self.loop.time(),
         )
-        self.given = self.together.given  # type: ignore[method-assign]
+        self.direct_message = self.together.given  # type: ignore[method-assign]
         runs.chooser = self
 
     def tick(self, now: float) -> None:
         self.together.tick(now)
 
-    def heard(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
+    def register_changed(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
         self.together.posted(now, topic, data)
 
     def _load(self, host: str) -> float:
         return self.runs.by_host[host].open + 1.0  # weights are for upstreams that are not shared out
 
     def present(self) -> Sequence[str]:
-        if self.names_at != self.detector.view.version:
-            self.names_at = self.detector.view.version
-            self.names = sorted(r.name for r in self.detector.view if r.present)
+        if self.names_at != self.member.view.version:
+            self.names_at = self.member.view.version
+            self.names = sorted(r.name for r in self.member.view if r.is_present)
         return self.names
 
     # ---- the upstream's chooser ---------------------------------------------------------------
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -11,8 +11,8 @@
 
 from saltcart.core.ports import DependencyCallEvents, Log
 from saltcart.decision.outcome import Outcome
-from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
+from saltcart.net.supervision import PeriodicTask
 from saltcart.wire import index as wire
 from saltcart.wire.errors import MalformedMessageError
 
@@ -92,7 +92,7 @@
         self.tasks = set[asyncio.Task[None]]()  # that connect
         self.idle: list[IndexConnection] = []  # the one used last is at the end
         self.waiting = deque[Call]()  # for a descriptor
-        self.sweeper = Turns(SWEEP, self._sweep)
+        self.sweeper = PeriodicTask(SWEEP, self._sweep)
 
     # ---- the port -----------------------------------------------------------------------------
 
--- a/saltcart/net/listener.py
+++ b/saltcart/net/listener.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from itertools import takewhile
 
-from saltcart.net.alive import Turns
 from saltcart.net.base import Connection, address
+from saltcart.net.supervision import PeriodicTask
 
 
 class ServerConnection(Connection):
@@ -131,7 +131,7 @@
         self.resting: dict[ServerConnection, None] = {}
         self.blocked: dict[ServerConnection, float] = {}  # since when the peer reads nothing
         self.server: asyncio.Server | None = None
-        self.turns = Turns(self.SWEEP, self._sweep)
+        self.turns = PeriodicTask(self.SWEEP, self._sweep)
 
     async def open(self) -> str:
         sock = self._bound() if self.inherited is None else socket.socket(fileno=os.dup(self.inherited))
--- a/saltcart/net/nearby.py
+++ b/saltcart/net/nearby.py
@@ -14,18 +14,18 @@
 from saltcart.locality.settings import LocalitySettings
 from saltcart.locality.sites import Backend, Sites
 from saltcart.net.ajp import AjpUpstream
-from saltcart.net.boarded import Boarded
-from saltcart.net.gossip import Gossip
+from saltcart.net.membership_driver import MembershipDriver
+from saltcart.net.register_listener import RegisterListener
 
 
-class Nearby(Boarded):
+class Nearby(RegisterListener):
     """The chooser of one upstream whose members are in zones."""
 
     def __init__(
         self,
         conf: LocalitySettings,
         upstream: UpstreamConf,
-        gossip: Gossip,
+        gossip: MembershipDriver,
         runs: AjpUpstream,
         seed: int,
         log: Log,
@@ -41,14 +41,14 @@
             conf,
             sites,
             gossip.name,
-            gossip.conf.zone,
+            gossip.settings.zone,
             random.Random(seed),
             self,
             self._load,
             self.loop.time(),
         )
         self.locality.changed = self._changed
-        self.given, self.heard = self.locality.given, self.locality.posted  # type: ignore[method-assign]
+        self.direct_message, self.register_changed = self.locality.given, self.locality.posted  # type: ignore[method-assign]
         runs.chooser = self
 
     def tick(self, now: float) -> None:
@@ -59,9 +59,9 @@
         return (member.open + 1) / member.weight
 
     def speakers(self) -> Mapping[str, str]:
-        if self.spoken_at != self.detector.view.version:
-            self.spoken_at = self.detector.view.version
-            self.spoken = firsts(r for r in self.detector.view if r.present)
+        if self.spoken_at != self.member.view.version:
+            self.spoken_at = self.member.view.version
+            self.spoken = firsts(r for r in self.member.view if r.is_present)
         return self.spoken
 
     # ---- the upstream's chooser ---------------------------------------------------------------
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,10 +14,10 @@
 from saltcart.lab.faults.links import Links, Passed, Relay, Rule, fate
 from saltcart.lab.faults.members import present, rig
 from saltcart.lab.faults.programs import RigError
-from saltcart.member import messages as m
-from saltcart.member.record import Record
-from saltcart.member.settings import MemberSettings
-from saltcart.net.gossip import Gossip
+from saltcart.membership import messages as m
+from saltcart.membership.member_record import MemberRecord
+from saltcart.membership.settings import MemberSettings
+from saltcart.net.membership_driver import MembershipDriver
 
 WAIT = 30.0  # seconds that a busy machine may take for what takes three
 
@@ -101,7 +101,7 @@
 def test_no_datagram_goes_where_a_peer_says_but_to_loopback() -> None:
     async def play() -> None:
         logged = list[tuple[str, dict[str, object]]]()
-        gossip = Gossip(
+        gossip = MembershipDriver(
             MemberSettings("127.0.0.1:0", "c"),
             "me",
             1,
@@ -111,8 +111,8 @@
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             asyncio.DatagramProtocol, remote_addr=(at[0], int(at[1]))
         )
-        stranger = Record("x", "somewhere.invalid:9", 1)
-        transport.sendto(m.encode(m.Packet(m.WIRE, "c", stranger, m.Ping(1))))
+        stranger = MemberRecord("x", "somewhere.invalid:9", 1)
+        transport.sendto(m.encode(m.Datagram(m.VERSION, "c", stranger, m.Ping(1))))
         transport.sendto(b"\xc1 no packet")
         async with asyncio.timeout(WAIT):
             while len({event for event, _ in logged} & {"member-unsent", "member-malformed"}) < 2:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from saltcart.fleet.shares import Share
 from saltcart.fleet.turns import GOLDEN, Retry, next_turn, phase, place_of
 from saltcart.lab import subsets
-from saltcart.member.record import Record
+from saltcart.membership.member_record import MemberRecord
 from saltcart.wire.errors import MalformedMessageError
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=6), max_size=40, unique=True)
@@ -189,13 +189,13 @@
     def present(self) -> Sequence[str]:
         return sorted(self.town.instances)
 
-    def post(self, topic: str, data: bytes) -> None:
+    def write_register(self, topic: str, data: bytes) -> None:
         for i in self.town.instances.values():
             i.posted(self.town.now, topic, data)
 
-    def give(self, name: str, topic: str, data: bytes) -> None:
+    def send_direct(self, name: str, topic: str, data: bytes) -> None:
         if name in self.town.instances:
-            self.town.instances[name].given(self.town.now, Record(self.name, "h:1", 1), topic, data)
+            self.town.instances[name].given(self.town.now, MemberRecord(self.name, "h:1", 1), topic, data)
 
 
 def test_all_members_get_the_same_number_of_clients_as_instances_come_and_go() -> None:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -35,7 +35,7 @@
 from saltcart.locality.settings import LocalitySettings, read_locality
 from saltcart.locality.shed import MOST_WORTHS, Shed
 from saltcart.locality.sites import Backend, Sites
-from saltcart.member.record import Record
+from saltcart.membership.member_record import MemberRecord
 from saltcart.wire.errors import MalformedMessageError
 
 CONF = LocalitySettings(upstream="work")
@@ -564,12 +564,12 @@
 
     def speakers(self) -> Mapping[str, str]:
         return firsts(
-            Record(n, "h:1", 1, zone=i.zone)
+            MemberRecord(n, "h:1", 1, zone=i.zone)
             for n, i in self.town.instances.items()
             if self.town.hears(self.zone, i.zone)
         )
 
-    def post(self, topic: str, data: bytes) -> None:
+    def write_register(self, topic: str, data: bytes) -> None:
         town = self.town
         number = max((i.number for i in town.instances.values() if town.hears(i.zone, self.zone)), default=0)
         number = number + 1 if topic == PLAN else 1
@@ -577,8 +577,8 @@
             if town.hears(i.zone, self.zone):
                 i.posted(town.now, topic, number, self.name, data)
 
-    def give(self, name: str, topic: str, data: bytes) -> None:
-        sender = Record(self.name, "h:1", 1, zone=self.zone)
+    def send_direct(self, name: str, topic: str, data: bytes) -> None:
+        sender = MemberRecord(self.name, "h:1", 1, zone=self.zone)
         self.town.instances[name].given(self.town.now, sender, topic, data)
 
 
--- a/tests/test_members_model.py
+++ b/tests/test_members_model.py
@@ -10,9 +10,10 @@
 from saltcart.cli import cli
 from saltcart.lab import members as model
 from saltcart.lab.members import Day, Seen, percentile
-from saltcart.member.detector import Detector
-from saltcart.member.record import State
-from saltcart.member.settings import MemberSettings
+from saltcart.membership.member_record import MemberState
+from saltcart.membership.settings import MemberSettings
+from saltcart.membership.suspicion import Suspicion
+from saltcart.membership.suspicion_tracker import SuspicionTracker
 
 
 def play(kind: str, day: Day, seed: int = 1) -> Seen:
@@ -49,13 +50,14 @@
 def test_without_the_rule_of_trying_oneself_and_without_waiting_the_healthy_die(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A suspicion that nobody may shorten or clear by knocking is what the guards are held against."""
-    monkeypatch.setattr(Detector, "_knock", lambda *_: None)
-    monkeypatch.setattr(
-        Detector,
-        "_ended",
-        lambda self, name, suspicion: self._declare(name) if self.suspicions.get(name) is suspicion else None,
-    )
+    """A suspicion that nobody may shorten or clear by trying on is what the guards are held against."""
+
+    def declare_dead(self: SuspicionTracker, name: str, suspicion: Suspicion) -> None:
+        if self.suspicions.get(name) is suspicion:
+            self._declare_dead(name)
+
+    monkeypatch.setattr(SuspicionTracker, "_keep_trying", lambda *_: None)
+    monkeypatch.setattr(SuspicionTracker, "_on_ended", declare_dead)
     conf = MemberSettings("127.0.0.1:0", "model", suspect_for=1.0, suspect_most=1.0)
     net = model.Swim(Day("loss", 15, 60.0, loss=0.4), 1, conf)
     assert net.run().deaths > 0
@@ -71,9 +73,9 @@
     one, other = net.members[0].view, net.members[1].view
     record = one.get("m5")
     assert record is not None
-    one.merge(record.said(State.DEAD, "m0"), net.events.now)
+    one.merge(record.reported_as(MemberState.DEAD, "m0"), net.events.now)
     held = other.get("m5")
-    assert held is not None and held.state == State.ALIVE and one.digest != other.digest
+    assert held is not None and held.state == MemberState.ALIVE and one.digest != other.digest
 
 
 def test_the_structures_are_smaller_or_quicker_than_plain_ones() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,7 +31,7 @@
     "saltcart.fleet",
     "saltcart.lab",
     "saltcart.locality",
-    "saltcart.member",
+    "saltcart.membership",
     "saltcart.storm",
     "simpy",
     "xxhash",
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -22,11 +22,11 @@
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment
-from saltcart.member import messages
-from saltcart.member.board import Post
-from saltcart.member.detector import Detector
-from saltcart.member.record import Record, State
-from saltcart.member.settings import MemberSettings
+from saltcart.membership import messages
+from saltcart.membership.member import Member
+from saltcart.membership.member_record import MemberRecord, MemberState
+from saltcart.membership.settings import MemberSettings
+from saltcart.membership.shared_registers import RegisterValue
 from saltcart.wire import handover
 from tests.fakes import World
 from tests.standins import Pool, ident, running
@@ -37,21 +37,21 @@
 LOAD, CONNECTIONS = PredecessorLoad(3, 1, 120.5), 7
 PASSED = {"front": "http", "rests": True, "age": 1.5}
 
-MEMBER = Record("m1", "127.0.0.1:7946", 1000, State.ALIVE, "kranj", "si", "m1")
+MEMBER = MemberRecord("m1", "127.0.0.1:7946", 1000, MemberState.ALIVE, "kranj", "si", "m1")
 NEWS = [
-    Record("m2", "127.0.0.1:7947", 2000, State.SUSPECT, "kranj", "si", "m1"),
-    Record("m3", "127.0.0.1:7948", 3000, State.DEAD),
+    MemberRecord("m2", "127.0.0.1:7947", 2000, MemberState.SUSPECT, "kranj", "si", "m1"),
+    MemberRecord("m3", "127.0.0.1:7948", 3000, MemberState.DEAD),
 ]
 MESSAGES: dict[str, messages.Message] = {
     "ping": messages.Ping(7),
     "ack": messages.Ack(7),
-    "ask": messages.Ask(8, "m2", "127.0.0.1:7947"),
+    "ask": messages.PingRequest(8, "m2", "127.0.0.1:7947"),
     "nack": messages.Nack(8),
-    "tell": messages.Tell(),
-    "digest": messages.Digest(1 << 63),
-    "parts": messages.Parts([0, 1, 1 << 63]),
-    "records": messages.Records([0, 63]),
-    "give": messages.Give("load", b"\x01\x02"),
+    "tell": messages.Gossip(),
+    "digest": messages.ViewDigest(1 << 63),
+    "parts": messages.BucketDigests([0, 1, 1 << 63]),
+    "records": messages.BucketRecords([0, 63]),
+    "give": messages.DirectMessage("load", b"\x01\x02"),
 }
 
 
@@ -144,18 +144,18 @@
 @pytest.mark.parametrize("name", [*MESSAGES])
 def test_a_datagram_is_written_and_read_as_before(name: str) -> None:
     news = NEWS if name in ("tell", "records", "ping") else []
-    posts = [Post("plan", 4, "m2", b"\x00data")] if name == "tell" else []
-    packet = messages.Packet(messages.WIRE, "lj", MEMBER, MESSAGES[name], news, posts)
+    posts = [RegisterValue("plan", 4, "m2", b"\x00data")] if name == "tell" else []
+    packet = messages.Datagram(messages.VERSION, "lj", MEMBER, MESSAGES[name], news, posts)
     assert messages.encode(packet) == datagram(name)
     assert messages.decode(datagram(name)) == packet
 
 
 def test_a_recorded_probe_gets_the_recorded_answer() -> None:
     settings = MemberSettings("127.0.0.1:0", "lj")
-    member = Detector(settings, "m9", "127.0.0.1:7999", random.Random(1), 100.0, 9000)
-    member.drain()
+    member = Member(settings, "m9", "127.0.0.1:7999", random.Random(1), 100.0, 9000)
+    member.take_outgoing()
     member.received(100.0, messages.decode(datagram("ping")))
-    ((address, answer),) = member.drain()
+    ((address, answer),) = member.take_outgoing()
     assert address == MEMBER.address and messages.encode(answer) == datagram("answer-to-ping")
 
 
