--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -31,9 +31,9 @@
 
 if TYPE_CHECKING:
     from saltcart.net.composer import Composer
-    from saltcart.net.evenly import Evenly
+    from saltcart.net.locality_driver import LocalityDriver
     from saltcart.net.membership_driver import MembershipDriver
-    from saltcart.net.nearby import Nearby
+    from saltcart.net.subset_driver import SubsetDriver
     from saltcart.storm.damper import Damper
 
 Reply = tuple[int, Any]
@@ -56,8 +56,8 @@
         composer: Composer | None = None,
         damper: Callable[[], Damper | None] = lambda: None,
         gossip: MembershipDriver | None = None,
-        nearby: Nearby | None = None,
-        evenly: Evenly | None = None,
+        nearby: LocalityDriver | None = None,
+        evenly: SubsetDriver | None = None,
     ) -> None:
         self.service, self.registry, self.token = service, registry, token.encode()
         self.composer, self.damper, self.gossip = composer, damper, gossip
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -34,9 +34,9 @@
     from saltcart.budget.plan import Plans
     from saltcart.membership.settings import MemberSettings
     from saltcart.net.composer import Composer
-    from saltcart.net.evenly import Evenly
+    from saltcart.net.locality_driver import LocalityDriver
     from saltcart.net.membership_driver import MembershipDriver
-    from saltcart.net.nearby import Nearby
+    from saltcart.net.subset_driver import SubsetDriver
     from saltcart.storm.damper import Damper
     from saltcart.storm.settings import StormSettings
 
@@ -93,8 +93,8 @@
         self.composer: Composer | None = None
         self.damper: Damper | None = None
         self.gossip: MembershipDriver | None = None
-        self.nearby: Nearby | None = None
-        self.evenly: Evenly | None = None
+        self.locality: LocalityDriver | None = None
+        self.subsets: SubsetDriver | None = None
         self.runs: WorkerPool | None = None  # set before the start: in the place of a pool or upstreams
         self.ticker: Ticker | None = None
 
@@ -168,8 +168,8 @@
                 self.composer,
                 lambda: self.damper,
                 self.gossip,
-                self.nearby,
-                self.evenly,
+                self.locality,
+                self.subsets,
             )
             await self._listen(
                 "admin",
@@ -209,9 +209,9 @@
             return
         known, seed = {u.name: u for u in self.deployment.upstreams}, self.conf.seed
         if locality is not None:
-            from saltcart.net.nearby import Nearby
+            from saltcart.net.locality_driver import LocalityDriver
 
-            self.nearby = Nearby(
+            self.locality = LocalityDriver(
                 locality,
                 known[locality.upstream],
                 self.gossip,
@@ -220,11 +220,11 @@
                 self.log,
                 {c.name: c.priority_weight for c in self.service.settings.classes},
             )
-            self.service.figure_sources.append(self.nearby.locality.figures)
+            self.service.figure_sources.append(self.locality.router.figures)
         if fleet is not None:
-            from saltcart.net.evenly import Evenly
+            from saltcart.net.subset_driver import SubsetDriver
 
-            self.evenly = Evenly(
+            self.subsets = SubsetDriver(
                 fleet,
                 known[fleet.upstream],
                 self.gossip,
@@ -232,7 +232,7 @@
                 seed + 2,
                 self.log,
             )
-            self.service.figure_sources.append(self.evenly.together.figures)
+            self.service.figure_sources.append(self.subsets.balancer.figures)
 
     def _compose(self, plans: Plans, upstreams: Upstreams) -> None:
         """Answers of the plans' classes are made of several dependencies' replies."""
@@ -328,7 +328,7 @@
             self.takeover.close()
         for listener in self.listeners:
             listener.close()
-        for part in (self.nearby, self.evenly, self.pool, self.index, self.announcer, self.gossip):
+        for part in (self.locality, self.subsets, self.pool, self.index, self.announcer, self.gossip):
             if part is not None:
                 part.close()
         if self.composer is not None:
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -19,10 +19,10 @@
 
 if TYPE_CHECKING:
     from saltcart.budget.plan import Plans
-    from saltcart.fleet.settings import FleetSettings
     from saltcart.locality.settings import LocalitySettings
     from saltcart.membership.settings import MemberSettings
     from saltcart.storm.settings import StormSettings
+    from saltcart.subsetting.settings import FleetSettings
 
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
 LOOPBACK = re.compile(r"(127(\.\d{1,3}){3}|localhost):")
@@ -241,7 +241,7 @@
             locality = locality if locality.enabled else None
         fleet = None
         if "fleet" in f.raw:
-            from saltcart.fleet.settings import read_fleet
+            from saltcart.subsetting.settings import read_fleet
 
             fleet = read_fleet(f.section("fleet").raw)
             check_fleet(fleet, member, upstreams, locality)
--- a/saltcart/lab/subsets.py
+++ b/saltcart/lab/subsets.py
@@ -14,10 +14,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
-from saltcart.fleet.classes import digest, follow
-from saltcart.fleet.shares import Share
-from saltcart.fleet.turns import Retry, next_turn
 from saltcart.lab.faults import subsets as rig
+from saltcart.subsetting.shared_rate_limit import SharedRateLimit
+from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered
+from saltcart.subsetting.subset_assignment import digest, next_assignment
 
 SUBSET = 25  # members of an instance in the large fleets: with fewer, classes differ more in demand
 Links = dict[str, frozenset[str]]  # by instance: its upstreams
@@ -48,8 +48,8 @@
         self.instances: dict[str, int] = {}
 
     def links(self, state: State) -> Links:
-        self.upstreams = follow(self.upstreams, state.upstreams, self.classes)
-        self.instances = follow(self.instances, state.instances, self.classes)
+        self.upstreams = next_assignment(self.upstreams, state.upstreams, self.classes)
+        self.instances = next_assignment(self.instances, state.instances, self.classes)
         parts = [frozenset(u for u, c in self.upstreams.items() if c == n) for n in range(self.classes)]
         return {i: parts[c] for i, c in self.instances.items()}
 
@@ -196,7 +196,7 @@
     Demand moves between instances all the time; each hears the sum half a second late.
     """
     luck, count, limit, all_sent = random.Random(seed), 50 if quick else 200, 1000.0, 0
-    shares = [Share(limit) for _ in range(count)]
+    shares = [SharedRateLimit(limit) for _ in range(count)]
     demand = [luck.expovariate(1.0) for _ in range(count)]
     told, late, worst, sent = [0.0] * count, [0.0] * count, 0.0, 0
     for step in range(600 if quick else 3_000):
@@ -228,7 +228,7 @@
     luck, ticks = random.Random(seed), Counter[int]()
     for n in range(count):
         if kind == "turns":
-            at, retry = next_turn(100.0, 1.0, n), Retry(0.5, 8.0)
+            at, retry = next_staggered(100.0, 1.0, n), StaggeredBackoff(0.5, 8.0)
             moments = [at + k for k in range(3)] + [retry.failed(100.0, n) + 1000]
         elif kind == "fixed":
             moments = [100.0 + k for k in range(3)] + [1100.5]
--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -20,12 +20,12 @@
 
 import numpy as np
 
-from saltcart.locality.evidence import Tally
-from saltcart.locality.instance import Locality
-from saltcart.locality.outliers import Outliers
-from saltcart.locality.plan import Plan, row_of
+from saltcart.locality.evidence import OutcomeCounts
+from saltcart.locality.failover_plan import FailoverPlan, row_of
+from saltcart.locality.outlier_detection import OutlierDetector
 from saltcart.locality.settings import LocalitySettings
-from saltcart.locality.sites import Backend, Sites
+from saltcart.locality.topology import Endpoint, ZoneTopology
+from saltcart.locality.zone_router import ZoneRouter
 from saltcart.membership.member_record import MemberRecord
 
 STEP = 0.1  # seconds
@@ -113,7 +113,7 @@
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.number = fleet, number
         self.zone = number % len(fleet.sites.zones)
-        self.locality = Locality(
+        self.locality = ZoneRouter(
             CONF,
             fleet.sites,
             f"i{number:05}",
@@ -123,8 +123,9 @@
             fleet.load,
             0.0,
         )
-        self.locality.changed = lambda plan, n, by: fleet.planned(plan)
-        self.arrived, self.ended = self.locality.arrived, self.locality.ended  # type: ignore[method-assign]
+        self.locality.on_plan_changed = lambda plan, n, by: fleet.planned(plan)
+        self.arrived = self.locality.record_arrival  # type: ignore[method-assign, assignment]
+        self.ended = self.locality.record_outcome  # type: ignore[method-assign, assignment]
 
     def choose(self, now: float, tried: set[str], worth: float) -> str | None:
         return self.locality.choose(now, tried, True, worth)
@@ -133,7 +134,7 @@
         self.locality.tick(now, now)
 
     # the port
-    def speakers(self) -> Mapping[str, str]:
+    def zone_leaders(self) -> Mapping[str, str]:
         return self.fleet.speakers(self.zone)
 
     def write_register(self, topic: str, data: bytes) -> None:
@@ -147,7 +148,7 @@
     """Round robin over all members, with further tries where one refuses."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
-        self.hosts = [b.host for b in fleet.sites.backends]
+        self.hosts = [b.host for b in fleet.sites.endpoints]
         self.at = fleet.luck.randrange(len(self.hosts))
 
     def choose(self, now: float, tried: set[str], worth: float) -> str | None:
@@ -160,9 +161,9 @@
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.own = fleet, number % len(fleet.sites.zones)
-        self.outliers = Outliers(CONF, fleet.sites.members)
+        self.outliers = OutlierDetector(CONF, fleet.sites.members)
         self.luck = random.Random(fleet.luck.random())
-        self.ends = [Tally(ALONE_HALF_LIFE) for _ in fleet.sites.zones]
+        self.ends = [OutcomeCounts(ALONE_HALF_LIFE) for _ in fleet.sites.zones]
 
     def healthy(self, now: float, zone: int) -> bool:
         ends = self.ends[zone]
@@ -171,17 +172,17 @@
         return min(share, self.outliers.grade(now, zone)[0]) >= CONF.panic
 
     def choose(self, now: float, tried: set[str], worth: float) -> str | None:
-        if not tried and (host := self.outliers.on_trial(now, self.own, False)) is not None:
+        if not tried and (host := self.outliers.next_trial(now, self.own, False)) is not None:
             return host
         sound = [z for z in range(len(self.fleet.sites.zones)) if self.healthy(now, z)]
         zones = [self.own] if self.own in sound else sound or [self.own]
         zone = self.luck.choice(zones)
-        hosts = [h for h in self.outliers.able(now, zone) if h not in tried]
+        hosts = [h for h in self.outliers.usable_endpoints(now, zone) if h not in tried]
         return self.luck.choice(hosts) if hosts else None
 
     def ended(self, now: float, host: str, good: bool, took: float, refused: bool = False) -> None:
         self.ends[self.fleet.zone_of[host]].add(now, good, not good)
-        self.outliers.ended(now, host, good, took, refused)
+        self.outliers.record_outcome(now, host, good, took, refused)
 
 
 POLICIES: dict[str, Callable[[Fleet, int], Policy]] = {"common": Common, "alone": Alone, "even": Even}
@@ -194,14 +195,14 @@
         self.day, self.luck, self.now = day, random.Random(seed), 0.0
         count = REGIONS * ZONES_EACH
         capacity = RATE * day.instances / count * SPARE / MEMBERS_EACH
-        self.sites = Sites(
-            Backend(f"z{z}m{m}", f"z{z}", f"r{z // ZONES_EACH}", capacity)
+        self.sites = ZoneTopology(
+            Endpoint(f"z{z}m{m}", f"z{z}", f"r{z // ZONES_EACH}", capacity)
             for z in range(count)
             for m in range(MEMBERS_EACH)
         )
         self.capacity = capacity
-        self.free_at = {b.host: 0.0 for b in self.sites.backends}  # when a member has done what it took
-        self.zone_of = {b.host: self.sites.number[b.zone] for b in self.sites.backends}
+        self.free_at = {b.host: 0.0 for b in self.sites.endpoints}  # when a member has done what it took
+        self.zone_of = {b.host: self.sites.zone_numbers[b.zone] for b in self.sites.endpoints}
         self.order = itertools.count()
         self.later: list[tuple[float, int, Callable[[], None]]] = []
         self.latest: dict[tuple[bool, str], tuple[int, str, bytes, int]] = {}
@@ -274,13 +275,13 @@
         for n, instance in enumerate(self.instances):
             assert isinstance(instance, Common)
             if instance is author:
-                instance.locality.posted(self.now, topic, before + 1, name, data)
+                instance.locality.on_register_changed(self.now, topic, before + 1, name, data)
                 continue
             if not self.sides() or (instance.zone == self.day.cut) == side:
                 wait = self.luck.uniform(*HEARD) + (5.0 if n in self.day.late else 0.0)
                 self.after(
                     wait,
-                    lambda i=instance, k=before + 1: i.locality.posted(  # type: ignore[misc]
+                    lambda i=instance, k=before + 1: i.locality.on_register_changed(  # type: ignore[misc]
                         self.now, topic, k, name, data
                     ),
                 )
@@ -296,7 +297,7 @@
                 self.after(
                     self.luck.uniform(0.5, 3.0),
                     lambda i=instance, t=topic, v=(number, name, data): (  # type: ignore[misc]
-                        i.locality.posted(self.now, t, *v)
+                        i.locality.on_register_changed(self.now, t, *v)
                     ),
                 )
 
@@ -305,10 +306,11 @@
         assert isinstance(receiver, Common)
         record = MemberRecord(sender.locality.name, "h:1", 1, zone=sender.locality.zone)
         self.after(
-            self.luck.uniform(0.001, 0.01), lambda: receiver.locality.given(self.now, record, topic, data)
+            self.luck.uniform(0.001, 0.01),
+            lambda: receiver.locality.on_direct_message(self.now, record, topic, data),
         )
 
-    def planned(self, plan: Plan) -> None:
+    def planned(self, plan: FailoverPlan) -> None:
         """Somebody took up another plan; what is new to all is a move."""
         if plan.rows != self.seen_rows:
             before, self.seen_rows = self.seen_rows, plan.rows
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -28,7 +28,7 @@
     "msgspec",
     "numpy",
     "saltcart.budget",
-    "saltcart.fleet",
+    "saltcart.subsetting",
     "saltcart.lab",
     "saltcart.locality",
     "saltcart.membership",
--- a/tests/test_fleet.py
+++ b/tests/test_subsetting.py
@@ -13,13 +13,21 @@
 from hypothesis import strategies as st
 
 from saltcart.field_reader import InvalidFieldError
-from saltcart.fleet.classes import PARTS, encode_part, follow, part_of, preferred, read_part, short
-from saltcart.fleet.instance import INSTANCES, MEMBERS, SUM, Together
-from saltcart.fleet.settings import FleetSettings, read_fleet
-from saltcart.fleet.shares import Share
-from saltcart.fleet.turns import GOLDEN, Retry, next_turn, phase, place_of
 from saltcart.lab import subsets
 from saltcart.membership.member_record import MemberRecord
+from saltcart.subsetting.settings import FleetSettings, read_fleet
+from saltcart.subsetting.shared_rate_limit import SharedRateLimit
+from saltcart.subsetting.staggering import GOLDEN_RATIO, StaggeredBackoff, next_staggered, phase, position_of
+from saltcart.subsetting.subset_assignment import (
+    BUCKETS,
+    bucket_of,
+    encode_bucket,
+    next_assignment,
+    read_bucket,
+    rendezvous_class,
+    short_digest,
+)
+from saltcart.subsetting.subset_balancer import DEMAND_TOPIC, INSTANCES_TOPIC, MEMBERS_TOPIC, SubsetBalancer
 from saltcart.wire.errors import MalformedMessageError
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=6), max_size=40, unique=True)
@@ -30,7 +38,7 @@
 
 @given(NAMES, NAMES, st.integers(1, 6))
 def test_classes_are_of_equal_size(before: list[str], after: list[str], classes: int) -> None:
-    table = follow(follow({}, before, classes), after, classes)
+    table = next_assignment(next_assignment({}, before, classes), after, classes)
     sizes = Counter(table.values())
     assert set(table) == set(after) and all(0 <= c < classes for c in table.values())
     assert max(sizes.values(), default=0) - min((sizes[c] for c in range(classes)), default=0) <= 1
@@ -38,18 +46,18 @@
 
 @given(NAMES, st.text("xyz", min_size=1, max_size=3), st.integers(1, 6))
 def test_a_join_moves_nobody_and_a_leave_one_at_most(names: list[str], new: str, classes: int) -> None:
-    table = follow({}, names, classes)
-    joined = follow(table, [*names, new], classes)
+    table = next_assignment({}, names, classes)
+    joined = next_assignment(table, [*names, new], classes)
     assert {n: joined[n] for n in names} == table
-    left = follow(joined, names, classes)
+    left = next_assignment(joined, names, classes)
     assert sum(left[n] != joined[n] for n in names) <= 1
 
 
 @given(NAMES, NAMES, st.integers(1, 6))
 def test_no_more_names_move_than_must(before: list[str], after: list[str], classes: int) -> None:
     """What is over in the classes once those gone have left and those new have taken what is free."""
-    table = follow({}, before, classes)
-    moved = sum(follow(table, after, classes)[n] != table[n] for n in after if n in table)
+    table = next_assignment({}, before, classes)
+    moved = sum(next_assignment(table, after, classes)[n] != table[n] for n in after if n in table)
     kept = Counter(table[n] for n in after if n in table)
     whole, rest = divmod(len(set(after)), classes)
     tops = sorted((kept[c] for c in range(classes)), reverse=True)
@@ -61,35 +69,35 @@
 def test_the_same_follows_in_whatever_order(names: list[str], classes: int, luck: random.Random) -> None:
     shuffled = list(names)
     luck.shuffle(shuffled)
-    assert follow({}, names, classes) == follow({}, shuffled, classes)
+    assert next_assignment({}, names, classes) == next_assignment({}, shuffled, classes)
 
 
 @given(NAMES, st.integers(1, 6))
 def test_a_table_comes_over_in_its_parts(names: list[str], classes: int) -> None:
-    table = follow({}, names, classes)
-    parts = [read_part(encode_part(table, part), classes) for part in range(PARTS)]
-    assert all(parts[part_of(n)][short(n)] == c for n, c in table.items())
-    assert sum(len(p) for p in parts) == len({(part_of(n), short(n)) for n in names})
+    table = next_assignment({}, names, classes)
+    parts = [read_bucket(encode_bucket(table, part), classes) for part in range(BUCKETS)]
+    assert all(parts[bucket_of(n)][short_digest(n)] == c for n, c in table.items())
+    assert sum(len(p) for p in parts) == len({(bucket_of(n), short_digest(n)) for n in names})
 
 
 def test_what_is_no_part_is_malformed_and_two_thousand_names_fit() -> None:
-    for wrong in (b"\xc1", encode_part({"a": 5}, part_of("a"))):
+    for wrong in (b"\xc1", encode_bucket({"a": 5}, bucket_of("a"))):
         with pytest.raises(MalformedMessageError):
-            read_part(wrong, 2)
-    table = follow({}, [f"instance-{n}" for n in range(2000)], 25)
-    assert max(len(encode_part(table, part)) for part in range(PARTS)) <= 900
+            read_bucket(wrong, 2)
+    table = next_assignment({}, [f"instance-{n}" for n in range(2000)], 25)
+    assert max(len(encode_bucket(table, part)) for part in range(BUCKETS)) <= 900
 
 
 # ---- shares -----------------------------------------------------------------------------------
 
 
 def test_parts_add_up_to_the_whole_and_who_is_not_counted_has_an_equal_one() -> None:
-    demands, shares = [5.0, 20.0, 75.0], [Share(100.0) for _ in range(3)]
+    demands, shares = [5.0, 20.0, 75.0], [SharedRateLimit(100.0) for _ in range(3)]
     for share, demand in zip(shares, demands):
         share.confirm(10.0, demand, sum(demands), 3)
     rates = [share.rate(10.0, 3) for share in shares]
     assert sum(rates) == pytest.approx(100.0) and rates == sorted(rates) and rates[0] > 5.0
-    assert Share(90.0).rate(10.0, 3) == pytest.approx(30.0)
+    assert SharedRateLimit(90.0).rate(10.0, 3) == pytest.approx(30.0)
     assert shares[2].rate(40.0, 3) == pytest.approx(100 / 3, rel=0.01)  # nobody has confirmed it for long
 
 
@@ -111,26 +119,26 @@
 def test_a_turn_comes_once_a_period() -> None:
     at, turns = 100.0, list[float]()
     for _ in range(5):
-        at = next_turn(at, 2.0, 7)
+        at = next_staggered(at, 2.0, 7)
         turns.append(at)
     assert [b - a for a, b in pairwise(turns)] == pytest.approx([2.0] * 4)
-    assert turns[0] % 2.0 == pytest.approx(2.0 * (7 * GOLDEN % 1.0))
+    assert turns[0] % 2.0 == pytest.approx(2.0 * (7 * GOLDEN_RATIO % 1.0))
 
 
 def test_retries_wait_longer_each_time_and_not_together() -> None:
-    moments = [Retry(0.5, 8.0).failed(100.0, n) for n in range(400)]
+    moments = [StaggeredBackoff(0.5, 8.0).failed(100.0, n) for n in range(400)]
     assert all(100.25 <= m <= 101.01 for m in moments)
     assert max(Counter(int(m * 100) for m in moments).values()) / 400 <= 0.05
-    retry, waits = Retry(0.5, 8.0), list[float]()
+    retry, waits = StaggeredBackoff(0.5, 8.0), list[float]()
     for _ in range(8):
         waits.append(retry.failed(100.0, 3) - 100.0)
     assert waits[-1] <= 12.0 and max(waits) > 4.0
-    retry.went_well()
+    retry.succeeded()
     assert retry.failed(100.0, 3) - 100.0 == waits[0]
 
 
 def test_a_place_is_that_among_the_sorted_names() -> None:
-    assert [place_of(n, ["a", "c", "e"]) for n in ("a", "c", "d")] == [0, 1, 2]
+    assert [position_of(n, ["a", "c", "e"]) for n in ("a", "c", "d")] == [0, 1, 2]
 
 
 # ---- the model --------------------------------------------------------------------------------
@@ -156,18 +164,18 @@
     def __init__(self, count: int, hosts: int, capacity: float = 0.0, **more: Any) -> None:
         self.now, self.conf = 100.0, FleetSettings(upstream="u", **more)
         self.hosts = {f"h{n}": capacity for n in range(hosts)}
-        self.instances = dict[str, Together]()
+        self.instances = dict[str, SubsetBalancer]()
         for n in range(count):
             self.join(f"i{n:02}")
 
     def join(self, name: str) -> None:
-        self.instances[name] = Together(
+        self.instances[name] = SubsetBalancer(
             self.conf, self.hosts, name, random.Random(name), Port(self, name), lambda host: 1.0, self.now
         )
         if len(self.instances) > 1:  # what it missed comes with the next comparison
             other = next(i for n, i in self.instances.items() if n != name)
             self.instances[name].tables = {k: dict(v) for k, v in other.tables.items()}
-            self.instances[name]._moved()
+            self.instances[name]._update_subset()
 
     def run(self, seconds: float, demand: float = 0.0) -> None:
         luck = random.Random(3)
@@ -175,7 +183,7 @@
             self.now += 0.05
             for i in list(self.instances.values()):
                 if luck.random() < demand * 0.05:
-                    i.arrived(self.now)
+                    i.admit(self.now)
                 i.tick(self.now)
 
     def clients(self) -> Counter[str]:
@@ -191,11 +199,13 @@
 
     def write_register(self, topic: str, data: bytes) -> None:
         for i in self.town.instances.values():
-            i.posted(self.town.now, topic, data)
+            i.on_register_changed(self.town.now, topic, data)
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
         if name in self.town.instances:
-            self.town.instances[name].given(self.town.now, MemberRecord(self.name, "h:1", 1), topic, data)
+            self.town.instances[name].on_direct_message(
+                self.town.now, MemberRecord(self.name, "h:1", 1), topic, data
+            )
 
 
 def test_all_members_get_the_same_number_of_clients_as_instances_come_and_go() -> None:
@@ -218,25 +228,27 @@
     busy = town.instances["i01"]
     for _ in range(400):
         town.now += 0.02
-        busy.arrived(town.now)
+        busy.admit(town.now)
         for i in town.instances.values():
             i.tick(town.now)
-    rates = {n: i.share.rate(town.now, i.clients()) for n, i in town.instances.items()}
+    rates = {n: i.rate_limit.rate(town.now, i.client_count()) for n, i in town.instances.items()}
     assert rates["i01"] > 0.8 * 80 and sum(rates.values()) <= 1.05 * 80
-    assert busy.refused < 20
+    assert busy.rejected_count < 20
 
 
 def test_what_is_past_the_limit_is_refused_at_once() -> None:
     town = Town(2, 2, capacity=5.0, classes=1)
     town.run(3.0)
-    before = {n: i.refused for n, i in town.instances.items()}
+    before = {n: i.rejected_count for n, i in town.instances.items()}
     let_in = 0
     for _ in range(1000):
         town.now += 0.01
         for i in town.instances.values():
-            let_in += i.arrived(town.now)
+            let_in += i.admit(town.now)
             i.tick(town.now)
-    assert let_in <= 10 * 10 * 1.05 + 6 and all(i.refused > before[n] for n, i in town.instances.items())
+    assert let_in <= 10 * 10 * 1.05 + 6 and all(
+        i.rejected_count > before[n] for n, i in town.instances.items()
+    )
 
 
 def test_further_tries_leave_the_subset_only_when_it_is_used_up() -> None:
@@ -258,7 +270,7 @@
     one.load = lambda host: 1.0  # of its own it has nothing there
     drawn = Counter(one.choose(town.now, set()) for _ in range(400))
     assert drawn["h0"] < 60  # only where both draws are the busy one
-    one.shared = {}
+    one.subset_loads = {}
     assert Counter(one.choose(town.now, set()) for _ in range(400))["h0"] > 60
 
 
@@ -267,27 +279,27 @@
     town.run(3.0)
     waits = []
     for i in town.instances.values():
-        i.ended(town.now, "h0", False, True)
+        i.record_outcome(town.now, "h0", False, True)
         assert all(i.choose(town.now, set()) != "h0" for _ in range(60))
-        waits.append(i.resting["h0"] - town.now)
+        waits.append(i.resting_until["h0"] - town.now)
         assert any(i.choose(town.now + waits[-1], set()) == "h0" for _ in range(60))
     assert len({round(w, 2) for w in waits}) == 4 and max(waits) <= 1.0  # not two at the same moment
     one = town.instances["i00"]
     for _ in range(4):
-        one.ended(town.now, "h0", False, True)
-    assert one.resting["h0"] - town.now > 2.0
-    one.ended(town.now, "h0", True, False)
-    assert "h0" not in one.resting
+        one.record_outcome(town.now, "h0", False, True)
+    assert one.resting_until["h0"] - town.now > 2.0
+    one.record_outcome(town.now, "h0", True, False)
+    assert "h0" not in one.resting_until
 
 
 def test_who_knows_no_table_still_has_a_class() -> None:
     town = Town(1, 6)
     one = town.instances["i00"]
-    assert one.own == preferred("i00", 2) and one.subset
-    for topic in (f"{MEMBERS}0", f"{INSTANCES}3", f"{SUM}1"):
+    assert one.own_class == rendezvous_class("i00", 2) and one.subset
+    for topic in (f"{MEMBERS_TOPIC}0", f"{INSTANCES_TOPIC}3", f"{DEMAND_TOPIC}1"):
         with pytest.raises(MalformedMessageError):
-            one.posted(1.0, topic, b"\xc1")
-    one.posted(1.0, "fleet/members/x", b"\xc1")  # no topic of ours
+            one.on_register_changed(1.0, topic, b"\xc1")
+    one.on_register_changed(1.0, "fleet/members/x", b"\xc1")  # no topic of ours
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -23,16 +23,17 @@
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment
-from saltcart.fleet.instance import Sum, Told
-from saltcart.locality.plan import Plan, Trust, read_plan
-from saltcart.locality.plan import encode as encode_plan
-from saltcart.locality.reports import Report, Summary, read_report, read_summary
-from saltcart.locality.reports import encode as encode_report
+from saltcart.locality.failover_plan import FailoverPlan, read_plan
+from saltcart.locality.failover_plan import encode as encode_plan
+from saltcart.locality.load_reports import InstanceReport, ZoneSummary, read_report, read_summary
+from saltcart.locality.load_reports import encode as encode_report
+from saltcart.locality.zone_trust import ZoneTrust
 from saltcart.membership import messages
 from saltcart.membership.member import Member
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.settings import MemberSettings
 from saltcart.membership.shared_registers import RegisterValue
+from saltcart.subsetting.subset_balancer import InstanceLoadReport, SubsetDemand
 from saltcart.wire import handover
 from tests.fakes import World
 from tests.standins import Pool, ident, running
@@ -222,15 +223,15 @@
 
 
 def test_a_recorded_plan_is_read_and_written_as_before() -> None:
-    trust = [Trust(0, 1, 250, 2, 1764576015.0, 900, 1764575990.1)]
-    plan = Plan(1764576000.5, {0: {0: 700, 1: 300}, 2: {}}, trust)
+    trust = [ZoneTrust(0, 1, 250, 2, 1764576015.0, 900, 1764575990.1)]
+    plan = FailoverPlan(1764576000.5, {0: {0: 700, 1: 300}, 2: {}}, trust)
     assert read_plan(decision("locality-plan"), 3) == plan
     assert encode_plan(plan) == decision("locality-plan")
 
 
 def test_recorded_reports_on_zones_are_read_and_written_as_before() -> None:
-    report = Report(12.5, {0: (0.975, 33.1)}, {0: (30, 2)}, {1: (7, 1, 0.25)}, 11.75)
-    summary = Summary(1, 5, 62.25, {0: 0.5, 1: 1.0}, {1: (140.2, 3.5)}, 9.0, {3: 25})
+    report = InstanceReport(12.5, {0: (0.975, 33.1)}, {0: (30, 2)}, {1: (7, 1, 0.25)}, 11.75)
+    summary = ZoneSummary(1, 5, 62.25, {0: 0.5, 1: 1.0}, {1: (140.2, 3.5)}, 9.0, {3: 25})
     assert read_report(decision("locality-report")) == report
     assert read_summary(decision("locality-summary")) == summary
     assert encode_report(report) == decision("locality-report")
@@ -238,8 +239,8 @@
 
 
 def test_recorded_reports_on_subsets_are_read_and_written_as_before() -> None:
-    total, own = Sum(40.125, 4, {0: 3, 7: 1}), Told(10.5, {7: 1})
-    assert msgspec.msgpack.decode(decision("fleet-sum"), type=Sum) == total
-    assert msgspec.msgpack.decode(decision("fleet-report"), type=Told) == own
+    total, own = SubsetDemand(40.125, 4, {0: 3, 7: 1}), InstanceLoadReport(10.5, {7: 1})
+    assert msgspec.msgpack.decode(decision("fleet-sum"), type=SubsetDemand) == total
+    assert msgspec.msgpack.decode(decision("fleet-report"), type=InstanceLoadReport) == own
     assert msgspec.msgpack.encode(total) == decision("fleet-sum")
     assert msgspec.msgpack.encode(own) == decision("fleet-report")
