--- a/saltcart/core/idempotency.py
+++ b/saltcart/core/idempotency.py
@@ -98,7 +98,8 @@
             self.keys.update_booking(record)  # its result is known: it takes no more than that
         if self.successor is not None and (current is None or current is record):
             self.successor(record, current is None)
-        waiting, record.waiting_attempts = record.waiting_attempts, []
+        waiting = record.waiting_attempts
+        record.waiting_attempts = []
         for number in waiting:
             self.finish_attempt(number, record.result)
 
@@ -144,7 +145,7 @@
         """Whether a run that nobody reported may be one of a key that is new here."""
         return arrived_at <= self.uncertain_until
 
-    def predecessor_gone(self) -> None:
+    def predecessor_lost(self) -> None:
         """Fail the attempts of keys whose ends the predecessor never reported: their runs may have begun."""
         for record in list(self.keys.records.values()):
             if record.holder_number < 0 and not record.is_finished:
--- a/saltcart/core/request_intake.py
+++ b/saltcart/core/request_intake.py
@@ -122,12 +122,14 @@
         return self.lifecycle.loop.controller is None or has_handed_over or now >= self.drain.answer_by
 
     def _decide(self, request: PendingRequest, class_index: int, record: KeyRecord | None) -> None:
-        inbound, now = request.inbound, self.clock.now
+        inbound = request.inbound
+        now = self.clock.now
         time_to_deadline = None
         if inbound.budget_seconds is not None:
             due_at = self._due_at(inbound, request.spec)
             time_to_deadline = max(MIN_TIME_TO_DEADLINE, due_at - now)
-        rank, control = inbound.priority_rank, self.lifecycle.ports.storm_control
+        rank = inbound.priority_rank
+        control = self.lifecycle.ports.storm_control
         if control is not None:
             rank = self.retry_watch.rank(control, request, is_new_key=record is None)
         event = RequestArrived(
--- a/saltcart/core/request_lifecycle.py
+++ b/saltcart/core/request_lifecycle.py
@@ -49,7 +49,8 @@
 
     def respond(self, request: PendingRequest, response: FinalResponse) -> None:
         """Give a request its final response, unless it has one or its caller is gone."""
-        callback, request.respond = request.respond, None
+        callback = request.respond
+        request.respond = None
         if callback is None:
             return
         response.load_level = self.load_level
@@ -122,9 +123,11 @@
         if request is None:
             return
         if result is None:
-            response, outcome = FinalResponse(ResponseStatus.FAILED), Outcome.FAILED
+            response = FinalResponse(ResponseStatus.FAILED)
+            outcome = Outcome.FAILED
         else:
-            response, outcome = FinalResponse(ResponseStatus.SERVED, result), Outcome.SUCCEEDED
+            response = FinalResponse(ResponseStatus.SERVED, result)
+            outcome = Outcome.SUCCEEDED
         self.respond(request, response)
         self.loop.feed(RunFinished(number, outcome, 0.0))
         self.settle(request)
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -74,7 +74,8 @@
         return can_pause and request.stop_requested and request.respond is not None
 
     def _record_success(self, request: PendingRequest, seconds: float) -> None:
-        control, now = self.ports.storm_control, self.clock.now
+        control = self.ports.storm_control
+        now = self.clock.now
         if control is None:
             return
         is_full = self.loop.held_count() > 0
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -62,25 +62,33 @@
         self.longest_deadline = max(spec.deadline for spec in settings.classes)
         # An attempt may be read late: as long as its caller can wait at all.
         self.keys = KeyTable(key_room, self.longest_deadline)
-        self.loop = DecisionLoop(self.clock, self.timers, self.ports, log)
-        self.drain = DrainState(self.ports, settings.drain_grace)
+        self._join_parts()
+        # Makes the control of retry storms when the server is up, of its settings and its start.
+        self.make_storm_control: Callable[[Settings, float], RetryStormControl] | None = None
+        self.on_started: Callable[[], None] | None = None  # called once, when the pool is up
+        self.composed_classes = frozenset[str]()  # whose responses are composed, and may be partial
+        self.figure_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for operators
+
+    def _join_parts(self) -> None:
+        settings = self.settings
+        clock = self.clock
+        timers = self.timers
+        ports = self.ports
+        log = self.log
+        self.loop = DecisionLoop(clock, timers, ports, log)
+        self.drain = DrainState(ports, settings.drain_grace)
         self.counters = RequestCounters(self._is_tenant)
         self.lifecycle = RequestLifecycle(
-            self.clock, self.ports, self.loop, self.keys, settings.answer_slack, self.counters
+            clock, ports, self.loop, self.keys, settings.answer_slack, self.counters
         )
-        self.runs = RunTracker(self.clock, self.ports, self.lifecycle, settings.preemption, log)
+        self.runs = RunTracker(clock, ports, self.lifecycle, settings.preemption, log)
         self.intake = RequestIntake(
-            settings, self.clock, self.timers, self.drain, self.lifecycle, self._request_overdue
+            settings, clock, timers, self.drain, self.lifecycle, self._request_overdue
         )
         self.executor = ActionExecutor(
-            self.clock, self.timers, self.ports, self.drain, self.lifecycle, log, self._call_overdue
+            clock, timers, ports, self.drain, self.lifecycle, log, self._call_overdue
         )
         self.loop.carry_out = self.executor.carry_out
-        # Makes the control of retry storms when the server is up, of its settings and its start.
-        self.make_storm_control: Callable[[Settings, float], RetryStormControl] | None = None
-        self.on_started: Callable[[], None] | None = None  # called once, when the pool is up
-        self.composed_classes = frozenset[str]()  # whose responses are composed, and may be partial
-        self.figure_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for operators
 
     # ---- what the service shows ---------------------------------------------------------------
 
@@ -209,11 +217,11 @@
         self.lifecycle.attempts.uncertain_until = until
         self.log("keys-uncertain", until=until)
 
-    def predecessor_gone(self) -> None:
+    def predecessor_lost(self) -> None:
         """The predecessor is gone, and with it what it ran."""
         self.clock.read()
         self.loop.feed(PredecessorLoad())
-        self.lifecycle.attempts.predecessor_gone()
+        self.lifecycle.attempts.predecessor_lost()
 
     # ---- from the pool and the calls ----------------------------------------------------------
 
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -83,7 +83,8 @@
     def load(self) -> events.PredecessorLoad:
         """Return what this server has on its cores and in its memory, for a process that takes over."""
         counts = self.table.counts
-        running, calling = counts[RUNNING], counts[CALLING]
+        running = counts[RUNNING]
+        calling = counts[CALLING]
         return events.PredecessorLoad(running, calling, self.table.memory_kb)
 
     def held_count(self) -> int:
@@ -153,7 +154,8 @@
                 attempt_age = self.attempt_ages[event.class_index].age(timeout)
         due_at = min(due_at, max(now, self.drain.answer_by))
         objective_at = min(due_at, arrived_at - attempt_age + spec.latency_objective)
-        tenants, index = self.settings.tenants, event.tenant_index
+        tenants = self.settings.tenants
+        index = event.tenant_index
         tenant = tenants[index] if index is not None and index < len(tenants) else None
         return Request(event, now, due_at, objective_at, tenant)
 
@@ -309,7 +311,8 @@
         stalled_seconds = now - self.last_completion_at
         self.admission.update_pressure(slots, self.sweep_interval, stalled_seconds)
         self.drain.update(now)
-        pressure, shed_first = self.admission.pressure, self.admission.shed_first
+        pressure = self.admission.pressure
+        shed_first = self.admission.shed_first
         self.actions += self.advertisement.update(pressure, shed_first, slots, self.drain.is_leaving)
         self.actions += self.idle_timeout.update(self.advertisement.pressure)
 
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -43,7 +43,8 @@
 
     def decide(self, now: float, age: float, other: PredecessorLoad) -> Iterator[tuple[Request, RunDecision]]:
         """Yield held requests for free slots while there are any; each decision is carried out at once."""
-        counts, slots = self.table.counts, self.limiter.slots
+        counts = self.table.counts
+        slots = self.limiter.slots
         if counts[RUNNING] + other.running >= slots or not counts[HELD]:
             return
         # One a core never falls, whatever is survived: below that nothing would run at all.
--- a/saltcart/locality/plan_proposal.py
+++ b/saltcart/locality/plan_proposal.py
@@ -92,7 +92,8 @@
 
 def moved_share(before: FailoverPlan, rows: Rows, zone: int) -> int:
     """Return the thousandths of a zone's work that go elsewhere than before."""
-    old, new = before.row(zone), row_of(rows, zone)
+    old = before.row(zone)
+    new = row_of(rows, zone)
     targets = old.keys() | new.keys()
     difference = sum(abs(old.get(target, 0) - new.get(target, 0)) for target in targets)
     return (difference + abs(sum(old.values()) - sum(new.values()))) // 2
@@ -115,7 +116,8 @@
     """
     gain = round(HOME_GAIN * WHOLE_SHARE)
     for origin in range(len(room)):
-        old, new = before.row(origin), row_of(rows, origin)
+        old = before.row(origin)
+        new = row_of(rows, origin)
         rejected_needlessly = sum(new.values()) - sum(old.values())
         if new.get(origin, 0) - old.get(origin, 0) >= gain or rejected_needlessly >= gain:
             return False
@@ -203,7 +205,7 @@
         for origin, row in self.before.rows.items():
             if origin not in self.fresh:
                 rows[origin] = dict(row)
-        if self._is_worth_a_move(rows, demand, room):
+        if self._justifies_a_move(rows, demand, room):
             return FailoverPlan(round(self.now, 1), rows, trust)
         if trust != self.before.trust and self.now - self.before.made_at >= MIN_INTERVAL:
             # The trust goes on, for the next plan is made of it; the work stays where it is.
@@ -251,7 +253,7 @@
             rows = allocate_shares(self.topology, demand, room, shares)
         return rows, room
 
-    def _is_worth_a_move(self, rows: Rows, demand: list[float], room: list[float]) -> bool:
+    def _justifies_a_move(self, rows: Rows, demand: list[float], room: list[float]) -> bool:
         most_moved = max((moved_share(self.before, rows, origin) for origin in self.zones), default=0)
         interval = self.settings.hold
         if self.has_fallen:
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -29,7 +29,9 @@
 from saltcart.locality.zone_trust import WHOLE_SHARE
 from saltcart.membership.member_record import MemberRecord
 
-PLAN_TOPIC, ZONE_TOPIC, REPORT_TOPIC = "locality/plan", "locality/zone/", "locality/report"
+PLAN_TOPIC = "locality/plan"
+ZONE_TOPIC = "locality/zone/"
+REPORT_TOPIC = "locality/report"
 REPORT_JITTER = 0.2  # of the interval between two reports
 RETRIES_PER_REQUEST = 0.25  # retries in other zones than planned: more would be a herd of its own
 MAX_RETRY_TOKENS = 50.0  # that may be saved up
--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -74,7 +74,8 @@
 
     def _join(self, tries: int) -> None:
         """Ask the seeds until another member is known; a longer wait each time."""
-        context, settings = self.context, self.context.settings
+        context = self.context
+        settings = self.context.settings
         if context.view.present_count > 1:
             return
         for seed in self.seeds:
@@ -109,13 +110,16 @@
         first = BucketRecords(buckets if want_back else [])
         whole_room = self.outbox.room()
         room = whole_room - BUCKET_NUMBER_BYTES * len(buckets)
-        chunk, sent = list[MemberRecord](), 0
+        chunk = list[MemberRecord]()
+        sent = 0
         records = self.context.view.in_buckets(buckets)
         self.context.rng.shuffle(records)  # what does not go this time goes another time
         for record in records:
             if record.max_bytes() > room:
                 self.outbox.send_exactly(address, first if sent == 0 else BucketRecords([]), chunk)
-                chunk, room, sent = [], whole_room, sent + 1
+                chunk = []
+                room = whole_room
+                sent += 1
                 if sent == MAX_SYNC_DATAGRAMS:
                     return
             chunk.append(record)
--- a/saltcart/membership/outbox.py
+++ b/saltcart/membership/outbox.py
@@ -28,7 +28,8 @@
 
     def take(self) -> list[Outgoing]:
         """Return what is to be sent, once."""
-        outgoing, self.outgoing = self.outgoing, []
+        outgoing = self.outgoing
+        self.outgoing = []
         return outgoing
 
     def room(self) -> int:
@@ -65,5 +66,6 @@
         values: list[RegisterValue] | None = None,
     ) -> None:
         """Send a message with just this news."""
-        cluster, own_record = self.context.settings.cluster, self.context.own_record
+        cluster = self.context.settings.cluster
+        own_record = self.context.own_record
         self.outgoing.append((address, Datagram(VERSION, cluster, own_record, message, news, values or [])))
--- a/saltcart/membership/probing.py
+++ b/saltcart/membership/probing.py
@@ -16,13 +16,13 @@
 class Probe:
     """A probe of one member that is under way."""
 
-    __slots__ = ("helpers_asked", "incarnation", "is_answered", "nacks", "name")
+    __slots__ = ("helper_count", "incarnation", "is_answered", "nacks", "name")
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name = name
         self.incarnation = incarnation
         self.is_answered = False
-        self.helpers_asked = 0
+        self.helper_count = 0
         self.nacks = 0
 
 
@@ -74,7 +74,7 @@
         self.probes[seq] = Probe(target.name, target.incarnation)
         self.outbox.send(target.address, target.name, Ping(seq))
         context.call_after(wait / 2, self._send_again, seq)
-        context.call_after(wait, self._ask_helpers, seq)
+        context.call_after(wait, self._request_indirect_probes, seq)
 
     def _send_again(self, seq: int) -> None:
         probe = self.probes[seq]
@@ -82,8 +82,9 @@
         if not probe.is_answered and target is not None:
             self.outbox.send(target.address, target.name, Ping(seq))
 
-    def _ask_helpers(self, seq: int) -> None:
-        context, probe = self.context, self.probes[seq]
+    def _request_indirect_probes(self, seq: int) -> None:
+        context = self.context
+        probe = self.probes[seq]
         target = context.view.get(probe.name)
         if probe.is_answered or target is None or not target.is_present:
             del self.probes[seq]
@@ -93,7 +94,7 @@
         for helper in helpers:
             self.outbox.send(helper.address, helper.name, PingRequest(seq, target.name, target.address))
         self.outbox.send(target.address, target.name, Ping(seq))
-        probe.helpers_asked = len(helpers)
+        probe.helper_count = len(helpers)
         # A helper needs the wait for its own probe and the way there and back.
         context.call_after(context.health.stretched(2 * context.settings.probe_wait), self._finish, seq)
 
@@ -105,8 +106,8 @@
         if target.incarnation != probe.incarnation:
             return
         # Helpers that do not answer tell of this member's own trouble, not of the target's.
-        silent_helpers = probe.helpers_asked - probe.nacks
-        self.context.health.adjust(1 if probe.helpers_asked == 0 else silent_helpers)
+        silent_helpers = probe.helper_count - probe.nacks
+        self.context.health.adjust(1 if probe.helper_count == 0 else silent_helpers)
         self.on_unreachable(target)
 
     # ---- answers, and probes for others -------------------------------------------------------
--- a/saltcart/membership/suspicion_tracker.py
+++ b/saltcart/membership/suspicion_tracker.py
@@ -57,7 +57,8 @@
 
     def start(self, report: MemberRecord) -> None:
         """The view has a new suspect."""
-        context, settings = self.context, self.context.settings
+        context = self.context
+        settings = self.context.settings
         others = context.view.present_count - 2  # neither this member nor the suspect
         scale = max(1.0, log10(max(1, context.view.present_count)))
         min_seconds = settings.suspect_for * settings.probe_every * scale
--- a/saltcart/membership/view.py
+++ b/saltcart/membership/view.py
@@ -161,7 +161,8 @@
         size = len(self)
         if size <= SCAN_FACTOR * (count + len(without)):
             return self._sample_all(rng, count, without)
-        drawn, skipped = list[MemberRecord](), set(without)
+        drawn = list[MemberRecord]()
+        skipped = set(without)
         for _ in range(DRAWS_PER_MEMBER * count):
             record = self.at(rng.randrange(size))
             if record is not None and record.is_present and record.name not in skipped:
--- a/saltcart/net/handover.py
+++ b/saltcart/net/handover.py
@@ -90,7 +90,8 @@
         except BlockingIOError:
             return
         except OSError:
-            data, descriptors = b"", []
+            data = b""
+            descriptors = []
         for descriptor in descriptors[1:]:
             os.close(descriptor)
         if not data:
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -159,7 +159,8 @@
             listener.on_register_changed(value)
 
     def _on_changed(self, change: MembershipChange) -> None:
-        record, previous = change.record, change.previous_state
+        record = change.record
+        previous = change.previous_state
         self.log(
             "member",
             name=record.name,
--- a/saltcart/simulator_adapter.py
+++ b/saltcart/simulator_adapter.py
@@ -27,7 +27,10 @@
     125: Outcome.CANCELLED,
 }
 GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")  # those that the decision module knows
-HINT_IS_VALID, IS_RETRY, IS_WRITE = 1, 2, 4  # bits of an arrival's flags
+# Bits of an arrival's flags.
+HINT_IS_VALID = 1
+IS_RETRY = 2
+IS_WRITE = 4
 
 
 class SimulatedInstance:
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -30,9 +30,13 @@
     short_digest,
 )
 
-MEMBERS_TOPIC, INSTANCES_TOPIC = "fleet/members/", "fleet/instances/"
-DEMAND_TOPIC, REPORT_TOPIC = "fleet/sum/", "fleet/report"
-FIRST_BACKOFF, MAX_BACKOFF = 0.5, 8.0  # seconds until a member that refused is tried again
+MEMBERS_TOPIC = "fleet/members/"
+INSTANCES_TOPIC = "fleet/instances/"
+DEMAND_TOPIC = "fleet/sum/"
+REPORT_TOPIC = "fleet/report"
+# Seconds until a member that refused is tried again.
+FIRST_BACKOFF = 0.5
+MAX_BACKOFF = 8.0
 SETTLE_SECONDS = 1.0  # for which those present must not have changed before the tables follow them
 
 
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -134,7 +134,7 @@
         self.count_connections(0)
         if self.index is not None:
             self.index.most *= 2
-        self.service.predecessor_gone()
+        self.service.predecessor_lost()
 
     def close(self) -> None:
         """End the link, for the end of this process."""
@@ -152,16 +152,16 @@
         self.log = log
         self.fronts = fronts
         self.link: HandoverLink | None = None
-        self.told_load: tuple[PredecessorLoad, int] | None = None  # what it was told last
+        self.last_load: tuple[PredecessorLoad, int] | None = None  # what it was told last
         self.next_pass: asyncio.TimerHandle | None = None
 
     def hand_over(self, link: HandoverLink) -> None:
         """Give the process at the other end this one's place."""
         self.link = link
-        self.told_load = None
-        for record in self.service.lifecycle.attempts.hand_over(self._tell_key):
-            self._tell_key(record, False)
-        self._tell_load()
+        self.last_load = None
+        for record in self.service.lifecycle.attempts.hand_over(self._send_key):
+            self._send_key(record, False)
+        self._send_load()
         link.send(HandoverPacket(PacketKind.HANDED_OVER, {}))
         for listener in self.fronts.values():
             listener.stop_accepting()
@@ -169,16 +169,16 @@
         self.log("handed-over", open=len(self.service.requests), keys=len(self.service.keys))
         self._pass_free_connections()
 
-    def _tell_key(self, record: KeyRecord, is_free: bool) -> None:
+    def _send_key(self, record: KeyRecord, is_free: bool) -> None:
         if self.link is not None:
             self.link.send(wire.key_packet(record, is_free, self.service.clock.seconds_ahead()))
 
-    def _tell_load(self) -> None:
+    def _send_load(self) -> None:
         """Both processes share the cores and the memory until this one has finished."""
         connections = sum(len(listener.connections) for listener in self.fronts.values())
         load = self.service.load(), connections
-        if self.link is not None and load != self.told_load:
-            self.told_load = load
+        if self.link is not None and load != self.last_load:
+            self.last_load = load
             self.link.send(wire.load_packet(*load))
 
     def _pass_connection(self, connection: ServerConnection, unread: bytes) -> bool:
@@ -201,7 +201,7 @@
     def _pass_free_connections(self) -> None:
         passed = MAX_PASSES  # a fault in passing one must not end the passing of the others
         try:
-            self._tell_load()
+            self._send_load()
             passed = self._pass_some()
         finally:
             delay = NEXT_PASS if passed == MAX_PASSES else PASS_INTERVAL
@@ -291,7 +291,7 @@
             link.close()
             return
         link.on_packet = lambda packet, descriptor: self._on_packet(link, packet, descriptor)
-        link.on_closed = lambda: self._on_successor_gone(link)
+        link.on_closed = lambda: self._on_successor_lost(link)
         link.start()
 
     def _on_packet(self, link: HandoverLink, packet: HandoverPacket, descriptor: int | None) -> None:
@@ -304,7 +304,7 @@
             self.announcer.close()  # the entry in the list is the new process's
         self.successor.hand_over(link)
 
-    def _on_successor_gone(self, link: HandoverLink) -> None:
+    def _on_successor_lost(self, link: HandoverLink) -> None:
         """Take the place back: this process serves on, or drains if it was told to stop."""
         if self.successor.link is not link or self.is_closed:
             return
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -57,7 +57,8 @@
     head, _, data = raw.partition(b"\n")
     try:
         fields = orjson.loads(head)
-        version, kind = fields.pop("v"), fields.pop("say")
+        version = fields.pop("v")
+        kind = fields.pop("say")
     except (ValueError, KeyError, AttributeError, TypeError) as error:
         raise MalformedMessageError(f"handover: {error!r}") from error
     if version != VERSION or not isinstance(kind, str):
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -116,7 +116,7 @@
     old, new = two()
     new.arrive(11)
     if how == "dies":
-        new.service.predecessor_gone()
+        new.service.predecessor_lost()
     else:
         old.end(1, Outcome.NOT_STARTED if how == "never ran" else Outcome.FAILED)
     assert new.verdicts(11) == ["failed"]
