--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -22,7 +22,7 @@
         while data := await reader.read(4096):
             buffer.write(data)
             while (message := parser.next(buffer)) is not None:
-                if isinstance(message, ajp.Ping):
+                if isinstance(message, ajp.CPing):
                     writer.write(ajp.CPONG_PACKET)
                 elif isinstance(message, ajp.MoreBody):
                     writer.write(message.data)
--- a/saltcart/budget/compose.py
+++ b/saltcart/budget/compose.py
@@ -8,7 +8,7 @@
 import orjson
 
 from saltcart.budget.plan import Call
-from saltcart.budget.run import Mark, Run
+from saltcart.budget.run import ComposedRun, Mark
 
 
 def readable(body: bytes) -> Any:
@@ -23,21 +23,21 @@
         return {"base64": base64.b64encode(body).decode()}
 
 
-def answers(run: Run) -> dict[str, Any]:
+def answers(run: ComposedRun) -> dict[str, Any]:
     """The replies so far by dependency; null for what was left out."""
     return {
         name: None if mark is Mark.LEFT_OUT else readable(body) for name, (mark, body) in run.replies.items()
     }
 
 
-def to_send(run: Run, call: Call) -> bytes:
+def to_send(run: ComposedRun, call: Call) -> bytes:
     """The body of a call."""
     if call.sends == "request":
         return run.body
     return orjson.dumps({"request": readable(run.body), "answers": answers(run)})
 
 
-def answer(run: Run) -> bytes:
+def answer(run: ComposedRun) -> bytes:
     """The body of the answer, once all stages are over."""
     if run.plan.answer is not None:
         return run.replies[run.plan.answer][1]
--- a/saltcart/budget/dependency.py
+++ b/saltcart/budget/dependency.py
@@ -8,7 +8,7 @@
 
 from saltcart.budget.guards import Allowance, Breaker, Limit
 from saltcart.budget.plan import Dependency as Spec
-from saltcart.budget.run import Attempt, Part
+from saltcart.budget.run import CallAttempt, Part
 from saltcart.budget.shares import Need
 from saltcart.budget.sketch import Quantiles
 from saltcart.decision.outcome import Outcome
@@ -54,14 +54,14 @@
         """May a call go out at once?"""
         return self.limit.room() and self.breaker.allows(now)
 
-    def begun(self, attempt: Attempt) -> None:
+    def begun(self, attempt: CallAttempt) -> None:
         self.limit.used += 1
         attempt.probe = self.breaker.begun()
         self.counts["further" if attempt.further else "first"] += 1
         if not attempt.further:
             self.allowance.first()
 
-    def ended(self, now: float, attempt: Attempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         """An attempt is over; CANCELLED: it was given up for a reason that is not the dependency's."""
         self.limit.used -= 1
         self.counts[ENDED[outcome]] += 1
--- a/saltcart/budget/desk.py
+++ b/saltcart/budget/desk.py
@@ -17,7 +17,7 @@
 from saltcart.budget.judge import Judge, Limits, optional_last
 from saltcart.budget.lastgood import LastGood
 from saltcart.budget.plan import Plan, Plans
-from saltcart.budget.run import OPEN, Attempt, Ended, GiveUp, Mark, Order, Part, Run, Send
+from saltcart.budget.run import OPEN, CallAttempt, ComposedRun, Ended, GiveUp, Mark, Order, Part, Send
 from saltcart.budget.yields import Yield
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
@@ -40,8 +40,8 @@
         late = {c.name for c in classes if c.late_weight_share > 0}
         self.judge = Judge(self.dependencies.__getitem__, rng, late.__contains__)
         self.earns = Yield()
-        self.runs: dict[bytes, Run] = {}
-        self.attempts: dict[bytes, Attempt] = {}
+        self.runs: dict[bytes, ComposedRun] = {}
+        self.attempts: dict[bytes, CallAttempt] = {}
         self.number = rng.getrandbits(64)  # of the next attempt: two processes never name theirs alike
         self.due: list[tuple[float, int, Callable[[float, Part], None], Part]] = []
         self.order = 0
@@ -54,7 +54,9 @@
         self, now: float, ident: bytes, klass: str, tenant: str, body: bytes, aim_at: float, due_at: float
     ) -> list[Order]:
         """A run begins; ``aim_at``: an answer by then is worth most, ``due_at``: by then it must be there."""
-        run = self.runs[ident] = Run(ident, self.plans[klass], tenant, body, now, min(aim_at, due_at), due_at)
+        run = self.runs[ident] = ComposedRun(
+            ident, self.plans[klass], tenant, body, now, min(aim_at, due_at), due_at
+        )
         self._go_on(now, run)
         return self._take()
 
@@ -132,7 +134,7 @@
 
     # ---- stages -------------------------------------------------------------------------------
 
-    def _go_on(self, now: float, run: Run) -> None:
+    def _go_on(self, now: float, run: ComposedRun) -> None:
         """Begin the next stage, and those after it as long as they are settled at once."""
         while not run.over:
             for part in run.parts:
@@ -150,7 +152,7 @@
             if any(part.mark in OPEN for part in run.parts):
                 return
 
-    def _begin_stage(self, now: float, run: Run, limits: Limits) -> None:
+    def _begin_stage(self, now: float, run: ComposedRun, limits: Limits) -> None:
         calls = optional_last(run.plan.stage[run.stage].call)
         run.stage += 1
         run.parts = [
@@ -175,7 +177,7 @@
         elif not run.starting and not run.over and not any(p.mark in OPEN for p in run.parts):
             self._go_on(now, run)
 
-    def _finish(self, now: float, run: Run) -> None:
+    def _finish(self, now: float, run: ComposedRun) -> None:
         left, remembered = run.named(Mark.LEFT_OUT), run.named(Mark.REMEMBERED)
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
@@ -185,7 +187,7 @@
     def _end(
         self,
         now: float,
-        run: Run,
+        run: ComposedRun,
         outcome: Outcome,
         body: bytes = b"",
         left: tuple[str, ...] = (),
@@ -228,7 +230,7 @@
     def _send(self, now: float, part: Part, dependency: Dependency, further: bool = False) -> None:
         room = part.until - now
         fair = room >= dependency.need(now).typical
-        attempt = Attempt(b"%016x" % self.number, part, dependency.spec.name, now, further, fair)
+        attempt = CallAttempt(b"%016x" % self.number, part, dependency.spec.name, now, further, fair)
         self.number = (self.number + 1) & MASK
         dependency.begun(attempt)
         part.mark, part.sent = Mark.OUT, part.sent + 1
@@ -278,7 +280,7 @@
             self.last_good.put(now, part.run.tenant, key, body)
         self._settle(now, part, Mark.DONE, body)
 
-    def _failed(self, now: float, part: Part, attempt: Attempt, outcome: Outcome) -> None:
+    def _failed(self, now: float, part: Part, attempt: CallAttempt, outcome: Outcome) -> None:
         call, never = part.call, outcome in NEVER_RAN
         if call.write and not never:
             self._settle(now, part, Mark.LOST)  # it may have had its effect: never sent again
@@ -330,7 +332,7 @@
             part.passed.update(self.dependencies)  # no time for another
             self._elsewhere(now, part)
 
-    def _drop(self, now: float, attempt: Attempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def _drop(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         """Give an attempt up; the caller takes it off its part."""
         if self.attempts.pop(attempt.ident, None) is None:
             return  # its run has ended in the course of this very change
--- a/saltcart/budget/judge.py
+++ b/saltcart/budget/judge.py
@@ -9,7 +9,7 @@
 
 from saltcart.budget.dependency import EVIDENCE, Dependency
 from saltcart.budget.plan import Call, Stage
-from saltcart.budget.run import Part, Run
+from saltcart.budget.run import ComposedRun, Part
 from saltcart.budget.shares import Need, side_by_side, split
 
 LEAVE = 1.25  # of what later stages need at most, kept from calls that can be left out
@@ -40,7 +40,7 @@
     def _need(self, now: float, stage: Stage) -> Need:
         return side_by_side([self.look(c.dependency).need(now) for c in stage.call if c.required])
 
-    def stage(self, now: float, run: Run) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> Limits | None:
         """Limits for the stage that is about to begin; None where what must be called can't fit any more."""
         reserve = run.plan.reserve_ms / 1000
         horizon = run.aim_at - reserve
--- a/saltcart/budget/run.py
+++ b/saltcart/budget/run.py
@@ -26,7 +26,7 @@
 OPEN = (Mark.WAITING, Mark.OUT)
 
 
-class Attempt:
+class CallAttempt:
     """One call that was sent, until its reply or its being given up."""
 
     __slots__ = ("begun", "dependency", "fair", "further", "ident", "part", "probe", "slow_at")
@@ -60,17 +60,17 @@
         "until",
     )
 
-    def __init__(self, run: Run, call: Call, until: float, body: bytes) -> None:
+    def __init__(self, run: ComposedRun, call: Call, until: float, body: bytes) -> None:
         self.run, self.call, self.until = run, call, until
         self.body = body  # what every attempt sends, and what a last good answer is known by
         self.dependency = call.dependency  # or the one that it has fallen back to
         self.passed = {call.dependency}
         self.mark, self.reply, self.sent = Mark.WAITING, b"", 0
-        self.attempts: list[Attempt] = []
+        self.attempts: list[CallAttempt] = []
         self.beside = False  # a second attempt was begun beside a slow first one
 
 
-class Run:
+class ComposedRun:
     """A request whose answer is being composed.  Times are those of the clock that the desk is given."""
 
     __slots__ = (
--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -31,7 +31,7 @@
         match message:
             case None:
                 return False
-            case ajp.Ping():
+            case ajp.CPing():
                 self.send(ajp.CPONG_PACKET)
                 self.rests()
             case ajp.MoreBody(data):
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -13,7 +13,7 @@
 from saltcart.budget.dependency import Dependency
 from saltcart.budget.guards import Breaker
 from saltcart.budget.judge import Judge
-from saltcart.budget.run import Attempt, Part
+from saltcart.budget.run import CallAttempt, Part
 from saltcart.budget.sketch import Quantiles
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices
@@ -45,7 +45,7 @@
 class Gradient(Dependency):
     SMOOTH = 0.1
 
-    def ended(self, now: float, attempt: Attempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         before = self.limit.value
         super().ended(now, attempt, outcome, overtaken)
         took, base = max(1e-4, now - attempt.begun), getattr(self, "base", 10.0)
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -26,7 +26,7 @@
 from saltcart.budget.desk import Desk
 from saltcart.budget.judge import Judge, Limits
 from saltcart.budget.plan import Plans, check_classes, read_plans
-from saltcart.budget.run import Ended, GiveUp, Mark, Order, Orders, Part, Run, Send
+from saltcart.budget.run import ComposedRun, Ended, GiveUp, Mark, Order, Orders, Part, Send
 from saltcart.core.draining import STOP_MARGIN
 from saltcart.core.messages import FinalResponse, InboundRequest
 from saltcart.core.service import Service
@@ -53,7 +53,7 @@
 
     guarded = False
 
-    def stage(self, now: float, run: Run) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> Limits | None:
         part = (run.aim_at - run.started - run.plan.reserve_ms / 1000) / len(run.plan.stage)
         return Limits(now + part, now + part)
 
@@ -72,7 +72,7 @@
 class NoJudge(FixedJudge):
     """No budgets at all: each call is waited for as long as the caller waits."""
 
-    def stage(self, now: float, run: Run) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> Limits | None:
         until = run.due_at - run.plan.reserve_ms / 1000
         return Limits(until, until)
 
@@ -84,11 +84,11 @@
         super().__init__(judge.look, judge.rng, judge.late)
         self.places = places
 
-    def _took(self, now: float, run: Run, name: str) -> float:
+    def _took(self, now: float, run: ComposedRun, name: str) -> float:
         fate = self.places[name].fate(now, request_of(run.ident))
         return fate.took if fate.took is not None and fate.outcome is Outcome.SUCCEEDED else 0.0
 
-    def stage(self, now: float, run: Run) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> Limits | None:
         horizon = run.aim_at - run.plan.reserve_ms / 1000
         later = sum(
             max((self._took(now, run, c.dependency) for c in stage.call if c.required), default=0.0)
@@ -125,7 +125,7 @@
 
 
 @dataclass
-class Tally:
+class CompositionFigures:
     """What came of one day under one policy."""
 
     offered: float = 0.0
@@ -148,7 +148,12 @@
     """The runs port in the model: the desk's orders carried out on model dependencies."""
 
     def __init__(
-        self, events: Events, service: Service, desk: Desk, places: dict[str, ModelDependency], tally: Tally
+        self,
+        events: Events,
+        service: Service,
+        desk: Desk,
+        places: dict[str, ModelDependency],
+        tally: CompositionFigures,
     ) -> None:
         self.events, self.service, self.desk, self.places, self.tally = events, service, desk, places, tally
         self.presses, self.orders = True, Orders(self._carry_out)
@@ -206,7 +211,7 @@
     """One day under one policy."""
 
     def __init__(self, day: Day, policy: str, seconds: float, seed: int, rate: float = RATE) -> None:
-        self.day, self.seconds, self.tally = day, seconds, Tally()
+        self.day, self.seconds, self.tally = day, seconds, CompositionFigures()
         rng = np.random.default_rng([seed, 7])
         count = int(seconds * rate)
         self.settings: Settings = read_settings(FieldReader(offices.SETTINGS, "settings"))
@@ -240,7 +245,7 @@
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.answered = Counter[int]()
 
-    def run(self) -> Tally:
+    def run(self) -> CompositionFigures:
         begun, events, tally = time.perf_counter(), self.events, self.tally
         self.service.pool_started(False, 100.0)
         host(events, self.service)
@@ -320,12 +325,14 @@
     return plans
 
 
-def play(job: tuple[int, str, float, int]) -> Tally:
+def play(job: tuple[int, str, float, int]) -> CompositionFigures:
     number, policy, seconds, seed = job
     return Play(offices.days(seconds)[number], policy, seconds, seed).run()
 
 
-def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], dict[str, dict[str, Tally]]]:
+def run(
+    quick: bool, seed: int
+) -> tuple[list[list[str]], dict[str, Any], dict[str, dict[str, CompositionFigures]]]:
     """The table, the figures and all that was seen, by day and policy."""
     seconds = QUICK if quick else FULL
     names = [day.name for day in offices.days(seconds)]
@@ -417,9 +424,9 @@
     }
 
 
-def kept(by_policy: dict[str, Tally], policy: str) -> float:
+def kept(by_policy: dict[str, CompositionFigures], policy: str) -> float:
     return by_policy[policy].earned / by_policy["oracle"].earned
 
 
-def least(seen: dict[str, dict[str, Tally]], policy: str) -> float:
+def least(seen: dict[str, dict[str, CompositionFigures]], policy: str) -> float:
     return round(min(kept(by_policy, policy) for by_policy in seen.values()), 3)
--- a/saltcart/lab/faults/programs.py
+++ b/saltcart/lab/faults/programs.py
@@ -42,7 +42,7 @@
         super().__init__()
         self.data, self.parser, self.sent = data, http1.ResponseParser(1 << 20), False
         self.buffer.limit = 1 << 20
-        self.answer: asyncio.Future[http1.Response] = asyncio.get_running_loop().create_future()
+        self.answer: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
 
     def opened(self) -> None:
         self.send(self.data)
@@ -58,7 +58,7 @@
             self.answer.set_exception(ConnectionResetError("closed without an answer"))
 
 
-async def call(at: str, data: bytes, wait: float) -> http1.Response:
+async def call(at: str, data: bytes, wait: float) -> http1.HttpResponse:
     """One request on a connection of its own; ``OSError`` or ``TimeoutError`` where it got no answer."""
     async with asyncio.timeout(wait):
         _, caller = await asyncio.get_running_loop().create_connection(lambda: Caller(data), *address(at))
--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -109,7 +109,7 @@
         try:
             while (message := self.parser.next(self.buffer)) is not None:
                 match message:
-                    case ajp.Ping():
+                    case ajp.CPing():
                         self.send(ajp.CPONG_PACKET)
                     case ajp.MoreBody(data):
                         self.send(data)
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(eq=False)
-class Request:
+class SimulatedRequest:
     """A client's piece of work, through all its tries."""
 
     number: int
@@ -129,7 +129,7 @@
         self.fleet, self.number, self.life, self.power = fleet, number, 0, 0
         self.rng = random.Random(fleet.seed * 1000 + number)
         self.up = True
-        self.unread, self.ready = deque[Request](), deque[tuple[Service, bytes]]()
+        self.unread, self.ready = deque[SimulatedRequest](), deque[tuple[Service, bytes]]()
         self.busy, self.turn = 0, False
         self.born(False)
 
@@ -147,7 +147,7 @@
             lambda event, **_: None,
             key_room=1 << 30,
         )
-        service.ports.workers = Runs(self, service)
+        service.ports.workers = SimulatedWorkers(self, service)
         decide = service.executor.handlers[Reject]
         service.executor.handlers[Reject] = lambda action: self._turned_away(service, action, decide)
         service.pool_started(cold, 0.0 if cold else 100.0)
@@ -200,7 +200,7 @@
         self.service.start_drain(2.0)
         self.born(True)
 
-    def offer(self, request: Request) -> None:
+    def offer(self, request: SimulatedRequest) -> None:
         """A connection with a request on it."""
         now, fleet = self.fleet.events.now, self.fleet
         source = source_of(request)
@@ -256,14 +256,14 @@
         self.busy -= 1
         return True
 
-    def _read(self, power: int, request: Request) -> None:
+    def _read(self, power: int, request: SimulatedRequest) -> None:
         if not self._free(power):
             return
         if request is not UNREAD_ONE and not request.done and request.at == self.number:
             self._arrive(request)
         self.work()
 
-    def _arrive(self, request: Request) -> None:
+    def _arrive(self, request: SimulatedRequest) -> None:
         spec = CLASSES[request.klass]
         request.tries += 1
         request.ident = b"%016x" % ((request.number << 12) + (request.tries & 0xFFF))
@@ -291,7 +291,7 @@
         self.work()
 
 
-def source_of(request: Request) -> int:
+def source_of(request: SimulatedRequest) -> int:
     """A digest of the client's address: every client has its own, but a tenant's are its office's few."""
     number = request.number + 1
     if request.tenant:
@@ -299,10 +299,10 @@
     return number * 0x9E3779B97F4A7C15 & (1 << 64) - 1
 
 
-UNREAD_ONE = Request(-1, 0, "", 0.0, WORK, -1, False)
+UNREAD_ONE = SimulatedRequest(-1, 0, "", 0.0, WORK, -1, False)
 
 
-class Runs:
+class SimulatedWorkers:
     """The runs port: a place in the node's queue for its cores."""
 
     def __init__(self, node: Node, service: Service) -> None:
@@ -350,12 +350,12 @@
         obeys, starts = rng.random(count) < day.obeying, rng.integers(0, day.nodes, count)
         self.ranks = rng.random(count).tolist()
         self.requests = [
-            Request(n, int(kinds[n]), tenant, born, float(works[n]), int(starts[n]), bool(obeys[n]))
+            SimulatedRequest(n, int(kinds[n]), tenant, born, float(works[n]), int(starts[n]), bool(obeys[n]))
             for n, (born, tenant) in enumerate(births)
         ]
         self.sent = [0.0] * count
         self.rng = random.Random(seed)
-        self.open: dict[int, dict[int, Request]] = {}  # tries under way by node
+        self.open: dict[int, dict[int, SimulatedRequest]] = {}  # tries under way by node
         self.runs: dict[tuple[int, int, int], float] = {}  # when the try came that ran last, by node and life
         self.tries, self.news = Counter[int](), Counter[int]()
         self.seen, self.earned = Seen(), Counter[tuple[str, int]]()
@@ -384,7 +384,7 @@
 
     # ---- clients ------------------------------------------------------------------------------
 
-    def attempt(self, request: Request) -> None:
+    def attempt(self, request: SimulatedRequest) -> None:
         if request.done or self.events.now > self.day.seconds:
             return
         node = self.nodes[request.at]
@@ -398,17 +398,17 @@
         )
         node.offer(request)
 
-    def next(self, request: Request) -> int:
+    def next(self, request: SimulatedRequest) -> int:
         """The next server of the client's own list: each has it in another order."""
         strides = (7, 11, 13, 17, 19, 23, 29, 31)  # none divides the sizes that are played
         return (request.at + strides[request.number % len(strides)]) % len(self.nodes)
 
-    def later(self, request: Request, wait: float, at: int) -> None:
+    def later(self, request: SimulatedRequest, wait: float, at: int) -> None:
         request.at = at
         self.sent[request.number] = -1.0
         self.events.at(self.events.now + wait, self.attempt, request)
 
-    def _bored(self, request: Request, sent: float) -> None:
+    def _bored(self, request: SimulatedRequest, sent: float) -> None:
         """No answer in all that time: the client closes and tries again, a write where it may have run."""
         if request.done or self.sent[request.number] != sent:
             return
@@ -423,7 +423,12 @@
         self.later(request, self.rng.uniform(*HURRY), request.at if keyed else self.next(request))
 
     def answered(
-        self, request: Request, node: Node, answer: FinalResponse, ident: bytes = b"", marks: bool = True
+        self,
+        request: SimulatedRequest,
+        node: Node,
+        answer: FinalResponse,
+        ident: bytes = b"",
+        marks: bool = True,
     ) -> None:
         if request.done or request.at != node.number or (ident and ident != request.ident):
             return  # the client has gone on
@@ -452,7 +457,7 @@
             wait, at = wait + self.rng.uniform(0.0, 0.05), node.number
         self.later(request, wait, at)
 
-    def ran(self, node: int, life: int, request: Request) -> None:
+    def ran(self, node: int, life: int, request: SimulatedRequest) -> None:
         """A keyed request is run: twice within the window of the try that ran is a broken rule."""
         came, key = self.sent[request.number], (node, life, request.number)
         self.seen.twice += key in self.runs and came <= self.runs[key] + CLASSES[request.klass].key_window
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Member:
+class AjpMember:
     """One AJP server of the upstream."""
 
     host: str
@@ -45,7 +45,7 @@
 class MemberConnection(Connection):
     """One connection to a member; carries one request at a time."""
 
-    def __init__(self, member: Member) -> None:
+    def __init__(self, member: AjpMember) -> None:
         super().__init__()
         self.member, self.parser = member, ajp.ResponseParser(MAX_RESULT)
         self.answer: asyncio.Future[ajp.Response | ajp.Pong] | None = None
@@ -94,7 +94,7 @@
     """Sends each run to the member that has the least to do for its weight, or that a chooser names."""
 
     def __init__(
-        self, members: list[Member], ended: Callable[[bytes, Outcome, float, bytes], None], log: Log
+        self, members: list[AjpMember], ended: Callable[[bytes, Outcome, float, bytes], None], log: Log
     ) -> None:
         self.members, self.ended, self.log = members, ended, log
         self.by_host = {m.host: m for m in members}
@@ -161,7 +161,7 @@
     async def _try_members(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, until: float
     ) -> tuple[Outcome, bytes]:
-        tried, repeats = set[Member](), 0 if once else 1
+        tried, repeats = set[AjpMember](), 0 if once else 1
         loop, chooser = asyncio.get_running_loop(), self.chooser
         if chooser is not None and not chooser.arrived(klass):
             return Outcome.NOT_STARTED, b""
@@ -189,7 +189,7 @@
             return (Outcome.SUCCEEDED, response.body) if response.status == 200 else (Outcome.FAILED, b"")
         return Outcome.NOT_STARTED, b""  # every member proved that it never ran
 
-    def _choose(self, klass: str, tried: set[Member], once: bool) -> Member | None:
+    def _choose(self, klass: str, tried: set[AjpMember], once: bool) -> AjpMember | None:
         if self.chooser is not None:
             host = self.chooser.choose(klass, {m.host for m in tried}, not once)
             return None if host is None else self.by_host.get(host)
@@ -199,7 +199,7 @@
         return min(able, key=lambda m: (m.open + 1) / m.weight, default=None)
 
     async def _forward(
-        self, member: Member, ident: bytes, klass: str, account: str, body: bytes, once: bool, until: float
+        self, member: AjpMember, ident: bytes, klass: str, account: str, body: bytes, once: bool, until: float
     ) -> ajp.Response:
         member.open += 1
         connection: MemberConnection | None = None
@@ -233,7 +233,7 @@
             if connection is not None:
                 connection.close()
 
-    async def _connection(self, member: Member, once: bool) -> MemberConnection:
+    async def _connection(self, member: AjpMember, once: bool) -> MemberConnection:
         """A connection that stands: an idle one, pinged where a close must not cross, or a new one."""
         while member.idle:
             connection = member.idle.pop()
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.parser = http1.ResponseParser(4096)
-        self.answer: asyncio.Future[http1.Response] = asyncio.get_running_loop().create_future()
+        self.answer: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
 
     def received(self) -> None:
         try:
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -7,7 +7,7 @@
 from saltcart.core.ports import Log, WorkerPoolEvents
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment, UpstreamConf
-from saltcart.net.ajp import AjpUpstream, Member
+from saltcart.net.ajp import AjpMember, AjpUpstream
 
 Told = Callable[[bytes, Outcome, bytes], None]
 
@@ -33,7 +33,7 @@
         if conf.name in self.by_name:
             self.remove(conf.name)
         self.by_name[conf.name] = AjpUpstream(
-            [Member(m.host, m.weight, m.secret.encode()) for m in conf.members], self._ended, self.log
+            [AjpMember(m.host, m.weight, m.secret.encode()) for m in conf.members], self._ended, self.log
         )
 
     def remove(self, name: str) -> None:
--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -189,7 +189,7 @@
     body: bytes = b""
 
 
-class Ping(NamedTuple):
+class CPing(NamedTuple):
     """CPing: answer with CPong."""
 
 
@@ -242,7 +242,7 @@
         self.length = 0  # of that body; -1 where it is not told
         self.body = bytearray()
 
-    def next(self, buffer: Buffer) -> ForwardRequest | Ping | MoreBody | None:
+    def next(self, buffer: Buffer) -> ForwardRequest | CPing | MoreBody | None:
         while (payload := take_packet(buffer, TO_CONTAINER)) is not None:
             message: ForwardRequest | MoreBody | None
             if self.request is not None:
@@ -250,7 +250,7 @@
             elif not payload:
                 raise MalformedMessageError("empty packet")
             elif payload[0] == CPING:
-                return Ping()
+                return CPing()
             elif payload[0] in (SHUTDOWN, PING):
                 continue
             elif payload[0] == FORWARD_REQUEST:
--- a/saltcart/wire/http1.py
+++ b/saltcart/wire/http1.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class HttpRequest:
     """One whole request; header names are in lower case."""
 
     method: bytes
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Response:
+class HttpResponse:
     """One whole response, as the client's half reads it."""
 
     status: int
@@ -122,7 +122,7 @@
 class RequestParser(Parser):
     """The server's half."""
 
-    def next(self, buffer: Buffer) -> Request | None:
+    def next(self, buffer: Buffer) -> HttpRequest | None:
         """The next whole request, or None while there is none.
 
         ``MalformedMessageError`` ends the connection.
@@ -137,20 +137,20 @@
             raise MalformedMessageError("request line")
         if first[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
             raise MalformedMessageError("version", 505)
-        return Request(first[0], first[1], headers, body, keeps_alive(first[2], headers))
+        return HttpRequest(first[0], first[1], headers, body, keeps_alive(first[2], headers))
 
 
 class ResponseParser(Parser):
     """The client's half."""
 
-    def next(self, buffer: Buffer) -> Response | None:
+    def next(self, buffer: Buffer) -> HttpResponse | None:
         message = self._message(buffer)
         if message is None:
             return None
         first, headers, body = message
         if len(first) < 2 or first[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not STATUS.match(first[1]):
             raise MalformedMessageError("status line")
-        return Response(int(first[1]), headers, body, keeps_alive(first[0], headers))
+        return HttpResponse(int(first[1]), headers, body, keeps_alive(first[0], headers))
 
 
 def response(
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -211,7 +211,7 @@
             + body
         )
 
-    async def answer(self) -> http1.Response:
+    async def answer(self) -> http1.HttpResponse:
         while (response := self.parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
@@ -219,7 +219,9 @@
             self.buffer.write(data)
         return response
 
-    async def ask(self, number: int, klass: str = "read", body: bytes = b"x", **more: Any) -> http1.Response:
+    async def ask(
+        self, number: int, klass: str = "read", body: bytes = b"x", **more: Any
+    ) -> http1.HttpResponse:
         self.send(number, klass, body, **more)
         return await self.answer()
 
@@ -272,12 +274,12 @@
             self.buffer.write(data)
         return message
 
-    async def answer(self) -> http1.Response:
+    async def answer(self) -> http1.HttpResponse:
         while isinstance(message := await self.message(), ajp.WantBody):
             part, self.rest = self.rest[: message.size], self.rest[message.size :]
             self.writer.write(ajp.body_packet(part))
         assert isinstance(message, ajp.Response)
-        return http1.Response(message.status, message.headers, message.body, message.reuse)
+        return http1.HttpResponse(message.status, message.headers, message.body, message.reuse)
 
 
 CLIENTS = {"http": HttpClient, "ajp": AjpClient}
@@ -299,7 +301,7 @@
         while data := await reader.read(4096):
             buffer.write(data)
             while (message := parser.next(buffer)) is not None:
-                if isinstance(message, ajp.Ping):
+                if isinstance(message, ajp.CPing):
                     writer.write(ajp.CPONG_PACKET)
                 elif isinstance(message, ajp.MoreBody):
                     writer.write(message.data)
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -9,7 +9,7 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment, MemberConf, UpstreamConf
 from saltcart.net import ajp as module
-from saltcart.net.ajp import AjpUpstream, Member
+from saltcart.net.ajp import AjpMember, AjpUpstream
 from saltcart.wire import ajp
 from tests.standins import AjpClient, AjpServer, HttpClient, Pool, container_answer, running, until
 
@@ -175,7 +175,9 @@
     async def play() -> None:
         ended = list[tuple[bytes, Outcome]]()
         up = AjpUpstream(
-            [Member("127.0.0.1:9")], lambda ident, how, *_: ended.append((ident, how)), lambda *_, **__: None
+            [AjpMember("127.0.0.1:9")],
+            lambda ident, how, *_: ended.append((ident, how)),
+            lambda *_, **__: None,
         )
         up.spawn(b"a", "read", "acme", b"", False, 1.0)
         up.suspend(b"a")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 from saltcart.cli import cli
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices, report, sketches
-from saltcart.lab.budgets import Play, Tally, deciding_cost
+from saltcart.lab.budgets import CompositionFigures, Play, deciding_cost
 from saltcart.lab.dependency import ModelDependency, Trouble
 from saltcart.lab.events import Events, Ticks
 
@@ -19,14 +19,14 @@
 DAYS = [day.name for day in offices.days(SECONDS)]
 
 
-def play(day: str, policy: str, seed: int = 1, presses: bool | None = None) -> Tally:
+def play(day: str, policy: str, seed: int = 1, presses: bool | None = None) -> CompositionFigures:
     game = Play(offices.days(SECONDS)[DAYS.index(day)], policy, SECONDS, seed)
     if presses is not None:
         game.runs.presses = presses
     return game.run()
 
 
-def told(tally: Tally) -> tuple[object, ...]:
+def told(tally: CompositionFigures) -> tuple[object, ...]:
     return (tally.offered, tally.earned, tally.verdicts, tally.calls, tally.load_factor, tally.by_second)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -114,7 +114,7 @@
         forward((b"Transfer-Encoding", b"chunked")) + ajp.body_packet(b"hi") + ajp.body_packet(b""),
         [ajp.MoreBody(ajp.get_body_chunk(2048))] * 2 + [(b"POST", b"/call/x", b"hi")],
     ),
-    (ajp.CPING_PACKET + raw(b"\x07") + raw(b"\x08") + ajp.CPING_PACKET, [ajp.Ping(), ajp.Ping()]),
+    (ajp.CPING_PACKET + raw(b"\x07") + raw(b"\x08") + ajp.CPING_PACKET, [ajp.CPing(), ajp.CPing()]),
     (forward(LONG) + ajp.body_packet(b"hello!"), [413]),
     (
         forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b""),
