--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -257,11 +257,10 @@
         if not hosts:
             return None
         typical = self.outliers.typical_seconds()
+        return min(hosts, key=lambda host: (self._cost(host, typical), self.rng.random()))
 
-        def cost(host: str) -> tuple[float, float]:
-            return self.load(host) * self.outliers.slowness(host, typical), self.rng.random()
-
-        return min(hosts, key=cost)
+    def _cost(self, host: str, typical: float) -> float:
+        return self.load(host) * self.outliers.slowness(host, typical)
 
     def record_outcome(
         self, now: float, host: str, good: bool, seconds: float, refused: bool = False
