--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -38,13 +38,13 @@
 )
 
 
-class World:
+class ServiceHarness:
     """A service with everything round it faked: ``said`` holds what it asked of its ports, in order."""
 
     def __init__(self, settings: Settings = SETTINGS, up: bool = True, **more: Any) -> None:
-        self.now, self.said = 1_000.0, list[tuple[Any, ...]]()
+        self.now, self.port_calls = 1_000.0, list[tuple[Any, ...]]()
         self.logged: list[str] = []
-        self.answers: dict[bytes, list[FinalResponse]] = {}
+        self.responses: dict[bytes, list[FinalResponse]] = {}
         self.service = Service(
             settings,
             ("cpu_busy", None, "runnable"),
@@ -65,38 +65,38 @@
     def spawn(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
-        self.said.append(("spawn", ident, klass, body, once))
+        self.port_calls.append(("spawn", ident, klass, body, once))
 
     def suspend(self, ident: bytes) -> None:
-        self.said.append(("suspend", ident))
+        self.port_calls.append(("suspend", ident))
 
     def proceed(self, ident: bytes) -> None:
-        self.said.append(("proceed", ident))
+        self.port_calls.append(("proceed", ident))
 
     def supply(self, ident: bytes, reply: bytes) -> None:
-        self.said.append(("supply", ident, reply))
+        self.port_calls.append(("supply", ident, reply))
 
     def skip(self, ident: bytes, notice: int) -> None:
-        self.said.append(("skip", ident, notice))
+        self.port_calls.append(("skip", ident, notice))
 
     def poll(self) -> None: ...
 
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
-        self.said.append(("call", ident, body))
+        self.port_calls.append(("call", ident, body))
 
     def give_up(self, ident: bytes) -> None:
-        self.said.append(("give up", ident))
+        self.port_calls.append(("give up", ident))
 
     def set_accepting(self, on: bool) -> None:
-        self.said.append(("accepting", on))
+        self.port_calls.append(("accepting", on))
 
     # the driver
-    def arrive(self, number: int, klass: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
+    def arrive(self, number: int, class_name: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
         ident = b"%016x" % number
-        once = klass == "oddaja"  # all tries of one request carry the same body
+        once = class_name == "oddaja"  # all tries of one request carry the same body
         ask = InboundRequest(
             ident,
-            klass,
+            class_name,
             "a",
             self.now,
             3.0,
@@ -105,19 +105,19 @@
             idempotency_key=key if once else None,
             body=b"body of %b" % key if once and key else b"body-%d" % number,
         )
-        return self.service.arrive(replace(ask, **more), self.answers.setdefault(ident, []).append)
+        return self.service.arrive(replace(ask, **more), self.responses.setdefault(ident, []).append)
 
     def end(self, number: int, outcome: Outcome = Outcome.SUCCEEDED, result: bytes = b"result") -> None:
         self.service.run_finished(b"%016x" % number, outcome, 0.1, result)
 
-    def until(self, then: float) -> None:
+    def run_until(self, then: float) -> None:
         while (due := self.service.next_due()) is not None and due <= then:
             self.now = max(self.now, due)
             self.service.tick()
         self.now = then
 
     def spawned(self) -> list[bytes]:
-        return [s[1] for s in self.said if s[0] == "spawn"]
+        return [s[1] for s in self.port_calls if s[0] == "spawn"]
 
-    def verdicts(self, number: int) -> list[str]:
-        return [a.status.value for a in self.answers[b"%016x" % number]]
+    def statuses(self, number: int) -> list[str]:
+        return [a.status.value for a in self.responses[b"%016x" % number]]
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -82,10 +82,12 @@
         self.timers += [a.at for a in actions if isinstance(a, SetTimer)]
         return actions
 
-    def arrive(self, ident: int, klass: int = 0, standing: float = 0.99, **more: object) -> list[Action]:
-        return self.send(RequestArrived(ident, klass, 10.0, standing, **more))  # type: ignore[arg-type]
+    def arrive(
+        self, ident: int, class_index: int = 0, priority_rank: float = 0.99, **more: object
+    ) -> list[Action]:
+        return self.send(RequestArrived(ident, class_index, 10.0, priority_rank, **more))  # type: ignore[arg-type]
 
-    def until(self, then: float, busy: float = 1.0) -> list[Action]:
+    def run_until(self, then: float, busy: float = 1.0) -> list[Action]:
         before = len(self.actions)
         while self.timers and min(self.timers) <= then:
             self.now = min(self.timers)
@@ -174,7 +176,7 @@
         host = ControllerHost(seed=7)
         for n in range(1, 40):
             host.arrive(n, n % 2)
-            host.until(10 + n * 0.01)
+            host.run_until(10 + n * 0.01)
         return host.actions
 
     assert play() == play()
@@ -188,14 +190,14 @@
         replace(BASE, preemption=Preemption.NONE, classes=(replace(LOW, late_weight_share=0.2), TOP))
     )
     host.arrive(1)
-    said = host.until(15.0)
+    said = host.run_until(15.0)
     assert FailRequest(1) in said and StopRun(1) not in said
 
 
 def test_due_time_counts_the_time_unread() -> None:
     host = ControllerHost(replace(BASE, preemption=Preemption.NONE))
     host.arrive(1, unread_seconds=0.8)
-    assert FailRequest(1) in host.until(10 + 4.0 - 0.8 + 0.05)
+    assert FailRequest(1) in host.run_until(10 + 4.0 - 0.8 + 0.05)
 
 
 def test_keyed_repeat_shares_and_a_failed_run_is_never_run_again() -> None:
@@ -216,7 +218,7 @@
     host = ControllerHost()
     host.arrive(1, 1)
     host.send(DrainStarted(0.6))
-    said = host.until(10.6)
+    said = host.run_until(10.6)
     assert FailRequest(1) in said and not any(isinstance(a, Reject) for a in said)
 
 
@@ -225,12 +227,12 @@
     host = ControllerHost(replace(BASE, max_retry_after=9.0))
     said = host.send(DrainStarted(6.0))
     assert SetHealth(False, True) in said and AdvertiseLevel(1.0) not in said
-    assert AdvertiseLevel(1.0) not in host.until(11.0)
+    assert AdvertiseLevel(1.0) not in host.run_until(11.0)
     assert StartRun(1) in host.arrive(1)
-    assert AdvertiseLevel(1.0) in host.until(
+    assert AdvertiseLevel(1.0) in host.run_until(
         11.6
     )  # before it takes nothing more, and callers forget it in 1 s
-    host.until(11.9)
+    host.run_until(11.9)
     assert Reject(2, False, 1.0) in host.arrive(2)
 
 
@@ -288,14 +290,14 @@
     host.arrive(2, 0)
     assert any(isinstance(a, StartCall) for a in host.send(CallRequested(1)))
     assert SkipCall(2) not in host.send(CallRequested(2))  # the call before it may end soon
-    assert SkipCall(2) in host.until(10.2)
+    assert SkipCall(2) in host.run_until(10.2)
 
 
 def test_a_call_is_repeated_only_on_proof() -> None:
     host = ControllerHost(CALLS)
     host.arrive(1, 1)
     host.send(CallRequested(1))
-    again = host.send(CallFinished(1, Outcome.REJECTED, 0.01)) + host.until(10.1)
+    again = host.send(CallFinished(1, Outcome.REJECTED, 0.01)) + host.run_until(10.1)
     assert any(isinstance(a, StartCall) for a in again)
     assert FailRequest(1) in host.send(CallFinished(1, Outcome.BROKEN_OFF, 0.01))
 
@@ -330,8 +332,8 @@
         if n == 1 and host.controller.settings.dependency is DependencyKind.SHARED:
             host.send(CallRequested(1))
             host.send(CallFinished(1, Outcome.SUCCEEDED, 0.1))
-        host.until(10 + n * 0.1)
-    host.until(30.0)
+        host.run_until(10 + n * 0.1)
+    host.run_until(30.0)
     ends = {a.id for a in host.actions if isinstance(a, (Reject, FailRequest))}
     assert ends == set(range(1, 30))  # nothing ever completed here, so each one was answered
 
@@ -346,7 +348,7 @@
     before = host.controller.table.memory_kb
     host.send(RequestAbandoned(3))
     assert host.controller.table.memory_kb == pytest.approx(before - 10.0 - 10.0)
-    host.until(30.0)
+    host.run_until(30.0)
     assert host.controller.table.memory_kb >= 0
 
 
@@ -376,7 +378,7 @@
 def test_run_time_estimate_fades_instead_of_shutting_a_class_out() -> None:
     host = ControllerHost()
     host.controller.run_times.run_seconds[1] = 5.0
-    host.until(25.0)  # nothing asked for: as on a server that sees little, silence is no evidence
+    host.run_until(25.0)  # nothing asked for: as on a server that sees little, silence is no evidence
     assert host.controller.run_times.run_seconds[1] == 5.0
     assert isinstance(host.arrive(1, 1)[0], Reject)
     assert any(StartRun(n) in host.arrive(n, 1) for n in range(2, 70))
@@ -395,19 +397,19 @@
     for n in range(1, 40):
         host.arrive(n, unread_seconds=0.5)
         host.finish(n)
-        host.until(10 + n * 0.05)
+        host.run_until(10 + n * 0.05)
     raised = host.controller.advertisement.last_level
     assert raised > 0.2
-    host.until(20.0)
+    host.run_until(20.0)
     assert host.controller.advertisement.last_level < raised / 4
 
 
 def test_pressure_sheds_by_standing_and_spares_the_worthy_class() -> None:
     host = ControllerHost()
     host.controller.admission.shed_first, host.controller.admission.pressure = 1, 0.5
-    assert isinstance(host.arrive(1, 0, standing=0.1)[0], Reject)
-    assert StartRun(2) in host.arrive(2, 0, standing=0.4)
-    assert StartRun(3) in host.arrive(3, 1, standing=0.55)
+    assert isinstance(host.arrive(1, 0, priority_rank=0.1)[0], Reject)
+    assert StartRun(2) in host.arrive(2, 0, priority_rank=0.4)
+    assert StartRun(3) in host.arrive(3, 1, priority_rank=0.55)
 
 
 def test_a_share_below_one_call_is_kept_as_a_mean() -> None:
@@ -419,7 +421,7 @@
     for step in range(4000):
         host.now += 0.001
         busy += out is not None
-        said = host.until(host.now)
+        said = host.run_until(host.now)
         for run in [a for a in host.actions if isinstance(a, StartRun) and a.id not in waiting]:
             waiting.add(run.id)
             said += host.send(CallRequested(run.id))
@@ -437,14 +439,14 @@
 
 def test_idle_connections_are_closed_early_only_under_many_callers_and_low_pressure() -> None:
     few = ControllerHost(replace(BASE, client_idle_timeout=30.0, client_count=10))
-    few.until(12.0)
+    few.run_until(12.0)
     assert not any(isinstance(a, SetIdleTimeout) for a in few.actions)
     many = ControllerHost(replace(BASE, client_idle_timeout=30.0, client_count=1000))
-    many.until(12.0)
+    many.run_until(12.0)
     assert [a.seconds for a in many.actions if isinstance(a, SetIdleTimeout)] == [pytest.approx(0.6)]
     for n in range(1, 80):
         many.arrive(n)
-    later = [a.seconds for a in many.until(13.5) if isinstance(a, SetIdleTimeout)]
+    later = [a.seconds for a in many.run_until(13.5) if isinstance(a, SetIdleTimeout)]
     assert later and max(later) > 10.0
 
 
@@ -454,7 +456,7 @@
 def test_one_start_a_period_leaves_the_pairs_and_the_slots_at_rest() -> None:
     host = ControllerHost()
     for n in range(1, 40):
-        host.until(10 + n * host.controller.period)
+        host.run_until(10 + n * host.controller.period)
         host.arrive(n, n % 2)
         host.finish(n)
     assert (
@@ -471,10 +473,10 @@
         )
     )
     for n in range(1, 2000):
-        host.until(10 + n * 0.05)
+        host.run_until(10 + n * 0.05)
         assert StartRun(n) in host.arrive(n, n % 2, time_to_deadline=3.0, balancer=n)
         host.finish(n)
-    host.until(120.0)
+    host.run_until(120.0)
     c = host.controller
     assert (
         not c.table.requests and not c.table.key_results and c.table.memory_kb == pytest.approx(0.0, abs=1e-6)
@@ -488,14 +490,14 @@
         host.arrive(n)
         host.finish(n)
     learned = list(host.controller.run_times.run_seconds)
-    host.until(600.0)
+    host.run_until(600.0)
     assert host.controller.run_times.run_seconds == learned and host.controller.admission.pressure == 0.0
     for n in range(100, 130):
-        host.arrive(n, standing=0.99)
+        host.arrive(n, priority_rank=0.99)
     assert (
         host.controller.table.counts[RequestState.RUNNING] == BASE.cores and host.controller.held_count() > 0
     )  # held, not refused by stale pressure
-    host.until(600.2)
+    host.run_until(600.2)
     assert host.controller.admission.pressure > 0
 
 
@@ -508,8 +510,8 @@
             host.send(CallRequested(run.id))
         for a in [a for a in host.actions if isinstance(a, StartCall) and a.id in host.controller.table]:
             host.send(CallFinished(a.id, Outcome.SUCCEEDED, 0.05))
-        host.until(10 + n * 0.2)
-    host.until(30.0)
+        host.run_until(10 + n * 0.2)
+    host.run_until(30.0)
     answered = {a.id for a in host.actions if isinstance(a, (Reject, FailRequest))}
     assert answered == set(range(1, 20))
 
@@ -521,9 +523,9 @@
         if n > 2:  # the first two keep the cores
             host.send(RequestAbandoned(n))
         if n % 100 == 0:
-            host.until(host.now + 0.05)
+            host.run_until(host.now + 0.05)
     assert sum(len(queue) for queue in host.controller.scheduler.queues.queues) > 200
-    host.until(host.now + 0.5)
+    host.run_until(host.now + 0.5)
     assert sum(len(queue) for queue in host.controller.scheduler.queues.queues) < 100
 
 
--- a/tests/test_rules.py
+++ b/tests/test_controller_rules.py
@@ -68,44 +68,46 @@
     """The least of a server that turns random choices into a legal history and keeps account."""
 
     def __init__(self, s: Settings, seed: int) -> None:
-        self.s, self.rng, self.now = s, random.Random(seed), 100.0
-        self.c = Controller(s, seed)
-        self.state: dict[int, str] = {}  # held, run, stopped, wait, call, join
-        self.owed: dict[int, float] = {}
-        self.klass: dict[int, int] = {}
-        self.size: dict[int, float] = {}
-        self.reach: dict[int, float] = {}
-        self.ran: dict[int, float] = {}
-        self.effect: dict[int, int] = {}  # which effect a try carries
+        self.settings, self.rng, self.now = s, random.Random(seed), 100.0
+        self.controller = Controller(s, seed)
+        self.states: dict[int, str] = {}  # held, run, stopped, wait, call, join
+        self.due_at: dict[int, float] = {}
+        self.class_indexes: dict[int, int] = {}
+        self.sizes_kb: dict[int, float] = {}
+        self.arrived_at: dict[int, float] = {}
+        self.run_started_at: dict[int, float] = {}
+        self.effects: dict[int, int] = {}  # which effect a try carries
         self.done_effects: dict[int, list[float]] = {}
-        self.kept: dict[int, tuple[int, float]] = {}  # effect: holder, until
+        self.reserved_keys: dict[int, tuple[int, float]] = {}  # effect: holder, until
         self.timers: list[tuple[float, int]] = []
-        self.notice: float | None = None
-        self.stop = 0.0
-        self.next = 1
+        self.drain_started_at: float | None = None
+        self.stop_at = 0.0
+        self.next_id = 1
         self.send(Started())
 
     def send(self, event: Event) -> None:
-        for a in self.c.handle(self.now, event):
+        for a in self.controller.handle(self.now, event):
             self.apply(a)
         memory = sum(
-            self.size[r] * (1 if how in ("held", "join") else self.s.run_memory_factor)
-            for r, how in self.state.items()
+            self.sizes_kb[r] * (1 if how in ("held", "join") else self.settings.run_memory_factor)
+            for r, how in self.states.items()
         )
-        memory += self.s.key_entry_kb * sum(until > self.now for _, until in self.kept.values())
-        assert memory <= self.s.memory_kb
-        on_core = sum(how == "run" for how in self.state.values())
+        memory += self.settings.key_entry_kb * sum(
+            until > self.now for _, until in self.reserved_keys.values()
+        )
+        assert memory <= self.settings.memory_kb
+        on_core = sum(how == "run" for how in self.states.values())
         share = 1.0
-        if self.s.starts_cold and self.now < 100 + self.s.warm_up_seconds:
+        if self.settings.starts_cold and self.now < 100 + self.settings.warm_up_seconds:
             share = (
-                self.s.cold_speed_share
-                + (1 - self.s.cold_speed_share) * (self.now - 100) / self.s.warm_up_seconds
+                self.settings.cold_speed_share
+                + (1 - self.settings.cold_speed_share) * (self.now - 100) / self.settings.warm_up_seconds
             )
-        assert on_core <= self.s.cores * (1 + (self.s.max_running_per_core - 1) * share)
+        assert on_core <= self.settings.cores * (1 + (self.settings.max_running_per_core - 1) * share)
 
     def answer(self, r: int) -> None:
-        assert r in self.owed, "second answer"
-        assert self.now <= self.owed.pop(r) + self.s.answer_slack + 1e-9, "late answer"
+        assert r in self.due_at, "second answer"
+        assert self.now <= self.due_at.pop(r) + self.settings.answer_slack + 1e-9, "late answer"
 
     def apply(self, a: Action) -> None:
         match a:
@@ -113,59 +115,67 @@
                 assert at > self.now
                 self.timers.append((at, token))
             case StartRun(r):
-                assert self.state[r] == "held" and r not in self.ran
-                if self.notice is not None:
-                    assert self.reach[r] <= self.notice + self.s.drain_grace
-                if CLASSES[self.klass[r]].effect is Effect.IDEMPOTENT_BY_KEY:
-                    for t in self.done_effects.get(self.effect[r], []):
-                        assert self.reach[r] > t + CLASSES[self.klass[r]].key_window, "effect twice"
-                    self.done_effects.setdefault(self.effect[r], []).append(self.reach[r])
-                self.state[r], self.ran[r] = "run", self.now
+                assert self.states[r] == "held" and r not in self.run_started_at
+                if self.drain_started_at is not None:
+                    assert self.arrived_at[r] <= self.drain_started_at + self.settings.drain_grace
+                if CLASSES[self.class_indexes[r]].effect is Effect.IDEMPOTENT_BY_KEY:
+                    for t in self.done_effects.get(self.effects[r], []):
+                        assert self.arrived_at[r] > t + CLASSES[self.class_indexes[r]].key_window, (
+                            "effect twice"
+                        )
+                    self.done_effects.setdefault(self.effects[r], []).append(self.arrived_at[r])
+                self.states[r], self.run_started_at[r] = "run", self.now
             case StopRun(r):
-                assert self.s.preemption is not Preemption.NONE
-                if self.state.get(r) == "run":
-                    self.state[r] = "stopped"
+                assert self.settings.preemption is not Preemption.NONE
+                if self.states.get(r) == "run":
+                    self.states[r] = "stopped"
             case Reject(r):
-                assert r not in self.ran or CLASSES[self.klass[r]].effect is Effect.SAFE
-                assert self.state[r] == "held"
+                assert r not in self.run_started_at or CLASSES[self.class_indexes[r]].effect is Effect.SAFE
+                assert self.states[r] == "held"
                 self.answer(r)
-                del self.state[r]
+                del self.states[r]
             case FailRequest(r):
                 self.answer(r)
-                if self.state.get(r) in ("held", "join"):
-                    del self.state[r]
+                if self.states.get(r) in ("held", "join"):
+                    del self.states[r]
             case StartCall(r, limit):
-                assert self.state[r] == "wait" and limit > 0
-                self.state[r] = "call"
+                assert self.states[r] == "wait" and limit > 0
+                self.states[r] = "call"
             case SkipCall(r):
-                assert self.state[r] == "wait" and CLASSES[self.klass[r]].skipped_call_weight_share > 0
-                self.state[r] = "run"
+                assert (
+                    self.states[r] == "wait" and CLASSES[self.class_indexes[r]].skipped_call_weight_share > 0
+                )
+                self.states[r] = "run"
             case ReserveKey(r, span):
-                self.kept[self.effect[r]] = (r, self.now + span)
+                self.reserved_keys[self.effects[r]] = (r, self.now + span)
             case ReleaseKey(r):
-                if self.kept.get(self.effect[r], (0, 0.0))[0] == r:
-                    del self.kept[self.effect[r]]
+                if self.reserved_keys.get(self.effects[r], (0, 0.0))[0] == r:
+                    del self.reserved_keys[self.effects[r]]
             case JoinAttempt(r):
-                self.state[r] = "join"
+                self.states[r] = "join"
             case AdvertiseLevel(value):
-                assert self.s.signal is not LoadSignal.NONE and value >= 0
+                assert self.settings.signal is not LoadSignal.NONE and value >= 0
 
     def arrive(self) -> None:
-        r, k = self.next, self.rng.randrange(3)
-        self.next += 1
+        r, k = self.next_id, self.rng.randrange(3)
+        self.next_id += 1
         unread = self.rng.choice([0.0, 0.01, 0.4])
         patience = self.rng.choice([None, 0.05, 0.5, 2.0]) if self.rng.random() < 0.5 else None
-        self.klass[r], self.size[r], self.reach[r] = k, self.rng.uniform(5, 40), self.now - unread
-        self.effect[r] = self.rng.randrange(12) if k == 1 else -r
-        due = self.now + patience if patience else max(self.now, self.reach[r] + CLASSES[k].deadline)
-        holder, until = self.kept.get(self.effect[r], (0, 0.0))
-        same = holder if holder and self.reach[r] <= until else None
-        self.owed[r], self.state[r] = due, "held"
+        self.class_indexes[r], self.sizes_kb[r], self.arrived_at[r] = (
+            k,
+            self.rng.uniform(5, 40),
+            self.now - unread,
+        )
+        self.effects[r] = self.rng.randrange(12) if k == 1 else -r
+        due = self.now + patience if patience else max(self.now, self.arrived_at[r] + CLASSES[k].deadline)
+        holder, until = self.reserved_keys.get(self.effects[r], (0, 0.0))
+        same = holder if holder and self.arrived_at[r] <= until else None
+        self.due_at[r], self.states[r] = due, "held"
         self.send(
             RequestArrived(
                 r,
                 k,
-                self.size[r],
+                self.sizes_kb[r],
                 self.rng.random(),
                 unread,
                 patience,
@@ -175,39 +185,44 @@
         )
 
     def finish(self, r: int, outcome: Outcome) -> None:
-        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED) and r in self.owed:
+        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED) and r in self.due_at:
             self.answer(r)
-        del self.state[r]
-        self.send(RunFinished(r, outcome, self.now - self.ran.get(r, self.now)))
+        del self.states[r]
+        self.send(RunFinished(r, outcome, self.now - self.run_started_at.get(r, self.now)))
 
     def one(self, kinds: tuple[str, ...]) -> int | None:
-        able = [r for r, s in self.state.items() if s in kinds]
+        able = [r for r, s in self.states.items() if s in kinds]
         return self.rng.choice(able) if able else None
 
     def act(self, hang: bool) -> None:
         what = self.rng.random()
         if what < 0.4:
             self.arrive()
-        elif what < 0.46 and (r := self.one(("held", "run", "join", "wait"))) is not None and r in self.owed:
-            del self.owed[r]
-            if self.state[r] in ("held", "join"):
-                del self.state[r]
+        elif (
+            what < 0.46 and (r := self.one(("held", "run", "join", "wait"))) is not None and r in self.due_at
+        ):
+            del self.due_at[r]
+            if self.states[r] in ("held", "join"):
+                del self.states[r]
             self.send(RequestAbandoned(r))
-        elif what < 0.56 and (r := self.one(("run",))) is not None and r in self.owed:
-            if CLASSES[self.klass[r]].calls_dependency and self.s.dependency is not DependencyKind.NONE:
-                self.state[r] = "wait"
+        elif what < 0.56 and (r := self.one(("run",))) is not None and r in self.due_at:
+            if (
+                CLASSES[self.class_indexes[r]].calls_dependency
+                and self.settings.dependency is not DependencyKind.NONE
+            ):
+                self.states[r] = "wait"
                 self.send(CallRequested(r))
         elif what < 0.66 and (r := self.one(("call",))) is not None and not hang:
             how = self.rng.choice(
                 list(Outcome)[:1] * 4
                 + [Outcome.FAILED, Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.BROKEN_OFF]
             )
-            self.state[r] = "run" if how is Outcome.SUCCEEDED else "wait"
+            self.states[r] = "run" if how is Outcome.SUCCEEDED else "wait"
             self.send(CallFinished(r, how, 0.05))
         elif (r := self.one(("run", "stopped", "join", "wait", "call"))) is not None:
-            if self.state[r] == "stopped" or (self.state[r] in ("wait", "call") and r not in self.owed):
+            if self.states[r] == "stopped" or (self.states[r] in ("wait", "call") and r not in self.due_at):
                 self.finish(r, Outcome.CANCELLED)
-            elif self.state[r] in ("run", "join") and not hang:
+            elif self.states[r] in ("run", "join") and not hang:
                 self.finish(r, self.rng.choice([Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.FAILED]))
 
     def advance(self, by: float) -> None:
@@ -218,7 +233,7 @@
             self.now = max(self.now, at)
             self.send(TimerFired(token, self.rng.random()))
         self.now = end
-        assert all(due + self.s.answer_slack >= self.now for due in self.owed.values()), "lost"
+        assert all(due + self.settings.answer_slack >= self.now for due in self.due_at.values()), "lost"
 
 
 OPTIONS: dict[str, Any] = {
@@ -241,9 +256,9 @@
         if n % 2:
             host.advance(host.rng.choice([0.0, 0.005, 0.03, 0.12]))
         if n == 200:
-            host.notice, host.stop = host.now, host.now + 3.0
+            host.drain_started_at, host.stop_at = host.now, host.now + 3.0
             host.send(DrainStarted(3.0))
-    while host.now < host.stop:
+    while host.now < host.stop_at:
         host.act(False)
         host.advance(0.05)
-    assert not host.owed
+    assert not host.due_at
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from saltcart.config import ConfigError, read_config
-from tests.fakes import READ, World
+from tests.fakes import READ, ServiceHarness
 from tests.fakes import SETTINGS as CORE
 from tests.standins import BOTH_FRONTS, CLIENTS, SETTINGS, HttpClient, Pool, raw_config, running
 
@@ -85,7 +85,7 @@
 
 def test_slots_grow_on_the_gauges_where_aims_are_long_and_turns_with_them() -> None:
     """With an aim of a minute the turns are further apart than gauges used to last."""
-    w = World(
+    w = ServiceHarness(
         replace(CORE, classes=(replace(READ, latency_objective=60.0, deadline=90.0, calls_dependency=False),))
     )
     assert w.service.controller is not None and w.service.controller.sweep_interval > 2.0
@@ -94,7 +94,7 @@
     before = len(w.spawned())
     polled = w.service.ports.workers.poll = lambda: w.service.gauges_polled((0.1, 5, 1))  # type: ignore[method-assign]
     polled()
-    w.until(w.now + 12.0)  # inside the first period: what grows does so for the cores' sake
+    w.run_until(w.now + 12.0)  # inside the first period: what grows does so for the cores' sake
     assert len(w.spawned()) > before + 1
 
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -556,7 +556,7 @@
 # ---- instances that speak ---------------------------------------------------------------------
 
 
-class Town:
+class SimulatedFleet:
     """Instances of all zones whose posts arrive at once, unless their zones are apart."""
 
     def __init__(self, each: int = 2) -> None:
@@ -573,7 +573,7 @@
                 name,
                 zone,
                 random.Random(n),
-                Port(self, name, zone),
+                SimulatedMembership(self, name, zone),
                 lambda host: 1.0,
                 self.now,
             )
@@ -601,19 +601,19 @@
     dead = ""
 
 
-class Port:
-    def __init__(self, town: Town, name: str, zone: str) -> None:
-        self.town, self.name, self.zone = town, name, zone
+class SimulatedMembership:
+    def __init__(self, town: SimulatedFleet, name: str, zone: str) -> None:
+        self.fleet, self.name, self.zone = town, name, zone
 
     def zone_leaders(self) -> Mapping[str, str]:
         return zone_leaders(
             MemberRecord(n, "h:1", 1, zone=i.zone)
-            for n, i in self.town.instances.items()
-            if self.town.hears(self.zone, i.zone)
+            for n, i in self.fleet.instances.items()
+            if self.fleet.hears(self.zone, i.zone)
         )
 
     def write_register(self, topic: str, data: bytes) -> None:
-        town = self.town
+        town = self.fleet
         number = max(
             (i.plan_number for i in town.instances.values() if town.hears(i.zone, self.zone)), default=0
         )
@@ -624,11 +624,11 @@
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
         sender = MemberRecord(self.name, "h:1", 1, zone=self.zone)
-        self.town.instances[name].on_direct_message(self.town.now, sender, topic, data)
+        self.fleet.instances[name].on_direct_message(self.fleet.now, sender, topic, data)
 
 
 def test_all_hold_one_plan_and_a_lost_zone_is_left_by_all_of_it() -> None:
-    town = Town()
+    town = SimulatedFleet()
     town.run(5.0)
     assert all(i.plan.row(i.own_zone) == {i.own_zone: WHOLE_SHARE} for i in town.instances.values())
     town.dead = "a"
@@ -640,7 +640,7 @@
 
 
 def test_it_comes_back_in_steps_when_the_zone_is_well() -> None:
-    town = Town()
+    town = SimulatedFleet()
     town.dead = "a"
     town.run(6.0)
     town.dead = ""
@@ -652,7 +652,7 @@
 
 
 def test_two_sides_of_a_cut_keep_their_own_work_and_agree_afterwards() -> None:
-    town = Town()
+    town = SimulatedFleet()
     town.run(5.0)
     town.apart = {"a"}
     town.run(10.0)
@@ -663,7 +663,7 @@
 
 
 def test_what_has_no_place_is_refused_at_once() -> None:
-    town = Town(1)
+    town = SimulatedFleet(1)
     instance = town.instances["i0"]
     instance.on_register_changed(town.now, PLAN_TOPIC, 1, "x", encode(FailoverPlan(0.0, {A: {A: 500}})))
     drawn = [instance.choose(town.now, set(), False) for _ in range(1000)]
@@ -671,7 +671,7 @@
 
 
 def test_of_what_has_no_place_the_least_worth_is_refused() -> None:
-    town = Town(1)
+    town = SimulatedFleet(1)
     instance = town.instances["i0"]
     instance.on_register_changed(
         town.now, PLAN_TOPIC, 1, "x", encode(FailoverPlan(0.0, {A: {A: 300, B: 300}}))
@@ -732,7 +732,7 @@
 
 
 def test_it_shows_what_zones_tell_of_their_members() -> None:
-    instance = Town(1).instances["i0"]
+    instance = SimulatedFleet(1).instances["i0"]
     told = ZoneSummary(B, 3, 7.0, {B: 0.6}, {}, 4.5, {0: 20, 1: 100, 9: 0})
     instance.on_register_changed(100.0, ZONE_TOPIC + "b", 1, "x", encode_report(told))
     shown = instance.state(101.0)["zones"]
@@ -740,7 +740,7 @@
 
 
 def test_tries_in_zones_that_the_plan_does_not_name_are_few() -> None:
-    town = Town(1)
+    town = SimulatedFleet(1)
     instance = town.instances["i0"]
     instance.retry_tokens = 0.0
     for _ in range(40):
@@ -757,7 +757,7 @@
         with pytest.raises(MalformedMessageError):
             reader(b"\xc1")
     with pytest.raises(MalformedMessageError):
-        Town(1).instances["i0"].on_register_changed(1.0, ZONE_TOPIC + "a", 1, "x", b"\xc1")
+        SimulatedFleet(1).instances["i0"].on_register_changed(1.0, ZONE_TOPIC + "a", 1, "x", b"\xc1")
 
 
 def test_a_sum_weighs_by_evidence_and_forgets_the_stale() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -175,7 +175,7 @@
 # ---- members that speak, in memory ------------------------------------------------------------
 
 
-class Net:
+class SimulatedNetwork:
     """Members whose packets arrive at once unless ``lost`` says otherwise; steps of 10 ms."""
 
     def __init__(self, count: int, seed: int = 1, **more: object) -> None:
@@ -223,12 +223,12 @@
 
 
 def test_members_find_each_other_through_one_seed() -> None:
-    net = Net(7)
+    net = SimulatedNetwork(7)
     assert net.run(10, lambda: net.agree(*names(*range(1, 8)))) < 5
 
 
 def test_one_that_falls_silent_is_suspected_and_then_dead_everywhere() -> None:
-    net = Net(5)
+    net = SimulatedNetwork(5)
     net.run(3)
     del net.members["127.0.0.1:4"]
     took = net.run(20, lambda: net.agree(*names(1, 2, 3, 5)))
@@ -238,7 +238,7 @@
 
 
 def test_one_that_was_paused_refutes_and_is_never_dead() -> None:
-    net = Net(5)
+    net = SimulatedNetwork(5)
     net.run(3)
     paused = net.members.pop("127.0.0.1:4")
     net.run(3 * CONF.probe_every)
@@ -252,7 +252,7 @@
 
 
 def test_who_cannot_send_to_one_member_asks_others_and_accuses_nobody() -> None:
-    net = Net(5)
+    net = SimulatedNetwork(5)
     net.run(3)
     net.lost = lambda sender, receiver, packet: (sender, receiver) == ("127.0.0.1:1", "127.0.0.1:2")
     net.run(20)
@@ -261,7 +261,7 @@
 
 
 def test_without_helpers_such_a_link_makes_a_suspect() -> None:
-    net = Net(5, helpers=0)
+    net = SimulatedNetwork(5, helpers=0)
     net.run(3)
     net.lost = lambda sender, receiver, packet: (sender, receiver) == ("127.0.0.1:1", "127.0.0.1:2")
     net.run(20)
@@ -269,7 +269,7 @@
 
 
 def test_two_halves_find_each_other_again() -> None:
-    net = Net(5)
+    net = SimulatedNetwork(5)
     net.run(3)
     side = {f"127.0.0.1:{n}": n <= 2 for n in range(1, 6)}
     net.lost = lambda sender, receiver, packet: side[sender] != side[receiver]
@@ -283,7 +283,7 @@
 
 
 def test_one_that_leaves_is_left_and_nobody_suspects_it() -> None:
-    net = Net(4)
+    net = SimulatedNetwork(4)
     net.run(3)
     net.members["127.0.0.1:3"].leave(net.now)
     net.run(0.5)
@@ -298,7 +298,7 @@
 
 
 def test_one_that_restarts_within_the_suspicion_time_is_the_newer_one() -> None:
-    net = Net(5)
+    net = SimulatedNetwork(5)
     net.run(3)
     del net.members["127.0.0.1:4"]
     net.run(1.0)
@@ -309,7 +309,7 @@
 
 
 def test_one_whose_clock_was_set_back_refutes_its_own_death() -> None:
-    net = Net(5)
+    net = SimulatedNetwork(5)
     net.run(3)
     del net.members["127.0.0.1:4"]
     net.run(8)
@@ -320,7 +320,7 @@
 
 
 def test_of_two_processes_of_one_name_the_older_falls_silent() -> None:
-    net, taken = Net(4), list[MemberRecord]()
+    net, taken = SimulatedNetwork(4), list[MemberRecord]()
     net.run(3)
     older = net.members["127.0.0.1:4"]
     older.on_name_taken = taken.append
@@ -334,7 +334,7 @@
 
 
 def test_another_fleet_is_not_mixed_in() -> None:
-    net = Net(3)
+    net = SimulatedNetwork(3)
     net.run(3)
     stranger = Member(
         MemberSettings("127.0.0.1:0", "other", seeds=("127.0.0.1:1",)),
@@ -351,7 +351,7 @@
 
 
 def test_a_third_of_all_packets_lost_kills_nobody() -> None:
-    net = Net(9)
+    net = SimulatedNetwork(9)
     net.run(4)
     net.lost = lambda sender, receiver, packet: net.rng.random() < 0.3
     net.run(60)
@@ -360,7 +360,7 @@
 
 
 def test_a_large_view_comes_over_in_bounded_packets() -> None:
-    net = Net(1)
+    net = SimulatedNetwork(1)
     first = net.members["127.0.0.1:1"]
     for n in range(400):
         first.view.merge(MemberRecord(f"far{n:03}", f"127.0.0.1:{n + 1000}", 1), net.now)
@@ -405,7 +405,7 @@
 def test_a_packet_with_a_byte_amiss_is_read_or_malformed(record: MemberRecord, data: st.DataObject) -> None:
     raw = bytearray(m.encode(m.Datagram(m.VERSION, "test", record, m.Ping(7), [record])))
     raw[data.draw(st.integers(0, len(raw) - 1))] = data.draw(st.integers(0, 255))
-    member = Net(1).members["127.0.0.1:1"]
+    member = SimulatedNetwork(1).members["127.0.0.1:1"]
     try:
         packet = m.decode(bytes(raw))
     except MalformedMessageError:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -18,7 +18,7 @@
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.net.signals import on_notice
 from tests.fakes import SETTINGS as CORE
-from tests.fakes import World
+from tests.fakes import ServiceHarness
 from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, at_once, ident, running, until
 from tests.test_endings import short
 
@@ -188,7 +188,7 @@
     monkeypatch.setattr(IndexClient, "_connect", connect)
 
     async def play() -> None:
-        client = IndexClient("127.0.0.1:1", World().service, lambda event, **_: None, most=1)
+        client = IndexClient("127.0.0.1:1", ServiceHarness().service, lambda event, **_: None, most=1)
         client.call(b"a", 1.0, b"", False)
         client.call(b"b", 1.0, b"", False)
         await until(lambda: begun == [b"a"])
@@ -207,7 +207,7 @@
 def test_a_further_try_of_what_has_run_is_never_refused_also_where_nothing_is_taken_any_more(
     end: Outcome | None, told: str, closed: str
 ) -> None:
-    w = World()
+    w = ServiceHarness()
     w.arrive(1)
     assert w.spawned() == [ident(1)]
     if end is not None:
@@ -216,24 +216,24 @@
         w.service.lifecycle.attempts.hand_over(lambda entry, gone: None)
     else:
         w.service.start_drain(2.0)
-        w.until(w.now + 1.95)
+        w.run_until(w.now + 1.95)
     w.arrive(2)
     w.arrive(3, key=b"new")
-    assert w.verdicts(2) == [told] and w.verdicts(3) == ["refused"]
-    assert told == "failed" or w.answers[ident(2)][0].body == b"result"
+    assert w.statuses(2) == [told] and w.statuses(3) == ["refused"]
+    assert told == "failed" or w.responses[ident(2)][0].body == b"result"
 
 
 def test_a_sender_whose_clock_is_ahead_puts_no_try_past_its_window() -> None:
     w = short(1.0)
     w.arrive(1)
     w.end(1)
-    w.until(w.now + 0.5)
+    w.run_until(w.now + 0.5)
     w.arrive(2, received_at=w.now + 4.0)
-    assert w.spawned() == [ident(1)] and w.answers[ident(2)][0].body == b"result"
+    assert w.spawned() == [ident(1)] and w.responses[ident(2)][0].body == b"result"
     ahead = short(1.0)
     ahead.arrive(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
     ahead.end(1)
-    ahead.until(ahead.now + 4.5)
+    ahead.run_until(ahead.now + 4.5)
     ahead.arrive(2)
     assert ahead.spawned() == [ident(1)]
 
--- a/tests/test_core_rules.py
+++ b/tests/test_service_rules.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from saltcart.decision.outcome import Outcome
-from tests.fakes import ONCE, SETTINGS, World
+from tests.fakes import ONCE, SETTINGS, ServiceHarness
 
 
-class History(World):
+class History(ServiceHarness):
     """A world that checks each thing the core does at the moment it does it."""
 
     def __init__(self, seed: int) -> None:
@@ -32,7 +32,7 @@
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
         assert ident not in self.started, "spawned twice"
-        assert not self.answers[ident], "run after its answer"
+        assert not self.responses[ident], "run after its answer"
         assert self.reached[ident] <= self.drained + SETTINGS.drain_grace, "run too late in a drain"
         if once:
             for before in self.ran.setdefault(self.key[ident], []):
@@ -52,7 +52,7 @@
         self.waiting.remove(ident)
 
     def check(self) -> None:
-        for ident, answers in self.answers.items():
+        for ident, answers in self.responses.items():
             assert len(answers) <= 1, "answered twice"
             late = self.now > self.due[ident] + SETTINGS.answer_slack
             assert answers or ident in self.gone or not late, "lost"
@@ -114,12 +114,12 @@
     h = History(seed)
     for n in range(400):
         h.act()
-        h.until(h.now + h.rng.choice([0.0, 0.004, 0.02, 0.1]))
+        h.run_until(h.now + h.rng.choice([0.0, 0.004, 0.02, 0.1]))
         h.check()
         if n == 330:
             h.drained = h.now
             h.service.start_drain(4.0)
-    h.until(h.drained + 4.0)
-    assert all(h.answers[ident] or ident in h.gone for ident in h.answers), "unanswered at the stop"
-    h.until(h.now + 20.0)
+    h.run_until(h.drained + 4.0)
+    assert all(h.responses[ident] or ident in h.gone for ident in h.responses), "unanswered at the stop"
+    h.run_until(h.now + 20.0)
     assert not h.service.keys.records and h.service.keys.used_bytes == 0
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -24,14 +24,14 @@
 from saltcart.storm.damper import Damper
 from saltcart.storm.settings import StormSettings
 from saltcart.wire import ajp
-from tests.fakes import SETTINGS, World
+from tests.fakes import SETTINGS, ServiceHarness
 from tests.standins import AjpClient, HttpClient, Pool, running, until
 
 STORM = Deployment(ajp=AjpFront("127.0.0.1:0"), storm=StormSettings())
 
 
-def world(**more: Any) -> tuple[World, Damper]:
-    made = World(replace(SETTINGS, **more))
+def world(**more: Any) -> tuple[ServiceHarness, Damper]:
+    made = ServiceHarness(replace(SETTINGS, **more))
     damper = Damper(StormSettings(), made.service.settings, 1, made.now, made.now - 100)
     made.service.ports.storm_control = damper
     return made, damper
@@ -58,7 +58,7 @@
     w.end(1)
     w.arrive(3)  # after its answer was lost on the way
     assert w.spawned() == [b"%016x" % 1]
-    assert [w.verdicts(n) for n in (1, 2, 3)] == [["served"]] * 3
+    assert [w.statuses(n) for n in (1, 2, 3)] == [["served"]] * 3
 
 
 def test_another_body_under_the_same_key_is_no_repeat() -> None:
@@ -73,10 +73,10 @@
 def test_who_is_refused_is_told_a_moment_at_once() -> None:
     w, _ = world(max_retry_after=0.5)
     w.service.start_drain(4.0)  # nothing new runs: it is refused
-    w.until(w.now + 2.0)
+    w.run_until(w.now + 2.0)
     before = w.now
     w.arrive(1, "read")
-    (answer,) = w.answers[b"%016x" % 1]
+    (answer,) = w.responses[b"%016x" % 1]
     assert answer.status.value == "refused" and w.now == before  # given up and answered in one moment
     assert answer.retry_after_seconds >= 0.2 and answer.back_off_seconds <= 0.5
 
@@ -89,11 +89,11 @@
         if not watched:
             w.service.ports.storm_control = None
         w.service.start_drain(4.0)
-        w.until(w.now + 2.0)
+        w.run_until(w.now + 2.0)
         for n in range(1, 40):  # the same work again and again, as in a storm
             w.arrive(n, "read")
-        told += [(a.back_off_seconds, a.is_final) for n in range(1, 40) for a in w.answers[b"%016x" % n]]
-        moments = [a.retry_after_seconds for n in range(1, 40) for a in w.answers[b"%016x" % n]]
+        told += [(a.back_off_seconds, a.is_final) for n in range(1, 40) for a in w.responses[b"%016x" % n]]
+        moments = [a.retry_after_seconds for n in range(1, 40) for a in w.responses[b"%016x" % n]]
         assert all(m > 0 for m in moments) if watched else not any(moments)
     assert told[:39] == told[39:]
 
@@ -102,7 +102,7 @@
     w, _ = world()
     w.arrive(1)
     w.end(1, Outcome.FAILED)
-    (answer,) = w.answers[b"%016x" % 1]
+    (answer,) = w.responses[b"%016x" % 1]
     assert answer.status.value == "failed" and answer.retry_after_seconds == pytest.approx(6.0, abs=0.2)
 
 
@@ -114,7 +114,7 @@
     held = 2 if b"%016x" % 2 not in w.spawned() else 0
     assert held  # the second waits for the one core
     w.arrive(3, "read", body=b"b")
-    assert w.verdicts(2) == ["refused"] and w.verdicts(3) == []
+    assert w.statuses(2) == ["refused"] and w.statuses(3) == []
     w.end(1)
     assert w.spawned()[-1] == b"%016x" % 3
 
@@ -123,7 +123,7 @@
     w, _ = world(cores=1)
     for n in (1, 2, 3):
         w.arrive(n, "read", body=b"same")
-    assert w.verdicts(2) == [] and w.verdicts(3) == []
+    assert w.statuses(2) == [] and w.statuses(3) == []
 
 
 def test_who_kept_its_moment_is_thinned_out_later_than_who_came_early() -> None:
@@ -247,7 +247,7 @@
 
 
 def test_the_administration_shows_who_repeats() -> None:
-    api = Api(World().service, None, "sixteen-characters-of-it", None, lambda: damper)  # type: ignore[arg-type]
+    api = Api(ServiceHarness().service, None, "sixteen-characters-of-it", None, lambda: damper)  # type: ignore[arg-type]
     w, damper = world()
     storm_on(damper)
     head = {b"authorization": b"Bearer sixteen-characters-of-it"}
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -170,7 +170,13 @@
 
     def join(self, name: str) -> None:
         self.instances[name] = SubsetBalancer(
-            self.conf, self.hosts, name, random.Random(name), Port(self, name), lambda host: 1.0, self.now
+            self.conf,
+            self.hosts,
+            name,
+            random.Random(name),
+            SimulatedMembership(self, name),
+            lambda host: 1.0,
+            self.now,
         )
         if len(self.instances) > 1:  # what it missed comes with the next comparison
             other = next(i for n, i in self.instances.items() if n != name)
@@ -190,21 +196,21 @@
         return Counter(h for i in self.instances.values() for h in i.subset)
 
 
-class Port:
+class SimulatedMembership:
     def __init__(self, town: Town, name: str) -> None:
-        self.town, self.name = town, name
+        self.fleet, self.name = town, name
 
     def present(self) -> Sequence[str]:
-        return sorted(self.town.instances)
+        return sorted(self.fleet.instances)
 
     def write_register(self, topic: str, data: bytes) -> None:
-        for i in self.town.instances.values():
-            i.on_register_changed(self.town.now, topic, data)
+        for i in self.fleet.instances.values():
+            i.on_register_changed(self.fleet.now, topic, data)
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
-        if name in self.town.instances:
-            self.town.instances[name].on_direct_message(
-                self.town.now, MemberRecord(self.name, "h:1", 1), topic, data
+        if name in self.fleet.instances:
+            self.fleet.instances[name].on_direct_message(
+                self.fleet.now, MemberRecord(self.name, "h:1", 1), topic, data
             )
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,7 +20,7 @@
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import handover as wire
 from saltcart.wire.errors import MalformedMessageError
-from tests.fakes import World
+from tests.fakes import ServiceHarness
 from tests.standins import SETTINGS, AjpClient, HttpClient, Pool, fields, ident, raw_config, running, until
 from tests.test_sockets import logged, start
 
@@ -82,9 +82,9 @@
 # ---- the core's rules -------------------------------------------------------------------------
 
 
-def two() -> tuple[World, World]:
+def two() -> tuple[ServiceHarness, ServiceHarness]:
     """An old service whose keys are told to a new one, all in memory."""
-    old, new = World(), World()
+    old, new = ServiceHarness(), ServiceHarness()
 
     def tell(entry: KeyRecord, gone: bool) -> None:
         new.service.adopt_key(wire.read_key(wire.decode(wire.encode(wire.key_packet(entry, gone)))), gone)
@@ -101,14 +101,14 @@
     old, new = two()
     new.arrive(11)
     new.arrive(12, key=b"done")
-    assert new.verdicts(12) == ["served"] and new.answers[ident(12)][0].body == b"before"
-    assert new.verdicts(11) == [] and new.spawned() == []
+    assert new.statuses(12) == ["served"] and new.responses[ident(12)][0].body == b"before"
+    assert new.statuses(11) == [] and new.spawned() == []
     old.end(1, result=b"after")
-    assert new.verdicts(11) == ["served"] and new.answers[ident(11)][0].body == b"after"
+    assert new.statuses(11) == ["served"] and new.responses[ident(11)][0].body == b"after"
     new.arrive(13)
-    assert new.verdicts(13) == ["served"] and new.spawned() == []
+    assert new.statuses(13) == ["served"] and new.spawned() == []
     old.arrive(3, key=b"else")  # it takes nothing more: never run, so refused
-    assert old.verdicts(3) == ["refused"] and len(old.spawned()) == 2
+    assert old.statuses(3) == ["refused"] and len(old.spawned()) == 2
 
 
 @pytest.mark.parametrize("how", ["fails", "never ran", "dies"])
@@ -119,17 +119,17 @@
         new.service.predecessor_lost()
     else:
         old.end(1, Outcome.NOT_STARTED if how == "never ran" else Outcome.FAILED)
-    assert new.verdicts(11) == ["failed"]
+    assert new.statuses(11) == ["failed"]
     new.arrive(12)
     # Only proof that nothing ran makes a key as free as before.
     assert new.spawned() == ([ident(12)] if how == "never ran" else [])
-    assert new.verdicts(12) == ([] if how == "never ran" else ["failed"])
+    assert new.statuses(12) == ([] if how == "never ran" else ["failed"])
 
 
 def test_keys_that_were_inherited_end_with_their_window() -> None:
     _, new = two()
     assert len(new.service.keys) == 2
-    new.until(new.now + 30)
+    new.run_until(new.now + 30)
     assert len(new.service.keys) == 0 and new.service.keys.used_bytes == 0
 
 
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -35,7 +35,7 @@
 from saltcart.membership.shared_registers import RegisterValue
 from saltcart.subsetting.subset_balancer import InstanceLoadReport, SubsetDemand
 from saltcart.wire import handover
-from tests.fakes import World
+from tests.fakes import ServiceHarness
 from tests.standins import Pool, ident, running
 
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -105,15 +105,15 @@
 
 
 def test_a_key_that_the_earlier_release_ran_is_answered_from_its_record() -> None:
-    world = World()
+    world = ServiceHarness()
     recorded = handover.read_key(handover.decode(handover_packet("entry")))
     recorded.key = ("a", "oddaja", b"k")
     recorded.expires_at = world.now + 5.0
     recorded.body_digest = digest(b"body of k")
     world.service.adopt_key(recorded, False)
     world.arrive(2)
-    assert world.verdicts(2) == ["served"] and world.spawned() == []
-    assert world.answers[ident(2)][0].body == KEY.result
+    assert world.statuses(2) == ["served"] and world.spawned() == []
+    assert world.responses[ident(2)][0].body == KEY.result
 
 
 def test_a_process_of_this_release_answers_the_recorded_take(
@@ -172,7 +172,7 @@
 def test_the_saved_tenants_are_read_and_written_as_before(tmp_path: Path) -> None:
     recorded, path = FIXTURES / "tenants.json", tmp_path / "tenants.json"
     shutil.copy(recorded, path)
-    registry = Registry(Deployment(), World().service, None, path)
+    registry = Registry(Deployment(), ServiceHarness().service, None, path)
     tenant, upstream = registry.tenants["a"], registry.upstreams["u1"]
     assert (tenant.share, tenant.quota, tenant.upstream) == (0.25, 50, "u1")
     assert [(m.host, m.weight, m.secret) for m in upstream.members] == [
