--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -34,7 +34,7 @@
     from saltcart.net.locality_driver import LocalityDriver
     from saltcart.net.membership_driver import MembershipDriver
     from saltcart.net.subset_driver import SubsetDriver
-    from saltcart.storm.damper import Damper
+    from saltcart.retry_storm.controller import RetryStormController
 
 Reply = tuple[int, Any]
 
@@ -54,7 +54,7 @@
         registry: Registry,
         token: str,
         composer: Composer | None = None,
-        damper: Callable[[], Damper | None] = lambda: None,
+        damper: Callable[[], RetryStormController | None] = lambda: None,
         gossip: MembershipDriver | None = None,
         nearby: LocalityDriver | None = None,
         evenly: SubsetDriver | None = None,
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -37,8 +37,8 @@
     from saltcart.net.locality_driver import LocalityDriver
     from saltcart.net.membership_driver import MembershipDriver
     from saltcart.net.subset_driver import SubsetDriver
-    from saltcart.storm.damper import Damper
-    from saltcart.storm.settings import StormSettings
+    from saltcart.retry_storm.controller import RetryStormController
+    from saltcart.retry_storm.settings import StormSettings
 
 KEYS_SHARE = 0.25  # of the memory that keys with their results may take
 ADMIN_IDLE, ADMIN_CONNECTIONS = 30.0, 16
@@ -91,7 +91,7 @@
         self.pool: PoolLink | None = None
         self.upstreams: Upstreams | None = None
         self.composer: Composer | None = None
-        self.damper: Damper | None = None
+        self.storm_controller: RetryStormController | None = None
         self.gossip: MembershipDriver | None = None
         self.locality: LocalityDriver | None = None
         self.subsets: SubsetDriver | None = None
@@ -166,7 +166,7 @@
                 registry,
                 admin.token,
                 self.composer,
-                lambda: self.damper,
+                lambda: self.storm_controller,
                 self.gossip,
                 self.locality,
                 self.subsets,
@@ -184,14 +184,14 @@
 
     def _watch_storms(self, conf: StormSettings) -> None:
         """Tries that come again are told from new work, and who is refused is told when to come back."""
-        from saltcart.storm.damper import Damper
+        from saltcart.retry_storm.controller import RetryStormController
 
         service = self.service
 
-        def make(settings: Settings, started: float) -> Damper:
-            damper = Damper(conf, settings, self.conf.seed, service.clock.now, started)
+        def make(settings: Settings, started: float) -> RetryStormController:
+            damper = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started)
             service.figure_sources.append(lambda: damper.figures(service.clock.read_seconds()))
-            self.damper = damper
+            self.storm_controller = damper
             return damper
 
         service.make_storm_control = make
--- a/saltcart/decision/concurrency_limit.py
+++ b/saltcart/decision/concurrency_limit.py
@@ -22,11 +22,7 @@
     def survivable(self, age: float) -> float:
         """Return how many requests on the cores the server survives, fewer while it is cold."""
         settings = self.settings
-        speed = 1.0
-        if settings.starts_cold and age < settings.warm_up_seconds:
-            cold = settings.cold_speed_share
-            speed = cold + (1 - cold) * age / settings.warm_up_seconds
-        return settings.cores * (1 + (settings.max_running_per_core - 1) * speed)
+        return settings.cores * (1 + (settings.max_running_per_core - 1) * settings.speed_share(age))
 
     def update(self, now: float, age: float, cpu_busy: float | None, held: int, period: float) -> None:
         """Move the slots; ``age`` is that of the cores, ``period`` the time of one step of the climb."""
--- a/saltcart/decision/settings.py
+++ b/saltcart/decision/settings.py
@@ -114,3 +114,9 @@
     client_count: int = 1
     batch_interval: float = 0.001  # shortest time between two batches of events
     tier: int = 0  # 0 for clients' requests; calls of the tier before arrive at the others
+
+    def speed_share(self, age: float) -> float:
+        """Return the share of its warm speed that a server has, so many seconds after its start."""
+        if not self.starts_cold or age >= self.warm_up_seconds:
+            return 1.0
+        return self.cold_speed_share + (1 - self.cold_speed_share) * age / self.warm_up_seconds
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -21,7 +21,7 @@
     from saltcart.budget.plan import Plans
     from saltcart.locality.settings import LocalitySettings
     from saltcart.membership.settings import MemberSettings
-    from saltcart.storm.settings import StormSettings
+    from saltcart.retry_storm.settings import StormSettings
     from saltcart.subsetting.settings import FleetSettings
 
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
@@ -223,7 +223,7 @@
             plans = read_plans(tables, [u.name for u in upstreams])
         storm = None
         if "storm" in f.raw:
-            from saltcart.storm.settings import read_storm
+            from saltcart.retry_storm.settings import read_storm
 
             storm = read_storm(f.section("storm").raw)
         member = None
--- a/saltcart/lab/filters.py
+++ b/saltcart/lab/filters.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 from typing import Any
 
-from saltcart.storm.filters import Seen
+from saltcart.retry_storm.sketches import RotatingBloomFilter
 
 RATE, SPAN = 1000.0, 60.0  # refusals a second, and seconds for which they are remembered
 AGAIN = 0.5  # of the tries come again
@@ -30,7 +30,7 @@
         return now - self.at.get(digest, -SPAN - 1) <= SPAN
 
 
-def play(kind: type[Plain] | type[Seen], count: int, seed: int) -> tuple[int, float, float]:
+def play(kind: type[Plain] | type[RotatingBloomFilter], count: int, seed: int) -> tuple[int, float, float]:
     """Bytes held at the end, share of new work that is told as come again, nanoseconds a try."""
     rng = random.Random(seed)
     stream, known = list[tuple[int, bool]](), list[int]()
@@ -41,12 +41,12 @@
         stream.append((digest, again))
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    table = Plain() if kind is Plain else Seen(SPAN)
+    table = Plain() if kind is Plain else RotatingBloomFilter(SPAN)
     for n, (digest, _) in enumerate(stream):
         table.add(n / RATE, digest)
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    table, wrong, new = (Plain() if kind is Plain else Seen(SPAN)), 0, 0
+    table, wrong, new = (Plain() if kind is Plain else RotatingBloomFilter(SPAN)), 0, 0
     begun = time.process_time()
     for n, (digest, again) in enumerate(stream):
         found = table.has(n / RATE, digest)
@@ -60,7 +60,7 @@
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
     count = 60_000 if quick else 240_000
     rows, figures = [["", "bytes", "wrong", "ns/try"]], dict[str, Any]()
-    for name, kind in (("sketch", Seen), ("dict", Plain)):
+    for name, kind in (("sketch", RotatingBloomFilter), ("dict", Plain)):
         size, wrong, cost = play(kind, count, seed)
         rows.append([name, str(size), f"{wrong:.5f}", f"{cost:.0f}"])
         figures |= {f"{name}_bytes": size, f"{name}_wrong": round(wrong, 6), f"{name}_ns": round(cost)}
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -29,9 +29,9 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec, Effect, LoadSignal, Preemption, Settings, TenantSpec
 from saltcart.lab.events import Events, host
-from saltcart.storm.capacity import Strength
-from saltcart.storm.damper import Damper
-from saltcart.storm.settings import StormSettings
+from saltcart.retry_storm.capacity import WarmUpCurve
+from saltcart.retry_storm.controller import RetryStormController
+from saltcart.retry_storm.settings import StormSettings
 
 READING, UNREAD = 0.25, 0.005  # of a mean request's work: to read it, and to refuse it unread
 WORK = 0.4  # seconds of one warm core, in the mean
@@ -151,11 +151,11 @@
         decide = service.executor.handlers[Reject]
         service.executor.handlers[Reject] = lambda action: self._turned_away(service, action, decide)
         service.pool_started(cold, 0.0 if cold else 100.0)
-        self.strength = Strength(service.settings, events.now)
-        self.damper: Damper | None = None
+        self.strength = WarmUpCurve(service.settings, events.now)
+        self.damper: RetryStormController | None = None
         self.tokens, self.tokens_at = 0.0, events.now
         if fleet.policy == "storm":
-            self.damper = Damper(
+            self.damper = RetryStormController(
                 StormSettings(reading=READING),
                 service.settings,
                 self.rng.getrandbits(60),
@@ -502,8 +502,11 @@
         )
         for node in self.nodes:
             if node.damper is not None:
-                seen.kept, seen.early = seen.kept + node.damper.kept, seen.early + node.damper.early
-                seen.told, seen.sketch_bytes = seen.told + node.damper.told, node.damper.bytes()
+                seen.kept, seen.early = (
+                    seen.kept + node.damper.kept_count,
+                    seen.early + node.damper.early_count,
+                )
+                seen.told, seen.sketch_bytes = seen.told + node.damper.advised_count, node.damper.bytes()
         return seen
 
     def _look(self) -> None:
--- a/saltcart/storm/fingerprints.py
+++ b/saltcart/retry_storm/fingerprints.py
@@ -1,10 +1,11 @@
-"""What makes two tries the same request, where nothing marks them as such."""
+"""What makes two attempts the same request, where nothing marks them as such."""
 
 from __future__ import annotations
 
 import xxhash
 
 SEPARATOR = b"\0"
+SEED_MASK = (1 << 64) - 1
 
 
 class Fingerprints:
@@ -14,8 +15,9 @@
     """
 
     def __init__(self, seed: int) -> None:
-        self.seed = seed & ((1 << 64) - 1)
+        self.seed = seed & SEED_MASK
 
-    def of(self, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes) -> int:
-        parts = (account.encode(), klass.encode(), key or b"", (subject or "").encode(), body)
+    def of(self, account: str, class_name: str, key: bytes | None, subject: str | None, body: bytes) -> int:
+        """Return the fingerprint of a request."""
+        parts = (account.encode(), class_name.encode(), key or b"", (subject or "").encode(), body)
         return xxhash.xxh3_64_intdigest(SEPARATOR.join(parts), seed=self.seed)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -32,7 +32,7 @@
     "saltcart.lab",
     "saltcart.locality",
     "saltcart.membership",
-    "saltcart.storm",
+    "saltcart.retry_storm",
     "simpy",
     "xxhash",
 )
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -21,8 +21,8 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment, read
 from saltcart.lab import storm as lab
-from saltcart.storm.damper import Damper
-from saltcart.storm.settings import StormSettings
+from saltcart.retry_storm.controller import RetryStormController
+from saltcart.retry_storm.settings import StormSettings
 from saltcart.wire import ajp
 from tests.fakes import SETTINGS, ServiceHarness
 from tests.standins import AjpClient, HttpClient, Pool, running, until
@@ -30,14 +30,14 @@
 STORM = Deployment(ajp=AjpFront("127.0.0.1:0"), storm=StormSettings())
 
 
-def world(**more: Any) -> tuple[ServiceHarness, Damper]:
+def world(**more: Any) -> tuple[ServiceHarness, RetryStormController]:
     made = ServiceHarness(replace(SETTINGS, **more))
-    damper = Damper(StormSettings(), made.service.settings, 1, made.now, made.now - 100)
+    damper = RetryStormController(StormSettings(), made.service.settings, 1, made.now, made.now - 100)
     made.service.ports.storm_control = damper
     return made, damper
 
 
-def storm_on(damper: Damper) -> None:
+def storm_on(damper: RetryStormController) -> None:
     """Many tries of refused work come again: the damper finds out by itself."""
     for n in range(40):
         damper.record_rejection(1_000.0, n)
@@ -170,11 +170,13 @@
 def test_a_flood_is_turned_back_unread_and_told_when_to_come_back() -> None:
     async def play() -> None:
         async with Pool(auto=False) as pool, running(STORM, pool=pool.address) as app:
-            damper = app.damper
+            damper = app.storm_controller
             assert damper is not None
-            damper.throughput.run_ended(app.service.clock.read_seconds(), 0.5, False)  # four runs a second
+            damper.capacity_estimator.record_run(
+                app.service.clock.read_seconds(), 0.5, False
+            )  # four runs a second
             seen = asyncio.create_task(crowd(app, 60))
-            await until(lambda: damper.gate.stopped > 30)
+            await until(lambda: damper.token_bucket.rejected_count > 30)
             pool.auto = True
             for ident in list(pool.spawned):
                 pool.finish(ident)
@@ -193,11 +195,11 @@
 def test_the_door_is_the_same_for_ajp() -> None:
     async def play() -> None:
         async with Pool() as pool, running(STORM, pool=pool.address) as app:
-            damper = app.damper
+            damper = app.storm_controller
             assert damper is not None
             client = await AjpClient(app.addresses["ajp"]).open()
             assert (await client.ask(1, body=b"y" * 1500, first=600)).status == 200  # body in two packets
-            damper.gate.tokens, damper.gate.capacity = 0.0, lambda now: 0.001
+            damper.token_bucket.tokens, damper.token_bucket.capacity = 0.0, lambda now: 0.001
             answer = await client.ask(2)
             assert answer.status == 503 and int(answer.headers[b"retry-after"]) >= 1
             assert pool.spawned == [b"%016x" % 1]
@@ -205,11 +207,14 @@
     asyncio.run(play())
 
 
-def shut(app: App) -> Damper:
+def shut(app: App) -> RetryStormController:
     """No token is left at the door, and none comes."""
-    assert app.damper is not None
-    app.damper.gate.tokens, app.damper.gate.capacity = 0.0, lambda now: 0.001
-    return app.damper
+    assert app.storm_controller is not None
+    app.storm_controller.token_bucket.tokens, app.storm_controller.token_bucket.capacity = (
+        0.0,
+        lambda now: 0.001,
+    )
+    return app.storm_controller
 
 
 def test_health_checks_pass_a_shut_door_however_their_bytes_come() -> None:
@@ -225,7 +230,7 @@
             ping = await AjpClient(app.addresses["ajp"]).open()
             ping.writer.write(ajp.CPING_PACKET)
             assert isinstance(await ping.message(), ajp.Pong)
-            assert damper.gate.stopped == 0
+            assert damper.token_bucket.rejected_count == 0
 
     asyncio.run(play())
 
@@ -238,7 +243,7 @@
             damper = shut(app)
             turned = await client.ask(2)
             assert turned.status == 503 and turned.headers[b"connection"] == b"close"
-            assert damper.gate.stopped == 1 and pool.spawned == [b"%016x" % 1]
+            assert damper.token_bucket.rejected_count == 1 and pool.spawned == [b"%016x" % 1]
             again = await HttpClient(app.addresses["http"]).open()
             told = int((await again.ask(3)).headers[b"retry-after"])
             assert abs(told - int(turned.headers[b"retry-after"])) <= 1  # its address is told the same again
