--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -466,21 +466,9 @@
     # ---- the day ------------------------------------------------------------------------------
 
     def run(self) -> Seen:
-        begun, events, day, seen = time.perf_counter(), self.events, self.day, self.seen
-        for request in self.requests:
-            events.at(request.born, self.attempt, request)
-            self.news[int(request.born)] += 1
-        if day.outage:
-            for node in self.nodes[::THIRD]:
-                events.at(OUT_AT, node.die)
-                events.at(OUT_AT + OUT_FOR, node.back)
-        if day.deploy:
-            others = [n for n in self.nodes if n.number % THIRD]
-            for n, node in enumerate(others):
-                events.at(OUT_AT + OUT_FOR + DEPLOY * n / len(others), node.replace)
-        for second in range(1, int(day.seconds)):
-            events.at(float(second), self._look)
-        events.run(day.seconds)
+        begun, day, seen = time.perf_counter(), self.day, self.seen
+        self._schedule_events()
+        self.events.run(day.seconds)
         seen.took = time.perf_counter() - begun
         offered = Counter[tuple[str, int]]()
         for request in self.requests:
@@ -502,13 +490,28 @@
         )
         for node in self.nodes:
             if node.damper is not None:
-                seen.kept, seen.early = (
-                    seen.kept + node.damper.kept_count,
-                    seen.early + node.damper.early_count,
-                )
-                seen.told, seen.sketch_bytes = seen.told + node.damper.advised_count, node.damper.bytes()
+                seen.kept += node.damper.kept_count
+                seen.early += node.damper.early_count
+                seen.told += node.damper.advised_count
+                seen.sketch_bytes = node.damper.bytes()
         return seen
 
+    def _schedule_events(self) -> None:
+        events, day = self.events, self.day
+        for request in self.requests:
+            events.at(request.born, self.attempt, request)
+            self.news[int(request.born)] += 1
+        if day.outage:
+            for node in self.nodes[::THIRD]:
+                events.at(OUT_AT, node.die)
+                events.at(OUT_AT + OUT_FOR, node.back)
+        if day.deploy:
+            others = [n for n in self.nodes if n.number % THIRD]
+            for n, node in enumerate(others):
+                events.at(OUT_AT + OUT_FOR + DEPLOY * n / len(others), node.replace)
+        for second in range(1, int(day.seconds)):
+            events.at(float(second), self._look)
+
     def _look(self) -> None:
         if OUT_AT <= self.events.now <= OUT_AT + OUT_FOR:
             for node in self.nodes:
--- a/saltcart/retry_storm/retry_reservations.py
+++ b/saltcart/retry_storm/retry_reservations.py
@@ -58,7 +58,8 @@
         """Set the moment of a digest."""
         tag = self._tag(digest)
         tick = max(0, min(MOMENT_MASK, round((moment - self.origin) / TICK_SECONDS)))
-        oldest, oldest_tick = -1, inf
+        oldest = -1
+        oldest_tick = inf
         for position in self._positions(digest):
             cell = self.cells[position]
             if cell >> MOMENT_BITS == tag:
@@ -66,7 +67,8 @@
                 break
             held_tick = -inf if cell == 0 else cell & MOMENT_MASK
             if held_tick < oldest_tick:
-                oldest, oldest_tick = position, held_tick
+                oldest = position
+                oldest_tick = held_tick
         self.cells[oldest] = tag << MOMENT_BITS | tick
 
     def remove(self, digest: int) -> None:
