--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -78,7 +78,7 @@
         key_room = int(conf.memory_mb * KEYS_SHARE * 1024 * 1024)
         clock = clock or Clock()
         self.service = Service(
-            settings, conf.gauges, conf.seed, clock, log, key_room=key_room, ahead=clock.ahead
+            settings, conf.gauges, conf.seed, clock, log, max_key_bytes=key_room, seconds_ahead=clock.ahead
         )
         self.service.intake.requires_tenant = hosted
         self.listeners: list[Listener] = []
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -16,24 +16,31 @@
     """Does the work of requests."""
 
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
         """Start a run.
 
-        ``once``: it must never be started a second time.  ``within``: seconds for which its caller still
-        waits; ``aim``: seconds in which a response earns its full weight.
+        ``must_run_once``: it must never be started a second time.  ``time_to_deadline``: seconds for which
+        its caller still waits; ``time_to_objective``: seconds in which a response earns its full weight.
         """
 
-    def suspend(self, ident: bytes) -> None:
+    def suspend(self, request_id: bytes) -> None:
         """Stop a run, as far as the settings' preemption allows."""
 
-    def proceed(self, ident: bytes) -> None:
+    def proceed(self, request_id: bytes) -> None:
         """Go on with a paused run."""
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
+    def supply(self, request_id: bytes, reply: bytes) -> None:
         """Give a run the reply to the call that it waits for."""
 
-    def skip(self, ident: bytes, notice: int) -> None:
+    def skip(self, request_id: bytes, notice: int) -> None:
         """Let a run go on without the call that this notice asked for."""
 
     def poll(self) -> None:
@@ -43,10 +50,10 @@
 class DependencyCalls(Protocol):
     """Makes calls to the dependency."""
 
-    def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
-        """Make a call; ``once``: not a second time where the first one may have run."""
+    def call(self, request_id: bytes, timeout: float, body: bytes, must_run_once: bool) -> None:
+        """Make a call; ``must_run_once``: not a second time where the first one may have run."""
 
-    def give_up(self, ident: bytes) -> None:
+    def give_up(self, request_id: bytes) -> None:
         """Give a request's call up."""
 
 
@@ -100,18 +107,18 @@
     """Tells retries from new work, and says when a rejected caller should come again."""
 
     def record_arrival(
-        self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
+        self, now: float, account: str, class_name: str, key: bytes | None, subject: str | None, body: bytes
     ) -> Attempt:
         """Recognise an attempt that arrived."""
 
-    def record_rejection(self, now: float, mark: int) -> RetryAdvice:
+    def record_rejection(self, now: float, fingerprint: int) -> RetryAdvice:
         """Record that an attempt was rejected; returns what its caller is told."""
 
-    def record_success(self, now: float, mark: int, again: bool) -> None:
+    def record_success(self, now: float, fingerprint: int, is_retry: bool) -> None:
         """Record that an attempt was served."""
 
-    def record_run(self, now: float, took: float, full: bool, running: int) -> None:
-        """Record the time of a run; ``full``: requests were held meanwhile."""
+    def record_run(self, now: float, seconds: float, is_full: bool, running: int) -> None:
+        """Record the time of a run; ``is_full``: requests were held meanwhile."""
 
     def in_storm(self, now: float) -> bool:
         """Whether a retry storm is under way."""
@@ -125,34 +132,34 @@
     def reject_unread(self, now: float, source: int) -> RetryAdvice:
         """Record a connection that was not read; returns what its client is told."""
 
-    def record_advice(self, now: float, source: int, after: float) -> None:
+    def record_advice(self, now: float, source: int, retry_after: float) -> None:
         """Record that a source was told to come again after so many seconds."""
 
 
 class WorkerPoolEvents(Protocol):
     """The core's half of ``WorkerPool``: what a pool reports."""
 
-    def pool_started(self, cold: bool, age: float) -> None:
+    def pool_started(self, starts_cold: bool, age: float) -> None:
         """The pool took the link; it started ``age`` seconds ago."""
 
-    def pool_replaced(self, cold: bool, age: float) -> None:
+    def pool_replaced(self, starts_cold: bool, age: float) -> None:
         """Another pool is there: nobody knows how the runs of the one before ended."""
 
     def run_finished(
         self,
-        ident: bytes,
+        request_id: bytes,
         outcome: Outcome,
-        took: float,
+        seconds: float,
         result: bytes,
-        left_out: tuple[str, ...] = (),
-        remembered: tuple[str, ...] = (),
+        skipped_dependencies: tuple[str, ...] = (),
+        cached_dependencies: tuple[str, ...] = (),
     ) -> None:
-        """A run is over; ``left_out`` and ``remembered``: dependencies skipped and taken from the cache."""
+        """A run is over, with or without replies of some dependencies."""
 
-    def run_awaits_call(self, ident: bytes, notice: int, body: bytes) -> None:
+    def run_awaits_call(self, request_id: bytes, notice: int, body: bytes) -> None:
         """A run waits for a call with this body."""
 
-    def run_uncertain(self, ident: bytes) -> None:
+    def run_uncertain(self, request_id: bytes) -> None:
         """A link broke over a start that must not be repeated: the run may or may not have begun."""
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
@@ -162,7 +169,7 @@
 class DependencyCallEvents(Protocol):
     """The core's half of ``DependencyCalls``."""
 
-    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
+    def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
         """A call is over."""
 
 
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -45,23 +45,24 @@
         clock: Callable[[], float],
         log: Log,
         *,
-        key_room: int = DEFAULT_KEY_BYTES,
-        ahead: Callable[[], float] = lambda: 0.0,
+        max_key_bytes: int = DEFAULT_KEY_BYTES,
+        seconds_ahead: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """``clock`` runs on evenly; ``ahead`` is how far it is before the Unix clock that peers write by.
+        """``clock`` runs on evenly.
 
-        ``key_room``: bytes that keys with their results may take.
+        ``seconds_ahead``: by how much it is before the Unix clock that peers write by.  ``max_key_bytes``:
+        that keys with their results may take.
         """
         self.settings = settings
         self.seed = seed
         self.log = log
         self.gauge_names = gauge_names
-        self.clock = CoreClock(clock, ahead)
+        self.clock = CoreClock(clock, seconds_ahead)
         self.timers = Timers()
         self.ports = Ports()
         self.longest_deadline = max(spec.deadline for spec in settings.classes)
         # An attempt may be read late: as long as its caller can wait at all.
-        self.keys = KeyTable(key_room, self.longest_deadline)
+        self.keys = KeyTable(max_key_bytes, self.longest_deadline)
         self._join_parts()
         # Makes the control of retry storms when the server is up, of its settings and its start.
         self.make_storm_control: Callable[[Settings, float], RetryStormControl] | None = None
@@ -225,13 +226,13 @@
 
     # ---- from the pool and the calls ----------------------------------------------------------
 
-    def pool_started(self, cold: bool, age: float) -> None:
+    def pool_started(self, starts_cold: bool, age: float) -> None:
         """The pool took the link.  The decision module starts with the pool, not with the process."""
         now = self.clock.read()
-        self.log("pool-started", cold=cold, age=age, again=self.controller is not None)
+        self.log("pool-started", cold=starts_cold, age=age, again=self.controller is not None)
         if self.controller is not None:
             return
-        self.settings = replace(self.settings, starts_cold=cold)
+        self.settings = replace(self.settings, starts_cold=starts_cold)
         started_at = now - max(0.0, age)
         controller = Controller(self.settings, self.seed)
         if self.make_storm_control is not None:
@@ -250,38 +251,40 @@
         self.keys.expire(self.clock.now, self.requests.__contains__)
         self.runs.write_off()
 
-    def pool_replaced(self, cold: bool, age: float) -> None:
+    def pool_replaced(self, starts_cold: bool, age: float) -> None:
         """Another pool has taken the place of the one before."""
-        self.runs.pool_replaced(cold, age)
+        self.runs.pool_replaced(starts_cold, age)
 
     def run_finished(
         self,
-        ident: bytes,
+        request_id: bytes,
         outcome: Outcome,
-        took: float,
+        seconds: float,
         result: bytes,
-        left_out: tuple[str, ...] = (),
-        remembered: tuple[str, ...] = (),
+        skipped_dependencies: tuple[str, ...] = (),
+        cached_dependencies: tuple[str, ...] = (),
     ) -> None:
         """A run is over."""
-        self.runs.run_finished(ident, outcome, took, result, left_out, remembered)
+        self.runs.run_finished(
+            request_id, outcome, seconds, result, skipped_dependencies, cached_dependencies
+        )
 
-    def run_awaits_call(self, ident: bytes, notice: int, body: bytes) -> None:
+    def run_awaits_call(self, request_id: bytes, notice: int, body: bytes) -> None:
         """A run waits for a call with this body."""
-        self.runs.run_awaits_call(ident, notice, body)
+        self.runs.run_awaits_call(request_id, notice, body)
 
-    def run_uncertain(self, ident: bytes) -> None:
+    def run_uncertain(self, request_id: bytes) -> None:
         """A link broke over a start that must not be repeated."""
-        self.runs.run_uncertain(ident)
+        self.runs.run_uncertain(request_id)
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
         """The gauges, in the order of the settings."""
         self.loop.gauges_at = self.clock.read()
         self.loop.gauges = {name: value for name, value in zip(self.gauge_names, values) if name}
 
-    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
+    def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
         """A call to the dependency is over."""
-        self.runs.call_finished(ident, outcome, reply)
+        self.runs.call_finished(request_id, outcome, reply)
 
     def _call_overdue(self, request_id: bytes) -> None:
         self.runs.call_finished(request_id, Outcome.BROKEN_OFF, b"")
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -228,7 +228,7 @@
             seed,
             events.clock,
             lambda event, **fields: None,
-            key_room=1 << 30,
+            max_key_bytes=1 << 30,
         )
         plans = office_plans(self.settings)
         self.places = {
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -145,7 +145,7 @@
             self.rng.getrandbits(60),
             events.clock,
             lambda event, **_: None,
-            key_room=1 << 30,
+            max_key_bytes=1 << 30,
         )
         service.ports.workers = SimulatedWorkers(self, service)
         decide = service.executor.handlers[Reject]
--- a/saltcart/retry_storm/controller.py
+++ b/saltcart/retry_storm/controller.py
@@ -120,11 +120,11 @@
         return has_others and (self.in_storm(now) or self.detector.is_flooded(now, self.capacity(now)))
 
     def record_arrival(
-        self, now: float, account: str, klass: str, key: bytes | None, subject: str | None, body: bytes
+        self, now: float, account: str, class_name: str, key: bytes | None, subject: str | None, body: bytes
     ) -> TrackedAttempt:
         """Recognise an attempt that was read."""
         self.now = now
-        fingerprint = self.fingerprints.of(account, klass, key, subject, body)
+        fingerprint = self.fingerprints.of(account, class_name, key, subject, body)
         is_retry = self.recent_rejections.has(now, fingerprint)
         if not self.counts_connections:
             self.detector.record_offer(now)
@@ -142,13 +142,13 @@
         self.kept_count += not is_early
         return TrackedAttempt(fingerprint, is_retry=True, has_reservation=not is_early, is_early=is_early)
 
-    def record_rejection(self, now: float, mark: int) -> RejectionAdvice:
+    def record_rejection(self, now: float, fingerprint: int) -> RejectionAdvice:
         """Record an attempt that was rejected; one that came early is told the same moment again."""
         self.now = now
         self.detector.record_rejection(now)
-        self.recent_rejections.add(now, mark)
+        self.recent_rejections.add(now, fingerprint)
         feeds_storm = self.in_storm(now) and self.detector.amplification(now) >= FEEDING_AMPLIFICATION
-        return self._advise(now, mark, feeds_storm)
+        return self._advise(now, fingerprint, feeds_storm)
 
     def _advise(self, now: float, digest: int, is_final: bool) -> RejectionAdvice:
         moment = self.reservations.get(digest)
@@ -161,16 +161,16 @@
             self.advised_count += 1
         return RejectionAdvice(max(0.0, moment - now), is_final)
 
-    def record_success(self, now: float, mark: int, again: bool) -> None:
+    def record_success(self, now: float, fingerprint: int, is_retry: bool) -> None:
         """Record an attempt that was served."""
         self.now = now
-        if again:
-            self.reservations.remove(mark)
+        if is_retry:
+            self.reservations.remove(fingerprint)
 
-    def record_run(self, now: float, took: float, full: bool, running: int) -> None:
-        """Record a run that is over; ``full``: others waited for its slot."""
-        self.capacity_estimator.record_run(now, took, full, running)
-        self.token_bucket.record_run(full)
+    def record_run(self, now: float, seconds: float, is_full: bool, running: int) -> None:
+        """Record a run that is over; ``is_full``: others waited for its slot."""
+        self.capacity_estimator.record_run(now, seconds, is_full, running)
+        self.token_bucket.record_run(is_full)
 
     def reject_unread(self, now: float, source: int) -> RejectionAdvice:
         """Record a connection that was not read: its source is given a moment, the same until then."""
@@ -180,9 +180,9 @@
         """Return the digest by which a source is known."""
         return self.fingerprints.of(address, "", None, None, b"")
 
-    def record_advice(self, now: float, source: int, after: float) -> None:
+    def record_advice(self, now: float, source: int, retry_after: float) -> None:
         """Record that a source was told to come back after so many seconds."""
-        self.reservations.put(now, source, now + after)
+        self.reservations.put(now, source, now + retry_after)
 
     # ---- what is shown ------------------------------------------------------------------------
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -110,7 +110,7 @@
 
 
 def test_a_fault_in_sweeping_the_keys_leaves_no_full_table() -> None:
-    w = ServiceHarness(key_room=8000)
+    w = ServiceHarness(max_key_bytes=8000)
     w.service.keys.expire = failing(w.service.keys.expire, 2)  # type: ignore[method-assign]
     w.arrive(1)
     w.end(1)
@@ -330,7 +330,7 @@
 
 def test_keys_are_bounded_by_what_they_take_and_not_by_their_number() -> None:
     """All keyed, a long window: small results must not fill a table that is made for large ones."""
-    w = ServiceHarness(key_room=20 * 6000)
+    w = ServiceHarness(max_key_bytes=20 * 6000)
     for n in range(1, 61):
         w.arrive(n, key=b"%d" % n)
         w.end(n)
@@ -339,7 +339,7 @@
         w.arrive(n, key=b"%d" % n)
         w.end(n, result=b"x" * 4096)
     assert 4 < len(w.spawned()) - 60 < 20 and w.service.keys.used_bytes <= 20 * 6000
-    again = ServiceHarness(key_room=20 * 6000)
+    again = ServiceHarness(max_key_bytes=20 * 6000)
     for n in range(1, 5000):  # nor by further tries of one key
         again.arrive(n)
         if n == 1:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -79,7 +79,7 @@
 
 
 def test_a_key_that_finds_no_room_is_refused_and_not_run() -> None:
-    w = ServiceHarness(key_room=8000)
+    w = ServiceHarness(max_key_bytes=8000)
     w.arrive(1)
     w.arrive(2, key=b"other")
     assert w.statuses(2) == ["refused"] and w.responses[b"%016x" % 2][0].back_off_seconds > 0
