--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -6,8 +6,8 @@
 
 from saltcart.core.rate import LN2, FadingRate
 
-QUICK_HALF_LIFE = 6.0  # seconds, of the first of two rates that are reported
-STEADY_HALF_LIFE = 24.0  # seconds, of the second
+SHORT_TERM_HALF_LIFE = 6.0  # seconds, of the first of two rates that are reported
+LONG_TERM_HALF_LIFE = 24.0  # seconds, of the second
 MIN_SPAN = 1.0  # seconds: over less than that a rate is chance
 DEVIATIONS = 3.0  # between the two, before the quick one is believed
 
@@ -45,5 +45,5 @@
     life: 8% of ten a second and 1% of a thousand.  A small zone is so not moved about by its own noise, and a
     surge in a large one is seen within a second.
     """
-    deviation = math.sqrt(max(quick, steady) * LN2 / (2 * QUICK_HALF_LIFE))
+    deviation = math.sqrt(max(quick, steady) * LN2 / (2 * SHORT_TERM_HALF_LIFE))
     return quick if abs(quick - steady) > DEVIATIONS * deviation else steady
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from saltcart.locality.demand import QUICK_HALF_LIFE, STEADY_HALF_LIFE, DemandEstimator
+from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, LONG_TERM_HALF_LIFE, DemandEstimator
 from saltcart.locality.failover_plan import FailoverPlan, encode, read_plan
 from saltcart.locality.load_reports import (
     MIN_OUTCOMES,
@@ -77,8 +77,8 @@
         self.own_zone = topology.zone_numbers[zone]
         self.outliers = OutlierDetector(settings, topology.members)
         self.load_shedder = LoadShedder(rng)
-        self.quick_demand = DemandEstimator(QUICK_HALF_LIFE)
-        self.steady_demand = DemandEstimator(STEADY_HALF_LIFE)
+        self.quick_demand = DemandEstimator(SHORT_TERM_HALF_LIFE)
+        self.steady_demand = DemandEstimator(LONG_TERM_HALF_LIFE)
         self.aggregator = LoadAggregator(self.own_zone, len(topology.members[self.own_zone]), settings)
         self.summaries: dict[int, tuple[float, ZoneSummary]] = {}  # by zone, with the time
         self.plan = FailoverPlan()
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from saltcart.locality.demand import QUICK_HALF_LIFE, DemandEstimator
+from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, DemandEstimator
 from saltcart.membership.member_record import MemberRecord
 from saltcart.schema import unpack
 from saltcart.subsetting.settings import FleetSettings
@@ -109,7 +109,7 @@
         self.subset_loads: dict[int, int] = {}  # what the class has under way, as it was reported last
         self.backoffs: dict[str, StaggeredBackoff] = {}  # of members that refused
         self.resting_until: dict[str, float] = {}
-        self.demand = DemandEstimator(QUICK_HALF_LIFE)
+        self.demand = DemandEstimator(SHORT_TERM_HALF_LIFE)
         self.reported_demand = 0.0
         self.present: tuple[str, ...] = ()
         self.present_since = now
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -14,7 +14,7 @@
 from saltcart.deployment import read
 from saltcart.field_reader import InvalidFieldError
 from saltcart.lab import zones as model
-from saltcart.locality.demand import QUICK_HALF_LIFE, DemandEstimator, credible_demand
+from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, DemandEstimator, credible_demand
 from saltcart.locality.evidence import (
     BEGUN_LOG_ODDS,
     MAX_LOG_ODDS,
@@ -544,7 +544,7 @@
 
 
 def test_demand_is_told_rightly_from_the_start() -> None:
-    demand = DemandEstimator(QUICK_HALF_LIFE)
+    demand = DemandEstimator(SHORT_TERM_HALF_LIFE)
     assert demand.rate(5.0) == 0.0
     for n in range(1, 401):  # ten a second
         demand.add(100.0 + n / 10)
