--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, LONG_TERM_HALF_LIFE, DemandEstimator
+from saltcart.locality.demand import LONG_TERM_HALF_LIFE, SHORT_TERM_HALF_LIFE, DemandEstimator
 from saltcart.locality.failover_plan import FailoverPlan, encode, read_plan
 from saltcart.locality.load_reports import (
     MIN_OUTCOMES,
