--- a/saltcart/locality/__init__.py
+++ b/saltcart/locality/__init__.py
@@ -1,1 +1,1 @@
-"""Where work goes: near while that is safe, else elsewhere in measure, decided in common.  No I/O."""
+"""Zone-aware routing: local zone first, failover to other zones by a plan that the fleet shares.  No I/O."""
--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -1,4 +1,4 @@
-"""How much work there is: requests a second of late, and whether a change of them is more than chance."""
+"""Estimates demand in requests per second and tells real changes of it from random variation."""
 
 from __future__ import annotations
 
@@ -6,44 +6,54 @@
 
 from saltcart.core.rate import LN2, FadingRate
 
-SHORT_TERM_HALF_LIFE = 6.0  # seconds, of the first of two rates that are reported
-LONG_TERM_HALF_LIFE = 24.0  # seconds, of the second
-MIN_SPAN = 1.0  # seconds: over less than that a rate is chance
-DEVIATIONS = 3.0  # between the two, before the quick one is believed
+# Half-lives, in seconds, of the two rates that each instance reports.
+SHORT_TERM_HALF_LIFE = 6.0
+LONG_TERM_HALF_LIFE = 24.0
+MIN_SPAN = 1.0  # seconds; a rate over a shorter time is mostly random
+SIGNIFICANT_DEVIATIONS = 3.0  # standard deviations between the two rates before the short-term one is used
 
 
 class DemandEstimator:
-    """Requests a second of late; ``half_life`` in seconds.
+    """Exponentially decayed request rate that is corrected for a short history.
 
-    What has been counted for a short time only is counted for what it would come to: else an instance that
-    has just started reports too little, and its zone's work is moved to one that has no room for it.
+    Without the correction, an instance that has just started would report too little, and its zone's
+    requests would be planned into a zone without the capacity for them.
     """
 
     def __init__(self, half_life: float) -> None:
+        """Start without any request counted.
+
+        Args:
+            half_life: Half-life of a counted request, in seconds.
+        """
         self.counted_rate = FadingRate(half_life)
-        self.began_at: float | None = None
+        self.started_at: float | None = None
 
     def add(self, now: float) -> None:
         """Count a request."""
-        if self.began_at is None:
-            self.began_at = now
+        if self.started_at is None:
+            self.started_at = now
         self.counted_rate.add(now)
 
     def rate(self, now: float) -> float:
-        """Return requests a second."""
-        if self.began_at is None:
+        """Return the estimated rate in requests per second."""
+        if self.started_at is None:
             return 0.0
-        span = max(MIN_SPAN, now - self.began_at)
-        seen_share: float = 1 - 0.5 ** (span / self.counted_rate.half_life)
-        return self.counted_rate.per_second(now) / seen_share
+        span = max(MIN_SPAN, now - self.started_at)
+        observed_share: float = 1 - 0.5 ** (span / self.counted_rate.half_life)
+        return self.counted_rate.per_second(now) / observed_share
+
 
+def credible_demand(short_term: float, long_term: float) -> float:
+    """Return a zone's demand: the long-term rate, unless the short-term one differs significantly from it.
 
-def credible_demand(quick: float, steady: float) -> float:
-    """Return a zone's demand: the steady rate, unless the quick one is off by more than chance.
+    With randomly arriving requests, the standard deviation of a decayed rate is the square root of
+    rate * ln 2 / (2 * half-life): about 8% at ten requests per second and 1% at a thousand.  Random variation
+    therefore moves no work of a small zone, while a surge in a large zone is noticed within a second.
 
-    Requests that come by chance make a faded rate stray by the root of rate times ln 2 over twice its half-
-    life: 8% of ten a second and 1% of a thousand.  A small zone is so not moved about by its own noise, and a
-    surge in a large one is seen within a second.
+    Args:
+        short_term: Rate with the short half-life, in requests per second.
+        long_term: Rate with the long half-life, in requests per second.
     """
-    deviation = math.sqrt(max(quick, steady) * LN2 / (2 * SHORT_TERM_HALF_LIFE))
-    return quick if abs(quick - steady) > DEVIATIONS * deviation else steady
+    deviation = math.sqrt(max(short_term, long_term) * LN2 / (2 * SHORT_TERM_HALF_LIFE))
+    return short_term if abs(short_term - long_term) > SIGNIFICANT_DEVIATIONS * deviation else long_term
--- a/saltcart/locality/load_reports.py
+++ b/saltcart/locality/load_reports.py
@@ -1,8 +1,9 @@
-"""What instances report: each to its zone's leader, the leader the zone's sum to all.
+"""Load reports: each instance reports to its zone's leader, and the leader publishes a summary to the fleet.
 
-Two thousand instances that all reported to all would drown the fleet; nine zones that each send a few bytes
-twice a second do not.  The leader is the first of its zone by name among those present, so everybody finds
-the same one without asking; while views differ there may be two, whose values are ordered by their numbers.
+Two thousand instances that all reported to each other would overload the fleet; nine zones that each publish
+a few bytes twice a second do not.  The leader is the zone's first present member by name, so that all
+instances determine the same one without an election.  While membership views differ there may be two; their
+summaries are ordered by register number.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from saltcart.locality.evidence import (
     MAX_MEMBER_OUTCOMES,
     MEMBER_HALF_LIFE,
-    POOR_SHARE,
+    POOR_SUCCESS_SHARE,
     PROVEN_LOG_ODDS,
     OutcomeCounts,
     SequentialTest,
@@ -26,32 +27,48 @@
 from saltcart.membership.member_record import MemberRecord
 from saltcart.schema import unpack
 
-MIN_EVIDENCE = 3.0  # outcomes of late below which an instance's grade of a zone is no word on it
-MAX_MEMBERS_NAMED = 40  # by a summary, for it must fit a register
-MIN_OUTCOMES = 0.5  # below which nothing is reported
+MIN_EVIDENCE = 3.0  # decayed outcomes; a zone's grade that is based on fewer is left out of a summary
+MAX_MEMBERS_LISTED = 40  # in a summary, which has to fit into a register
+MIN_REPORTED_OUTCOMES = 0.5  # decayed outcomes; fewer are not reported
 
 
 class InstanceReport(msgspec.Struct, array_like=True, frozen=True):
-    """One instance's report; its fields go by their order on the wire.
-
-    It holds two rates of demand in requests a second and, by zone number, its grade with the evidence.  Then
-    the outcomes since its report before: good and bad ones by zone, and by the own zone's members, numbered,
-    with their seconds.
+    """Load report of one instance to its zone's leader.
+
+    The order of the fields is the wire format.
+
+    Attributes:
+        short_term_demand: Request rate with the short half-life, in requests per second.
+        grades: By zone number, the available share of the zone's capacity and the number of decayed outcomes
+            that it is based on.
+        outcomes: Good and bad outcomes since the previous report, by zone number.
+        member_outcomes: The same for members of the own zone by position, with the sum of their durations.
+        long_term_demand: Request rate with the long half-life, in requests per second.  Instances before
+            0.7 send neither this nor the outcomes.
     """
 
-    quick_demand: float
+    short_term_demand: float
     grades: dict[int, tuple[float, float]]
     outcomes: dict[int, tuple[int, int]] = {}
     member_outcomes: dict[int, EndpointOutcomes] = {}
-    steady_demand: float | None = None  # instances before 0.7 report none, and nothing from the outcomes on
+    long_term_demand: float | None = None
 
 
 class ZoneSummary(msgspec.Struct, array_like=True, frozen=True):
-    """The sum of a zone's instances' reports; its fields go by their order on the wire.
-
-    ``grades``: how they find each zone that they know of.  ``outcomes``: good and bad ones of late, of all
-    its instances.  ``log_odds``: the test of the own zone's health.  ``capacity_percents``: that members of
-    the own zone have, as far as they are known, the worst first.
+    """Summary of the reports of a zone's instances.
+
+    The order of the fields is the wire format.
+
+    Attributes:
+        zone: Number of the zone.
+        instances: Number of instances with a fresh report.
+        demand: Sum of the instances' demand, in requests per second.
+        grades: Available share of each zone's capacity, as observed by this zone's instances.
+        outcomes: Decayed counts of good and bad outcomes by zone number.
+        log_odds: Sequential test of this zone's health.  Leaders before 0.7 do not send it, and their zones
+            count as proven healthy.
+        capacity_percents: Share of their capacity that members of this zone provide, by position; members
+            with too few outcomes are left out, and the worst come first.
     """
 
     zone: int
@@ -59,7 +76,7 @@
     demand: float
     grades: dict[int, float]
     outcomes: dict[int, tuple[float, float]] = {}
-    log_odds: float = PROVEN_LOG_ODDS  # what a leader before 0.7 does not report, is not asked for
+    log_odds: float = PROVEN_LOG_ODDS
     capacity_percents: dict[int, int] = {}
 
 
@@ -69,44 +86,58 @@
 
 
 def encode(value: InstanceReport | ZoneSummary) -> bytes:
-    """Return a report's bytes."""
+    """Encode a report or summary as MessagePack."""
     return _encoder.encode(value)
 
 
 def read_report(data: bytes) -> InstanceReport:
-    """Read an instance's report; ``MalformedMessageError`` for what is none."""
+    """Decode an instance's report.
+
+    Raises:
+        MalformedMessageError: The data is not a report.
+    """
     return unpack(_report_decoder, data, "report")
 
 
 def read_summary(data: bytes) -> ZoneSummary:
-    """Read a zone's summary; ``MalformedMessageError`` for what is none."""
+    """Decode a zone's summary.
+
+    Raises:
+        MalformedMessageError: The data is not a summary.
+    """
     return unpack(_summary_decoder, data, "summary")
 
 
-def zone_leaders(present: Iterable[MemberRecord]) -> dict[str, str]:
-    """Return the leader of each zone: its first member by name."""
+def zone_leaders(present_members: Iterable[MemberRecord]) -> dict[str, str]:
+    """Return the leader's name by zone: the first member of the zone by name."""
     leaders = dict[str, str]()
-    for record in present:
+    for record in present_members:
         if record.zone and (record.zone not in leaders or record.name < leaders[record.zone]):
             leaders[record.zone] = record.name
     return leaders
 
 
 class LoadAggregator:
-    """A leader's table of its zone's reports."""
+    """Aggregates the reports of a zone's instances; used by the zone's leader."""
 
     def __init__(self, zone: int, member_count: int, settings: LocalitySettings) -> None:
-        """``member_count``: how many the own zone has."""
+        """Start without reports.
+
+        Args:
+            zone: Number of the own zone.
+            member_count: Number of upstream members in the own zone.
+            settings: Settings of zone-aware routing.
+        """
         self.zone = zone
         self.member_count = member_count
         self.settings = settings
-        self.reports: dict[str, tuple[float, InstanceReport]] = {}  # by instance, with the time
+        self.reports: dict[str, tuple[float, InstanceReport]] = {}  # time received and report, by instance
         self.zone_outcomes: dict[int, OutcomeCounts] = {}
         self.member_outcomes: dict[int, OutcomeCounts] = {}
         self.health_test = SequentialTest()
 
-    def take(self, now: float, name: str, report: InstanceReport) -> None:
-        """Take an instance's report."""
+    def add_report(self, now: float, name: str, report: InstanceReport) -> None:
+        """Store an instance's report in place of its previous one, and count the outcomes."""
         self.reports[name] = now, report
         for zone, (good, bad) in report.outcomes.items():
             self.zone_outcomes.setdefault(zone, OutcomeCounts()).add(now, good, bad)
@@ -121,22 +152,26 @@
                 counts.add(now, good, bad, seconds)
 
     def summary(self, now: float) -> ZoneSummary:
-        """Return the sum of the fresh reports.
+        """Return the summary of the reports that are not stale.
 
-        The own zone has what its members have by all outcomes together: many instances that each see too
-        little of a member to judge it see enough of it in all, and long before each has found by itself that
-        it is back.
+        The own zone's grade is derived from its members' outcomes at all instances together: many instances
+        that each observe too little of a member to judge it observe enough in sum, and notice its recovery
+        long before each instance would alone.
         """
         stale = self.settings.stale
-        self.reports = {name: (at, r) for name, (at, r) in self.reports.items() if now - at <= stale}
+        self.reports = {
+            name: (received_at, report)
+            for name, (received_at, report) in self.reports.items()
+            if now - received_at <= stale
+        }
         for counts in (*self.zone_outcomes.values(), *self.member_outcomes.values()):
             counts.fade(now)
         grades = self._grades()
-        shares = capacity_shares(self.member_outcomes, self.settings.slower, POOR_SHARE)
+        shares = capacity_shares(self.member_outcomes, self.settings.slower, POOR_SUCCESS_SHARE)
         if shares:
-            unknown = grades.get(self.zone, 1.0) * (self.member_count - len(shares))
-            grades[self.zone] = round((sum(shares.values()) + unknown) / self.member_count, 3)
-        worst_first = sorted(shares.items(), key=lambda item: item[1])[:MAX_MEMBERS_NAMED]
+            unjudged = grades.get(self.zone, 1.0) * (self.member_count - len(shares))
+            grades[self.zone] = round((sum(shares.values()) + unjudged) / self.member_count, 3)
+        worst_first = sorted(shares.items(), key=lambda item: item[1])[:MAX_MEMBERS_LISTED]
         return ZoneSummary(
             zone=self.zone,
             instances=len(self.reports),
@@ -148,14 +183,16 @@
         )
 
     def _demand(self) -> float:
-        quick = steady = 0.0
+        short_term = long_term = 0.0
         for _, report in self.reports.values():
-            quick += report.quick_demand
-            steady += report.quick_demand if report.steady_demand is None else report.steady_demand
-        return credible_demand(quick, steady)
+            short_term += report.short_term_demand
+            long_term += (
+                report.short_term_demand if report.long_term_demand is None else report.long_term_demand
+            )
+        return credible_demand(short_term, long_term)
 
     def _grades(self) -> dict[int, float]:
-        """Return a grade of each zone: the mean of those who know of it, by their evidence."""
+        """Return each zone's grade: the mean over the instances, weighted by their evidence."""
         sums: dict[int, tuple[float, float]] = {}
         for _, report in self.reports.values():
             for zone, (grade, evidence) in report.grades.items():
@@ -169,5 +206,5 @@
         return {
             zone: (round(counts.good, 1), round(counts.bad, 1))
             for zone, counts in sorted(self.zone_outcomes.items())
-            if counts.good + counts.bad >= MIN_OUTCOMES
+            if counts.good + counts.bad >= MIN_REPORTED_OUTCOMES
         }
--- a/saltcart/locality/plan_proposal.py
+++ b/saltcart/locality/plan_proposal.py
@@ -1,7 +1,8 @@
-"""How one plan follows from another.
+"""Computes the next failover plan.
 
-A plan is made of the plan before, the zones' summaries and the moment, and of nothing else: whoever makes it
-from the same comes to the same.  A move that is small or soon after another waits, unless a zone has fallen.
+The next plan depends only on the previous plan, the zones' summaries and the time, so that any instance
+computes the same plan from the same input.  Small moves, and moves soon after another, are held back
+(hysteresis) unless a zone fails.
 """
 
 from __future__ import annotations
@@ -10,25 +11,26 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from saltcart.locality.evidence import POOR_SHARE, PROVEN_LOG_ODDS, success_upper_bound
+from saltcart.locality.evidence import POOR_SUCCESS_SHARE, PROVEN_LOG_ODDS, success_upper_bound
 from saltcart.locality.failover_plan import FailoverPlan, Rows, row_of
 from saltcart.locality.load_reports import ZoneSummary
 from saltcart.locality.settings import LocalitySettings
 from saltcart.locality.share_allocation import allocate_shares
 from saltcart.locality.topology import ZoneTopology
-from saltcart.locality.zone_trust import FALL, WHOLE_SHARE, ZoneTrust, next_trust
+from saltcart.locality.zone_trust import FALL_THRESHOLD, WHOLE_SHARE, ZoneTrust, next_trust
 
-MAX_RESERVE_USED = 0.7  # of what the limit keeps back, before work is moved again
-HOME_GAIN = 0.15  # of a zone's work that could be at home again: worth a move
-PRESSING = 50  # thousandths of a zone's work, rejected: room is wanted
-FOREIGN_WORK_FIRST = 10.0  # seconds after others' work has left, before a zone's own may leave it too
-MIN_INTERVAL = 0.5  # seconds between two plans, whatever falls
-KEPT_DEVIATIONS = 1.0  # of one second's work that a zone keeps free while there is room elsewhere
-SAFE_DEVIATIONS = 2.0  # of one second's work that a zone keeps free in any case
+MAX_RESERVE_USED = 0.7  # share of the capacity above ``limit`` that may be in use before requests are moved
+MIN_HOME_GAIN = 0.15  # share of a zone's requests; moving fewer back home does not justify a new plan
+REJECTION_THRESHOLD = 50  # thousandths of a zone's requests; rejecting as many calls for more capacity
+SPILLOVER_DRAIN_SECONDS = 10.0  # after a zone's spillover has left, before its own requests may leave too
+MIN_INTERVAL = 0.5  # seconds between two plans, even when a zone fails
+# Standard deviations of one second's requests that a zone keeps free.
+RESERVED_DEVIATIONS = 1.0  # while other zones have capacity
+MIN_RESERVED_DEVIATIONS = 2.0  # in any case
 
 
 class ReceivedSummary(NamedTuple):
-    """A zone's newest summary and how many seconds ago it came."""
+    """A zone's newest summary and its age in seconds."""
 
     age: float
     summary: ZoneSummary
@@ -37,62 +39,62 @@
 Summaries = Mapping[int, ReceivedSummary]  # by zone
 
 
-# ---- what is seen of a zone -------------------------------------------------------------------
+# ---- health and capacity of zones -------------------------------------------------------------
 
 
-def usual_success_share(received: Summaries) -> float:
-    """Return the share of good outcomes that zones have of late: that of the last of the best third.
+def usual_success_share(summaries: Summaries) -> float:
+    """Return the usual success share at present: that at the boundary of the best third of the zones.
 
-    What most zones suffer from is no zone's trouble, and no work is moved for it.
+    A fault that affects most zones is no reason to move requests away from any of them.
     """
-    outcomes = [r.summary.outcomes.get(zone, (0.0, 0.0)) for zone, r in received.items()]
+    outcomes = [received.summary.outcomes.get(zone, (0.0, 0.0)) for zone, received in summaries.items()]
     shares = [good / (good + bad) if good + bad > 0 else 1.0 for good, bad in outcomes]
     shares.sort(reverse=True)
     return shares[len(shares) // 3] if shares else 1.0
 
 
-def capacity_seen_by(summary: ZoneSummary, target: int, usual_share: float) -> float:
-    """Return the share of a zone's capacity that is there, as the instances of one zone find it."""
+def observed_capacity(summary: ZoneSummary, target: int, usual_share: float) -> float:
+    """Return the available share of the target's capacity, as observed by the instances of one zone."""
     outcomes = summary.outcomes.get(target, (0.0, 0.0))
-    if success_upper_bound(*outcomes) < POOR_SHARE * usual_share:
+    if success_upper_bound(*outcomes) < POOR_SUCCESS_SHARE * usual_share:
         return 0.0
     return summary.grades.get(target, 1.0)
 
 
-def capacity_for(
-    settings: LocalitySettings, received: Summaries, origin: int, target: int, usual_share: float = 1.0
+def available_capacity(
+    settings: LocalitySettings, summaries: Summaries, origin: int, target: int, usual_share: float = 1.0
 ) -> float:
-    """Return the share of the target's capacity that is there for the origin, as both find it.
+    """Return the share of the target's capacity that is available to the origin, as observed by both.
 
-    A zone that has fallen silent may be alive inside its borders and full of its own work: it gets none of
-    another's.  One that has never reported has no instances; what the origin finds itself is all there is.
+    A zone whose reports are stale may be partitioned off and busy with its own requests, so it gets none
+    from other zones.  A zone that has never reported has no instances; the origin's observation decides.
     """
-    own = capacity_seen_by(received[origin].summary, target, usual_share)
-    other = received.get(target)
-    if origin == target or other is None:
-        return own
-    if other.age > settings.stale:
+    by_origin = observed_capacity(summaries[origin].summary, target, usual_share)
+    received = summaries.get(target)
+    if origin == target or received is None:
+        return by_origin
+    if received.age > settings.stale:
         return 0.0
-    return min(own, capacity_seen_by(other.summary, target, usual_share))
+    return min(by_origin, observed_capacity(received.summary, target, usual_share))
 
 
-def health_log_odds(received: Summaries, target: int) -> float:
-    """Return the odds for the target's health, by its own instances.
+def health_log_odds(summaries: Summaries, target: int) -> float:
+    """Return the log odds of the target's health, as tested by its own instances.
 
-    Where none of them has work for it, no evidence is asked for.
+    Without any demand of their own they have no evidence, so none is required.
     """
-    other = received.get(target)
-    if other is None or other.summary.demand <= 0:
+    received = summaries.get(target)
+    if received is None or received.summary.demand <= 0:
         return PROVEN_LOG_ODDS
-    return other.summary.log_odds
+    return received.summary.log_odds
 
 
-# ---- rows -------------------------------------------------------------------------------------
+# ---- comparison of plans ----------------------------------------------------------------------
 
 
-def moved_share(before: FailoverPlan, rows: Rows, zone: int) -> int:
-    """Return the thousandths of a zone's work that go elsewhere than before."""
-    old = before.row(zone)
+def moved_share(previous: FailoverPlan, rows: Rows, zone: int) -> int:
+    """Return the thousandths of a zone's requests that the rows send elsewhere than the previous plan."""
+    old = previous.row(zone)
     new = row_of(rows, zone)
     targets = old.keys() | new.keys()
     difference = sum(abs(old.get(target, 0) - new.get(target, 0)) for target in targets)
@@ -103,177 +105,209 @@
     return sum(amount * plan.row(origin).get(target, 0) / WHOLE_SHARE for origin, amount in enumerate(demand))
 
 
-def is_still_good(
+def is_still_acceptable(
     settings: LocalitySettings,
-    before: FailoverPlan,
+    previous: FailoverPlan,
     rows: Rows,
     demand: Sequence[float],
-    room: Sequence[float],
+    planned_capacity: Sequence[float],
 ) -> bool:
-    """Whether the plan before is still good enough.
+    """Whether the previous plan is close enough to the rows that would be best now.
 
-    It is while no zone is too full, no work is rejected that need not be, and not much more could be at home.
+    It is while no zone is too full and the rows would neither keep notably more requests at home nor reject
+    notably fewer.
     """
-    gain = round(HOME_GAIN * WHOLE_SHARE)
-    for origin in range(len(room)):
-        old = before.row(origin)
+    gain = round(MIN_HOME_GAIN * WHOLE_SHARE)
+    for origin in range(len(planned_capacity)):
+        old = previous.row(origin)
         new = row_of(rows, origin)
         rejected_needlessly = sum(new.values()) - sum(old.values())
         if new.get(origin, 0) - old.get(origin, 0) >= gain or rejected_needlessly >= gain:
             return False
-    most = 1 + MAX_RESERVE_USED * (1 / settings.limit - 1)
-    return all(_inflow(before, demand, target) <= zone_room * most for target, zone_room in enumerate(room))
+    max_use = 1 + MAX_RESERVE_USED * (1 / settings.limit - 1)
+    return all(
+        _inflow(previous, demand, target) <= planned * max_use
+        for target, planned in enumerate(planned_capacity)
+    )
 
 
-def _is_overfull(
-    settings: LocalitySettings, plan: FailoverPlan, demand: Sequence[float], room: Sequence[float]
+def _is_overloaded(
+    settings: LocalitySettings,
+    plan: FailoverPlan,
+    demand: Sequence[float],
+    planned_capacity: Sequence[float],
 ) -> bool:
-    """Whether some zone is sent more than it can do at all."""
+    """Whether the plan sends some zone more than its full capacity."""
     return any(
-        _inflow(plan, demand, target) > zone_room / settings.limit for target, zone_room in enumerate(room)
+        _inflow(plan, demand, target) > planned / settings.limit
+        for target, planned in enumerate(planned_capacity)
     )
 
 
-def pressed_room(settings: LocalitySettings, capacity: float) -> float:
-    """Return what a zone takes where work would else be rejected.
+def pressed_capacity(settings: LocalitySettings, capacity: float) -> float:
+    """Return the capacity up to which a zone is filled while requests would otherwise be rejected.
 
-    A large one strays less from its mean and is filled up to where chance would overrun it; a small one up to
-    its limit as ever.
+    The load of a large zone varies less around its mean, so it is filled further, up to the point at which
+    random variation would overload it; a small zone keeps the ordinary limit.
     """
-    safe = capacity - SAFE_DEVIATIONS * math.sqrt(capacity)
+    safe = capacity - MIN_RESERVED_DEVIATIONS * math.sqrt(capacity)
     return max(settings.limit * capacity, min(settings.limit_pressed * capacity, safe))
 
 
-# ---- the plan that follows --------------------------------------------------------------------
+# ---- the next plan ----------------------------------------------------------------------------
 
 
-def has_foreign_work(
-    before: FailoverPlan, known: Mapping[tuple[int, int], ZoneTrust], summary: ZoneSummary, now: float
+def spillover_leaves_first(
+    previous: FailoverPlan,
+    known_trust: Mapping[tuple[int, int], ZoneTrust],
+    summary: ZoneSummary,
+    now: float,
 ) -> bool:
-    """Whether a zone in trouble has others' work, or had until just now: it is that which leaves first.
+    """Whether a zone in trouble keeps its own requests while spillover from other zones leaves it.
 
-    A small zone with others' work is now and then overrun by mere chance, and well again when that is gone.
-    To move its own work too would be the herd that falls on one zone after the other.
+    So it does while it has spillover, and for some time afterwards.  Random variation alone overloads a small
+    zone with spillover now and then, and the zone recovers without it.  Moving its own requests too would
+    overload one zone after the other.
     """
     zone = summary.zone
-    own = known.get((zone, zone))
-    if own is not None and now - own.fell_at < FOREIGN_WORK_FIRST:
-        return False  # it is falling already
-    if summary.grades.get(zone, 1.0) * WHOLE_SHARE <= FALL:
-        return False  # none of its members is left
-    if any(row.get(zone, 0) > 0 for origin, row in before.rows.items() if origin != zone):
+    own = known_trust.get((zone, zone))
+    if own is not None and now - own.fell_at < SPILLOVER_DRAIN_SECONDS:
+        return False  # trust in it is falling already
+    if summary.grades.get(zone, 1.0) * WHOLE_SHARE <= FALL_THRESHOLD:
+        return False  # hardly any of its members is left
+    if any(row.get(zone, 0) > 0 for origin, row in previous.rows.items() if origin != zone):
         return True
     return any(
-        target == zone != origin and now - trust.fell_at < FOREIGN_WORK_FIRST
-        for (origin, target), trust in known.items()
+        target == zone != origin and now - trust.fell_at < SPILLOVER_DRAIN_SECONDS
+        for (origin, target), trust in known_trust.items()
     )
 
 
 class PlanProposer:
-    """Makes the plan that follows, from the plan before and the zones' summaries at one moment."""
+    """Computes the next plan from the previous one and the zones' summaries at one moment."""
 
     def __init__(
         self,
         settings: LocalitySettings,
         topology: ZoneTopology,
-        before: FailoverPlan,
-        received: Summaries,
+        previous: FailoverPlan,
+        summaries: Summaries,
         now: float,
     ) -> None:
-        """``now``: Unix seconds."""
+        """Prepare a proposal.
+
+        Args:
+            settings: Settings of zone-aware routing.
+            topology: The zones and their capacity.
+            previous: The plan in use.
+            summaries: The newest summary of each zone.
+            now: Unix time in seconds.
+        """
         self.settings = settings
         self.topology = topology
-        self.before = before
-        self.received = received
+        self.previous = previous
+        self.summaries = summaries
         self.now = now
         self.zones = range(len(topology.zones))
         self.fresh = [zone for zone in self.zones if self._is_fresh(zone)]
-        self.known = {(trust.origin, trust.target): trust for trust in before.trust}
-        self.trust = dict[tuple[int, int], ZoneTrust]()  # that follows, where it is less than full
-        self.has_fallen = False  # trust in a zone that is used
-        self.has_recovered = False  # a zone's trust in itself
+        self.known_trust = {(trust.origin, trust.target): trust for trust in previous.trust}
+        self.trust = dict[tuple[int, int], ZoneTrust]()  # of the next plan, without pairs of default trust
+        self.has_fallen = False  # trust in a zone that is in use
+        self.has_recovered = False  # trust of a zone in itself
 
     def _is_fresh(self, zone: int) -> bool:
-        return zone in self.received and self.received[zone].age <= self.settings.stale
+        return zone in self.summaries and self.summaries[zone].age <= self.settings.stale
 
     def propose(self) -> FailoverPlan | None:
-        """Return the plan that follows; None where the one before stands."""
+        """Return the next plan; None if the previous one stays."""
         self._update_trust()
         trust = [self.trust[pair] for pair in sorted(self.trust)]
-        demand = [self.received[o].summary.demand if o in self.fresh else 0.0 for o in self.zones]
-        rows, room = self._allocate(demand)
-        for origin, row in self.before.rows.items():
+        demand = [
+            self.summaries[origin].summary.demand if origin in self.fresh else 0.0 for origin in self.zones
+        ]
+        rows, planned_capacity = self._allocate(demand)
+        for origin, row in self.previous.rows.items():
             if origin not in self.fresh:
                 rows[origin] = dict(row)
-        if self._justifies_a_move(rows, demand, room):
+        if self._justifies_a_move(rows, demand, planned_capacity):
             return FailoverPlan(round(self.now, 1), rows, trust)
-        if trust != self.before.trust and self.now - self.before.made_at >= MIN_INTERVAL:
-            # The trust goes on, for the next plan is made of it; the work stays where it is.
-            return FailoverPlan(self.before.made_at, self.before.rows, trust)
+        if trust != self.previous.trust and self.now - self.previous.made_at >= MIN_INTERVAL:
+            # The next plan needs the new trust; the rows, and the time of the last move, stay.
+            return FailoverPlan(self.previous.made_at, self.previous.rows, trust)
         return None
 
     def _update_trust(self) -> None:
-        usual_share = usual_success_share(self.received)
-        is_pressed = any(self.before.rejected_share(origin) >= PRESSING for origin in self.before.rows)
+        usual_share = usual_success_share(self.summaries)
+        is_rejecting = any(
+            self.previous.rejected_share(origin) >= REJECTION_THRESHOLD for origin in self.previous.rows
+        )
         for origin in self.fresh:
             for target in self.zones:
-                self._update_pair(origin, target, usual_share, is_pressed)
-        for pair, old in self.known.items():
+                self._update_pair(origin, target, usual_share, is_rejecting)
+        for pair, old in self.known_trust.items():
             if pair[0] not in self.fresh:
-                self.trust[pair] = old  # those cut off decide for themselves
+                self.trust[pair] = old  # a zone that is partitioned off decides for itself
 
-    def _update_pair(self, origin: int, target: int, usual_share: float, is_pressed: bool) -> None:
-        old = self.known.get((origin, target), ZoneTrust(origin, target))
-        capacity_share = capacity_for(self.settings, self.received, origin, target, usual_share)
-        log_odds = health_log_odds(self.received, target)
-        new = next_trust(self.settings, old, capacity_share, self.now, log_odds, is_pressed)
+    def _update_pair(self, origin: int, target: int, usual_share: float, is_rejecting: bool) -> None:
+        old = self.known_trust.get((origin, target), ZoneTrust(origin, target))
+        capacity_share = available_capacity(self.settings, self.summaries, origin, target, usual_share)
+        log_odds = health_log_odds(self.summaries, target)
+        new = next_trust(self.settings, old, capacity_share, self.now, log_odds, is_rejecting)
         is_own = origin == target
         if is_own and new.share < old.share:
-            summary = self.received[target].summary
-            if has_foreign_work(self.before, self.known, summary, self.now):
+            summary = self.summaries[target].summary
+            if spillover_leaves_first(self.previous, self.known_trust, summary, self.now):
                 new = old
-        self.has_fallen |= new.share < old.share and self.before.row(origin).get(target, 0) > 0
-        self.has_recovered |= is_own and new.share > old.share  # others' work has no need to come back
+        self.has_fallen |= new.share < old.share and self.previous.row(origin).get(target, 0) > 0
+        self.has_recovered |= is_own and new.share > old.share  # spillover need not return
         if new != ZoneTrust(origin, target):
             self.trust[origin, target] = new
 
     def _allocate(self, demand: list[float]) -> tuple[dict[int, dict[int, int]], list[float]]:
-        """Return the rows that would be best now, and the room that each zone has."""
+        """Return the rows that would be best now, and the capacity up to which each zone was filled."""
         shares = {pair: trust.share / WHOLE_SHARE for pair, trust in self.trust.items()}
         capacity = [self.topology.capacity[zone] * shares.get((zone, zone), 1.0) for zone in self.zones]
-        room = [self.settings.limit * able for able in capacity]
-        # The smaller a zone is, the further its work strays from the mean.
-        kept_back = [
-            max(0.0, zone_room - (able - KEPT_DEVIATIONS * math.sqrt(able)))
-            for zone_room, able in zip(room, capacity)
+        planned_capacity = [self.settings.limit * zone_capacity for zone_capacity in capacity]
+        # The smaller a zone is, the more its load varies relative to the mean.
+        reserved = [
+            max(0.0, planned - (zone_capacity - RESERVED_DEVIATIONS * math.sqrt(zone_capacity)))
+            for planned, zone_capacity in zip(planned_capacity, capacity)
         ]
-        rows = allocate_shares(self.topology, demand, room, shares, kept_back)
-        if any(WHOLE_SHARE - sum(row.values()) >= PRESSING for row in rows.values()):
-            room = [pressed_room(self.settings, able) for able in capacity]
-            rows = allocate_shares(self.topology, demand, room, shares)
-        return rows, room
-
-    def _justifies_a_move(self, rows: Rows, demand: list[float], room: list[float]) -> bool:
-        most_moved = max((moved_share(self.before, rows, origin) for origin in self.zones), default=0)
+        rows = allocate_shares(self.topology, demand, planned_capacity, shares, reserved)
+        if any(WHOLE_SHARE - sum(row.values()) >= REJECTION_THRESHOLD for row in rows.values()):
+            planned_capacity = [pressed_capacity(self.settings, zone_capacity) for zone_capacity in capacity]
+            rows = allocate_shares(self.topology, demand, planned_capacity, shares)
+        return rows, planned_capacity
+
+    def _justifies_a_move(self, rows: Rows, demand: list[float], planned_capacity: list[float]) -> bool:
+        max_moved = max((moved_share(self.previous, rows, origin) for origin in self.zones), default=0)
         interval = self.settings.hold
         if self.has_fallen:
             interval = MIN_INTERVAL
         elif self.has_recovered:
             interval = self.settings.step_every
-        elif is_still_good(self.settings, self.before, rows, demand, room):
-            most_moved = 0
-        elif not _is_overfull(self.settings, self.before, demand, room):
+        elif is_still_acceptable(self.settings, self.previous, rows, demand, planned_capacity):
+            max_moved = 0
+        elif not _is_overloaded(self.settings, self.previous, demand, planned_capacity):
             interval = self.settings.settle
-        is_large = most_moved >= round(self.settings.least_move * WHOLE_SHARE)
-        return is_large and self.now - self.before.made_at >= interval
+        is_large = max_moved >= round(self.settings.least_move * WHOLE_SHARE)
+        return is_large and self.now - self.previous.made_at >= interval
 
 
 def propose_plan(
     settings: LocalitySettings,
     topology: ZoneTopology,
-    before: FailoverPlan,
-    received: Summaries,
+    previous: FailoverPlan,
+    summaries: Summaries,
     now: float,
 ) -> FailoverPlan | None:
-    """Return the plan that follows; None where the one before stands.  ``now``: Unix seconds."""
-    return PlanProposer(settings, topology, before, received, now).propose()
+    """Return the next plan; None if the previous one stays.
+
+    Args:
+        settings: Settings of zone-aware routing.
+        topology: The zones and their capacity.
+        previous: The plan in use.
+        summaries: The newest summary of each zone.
+        now: Unix time in seconds.
+    """
+    return PlanProposer(settings, topology, previous, summaries, now).propose()
--- a/saltcart/locality/topology.py
+++ b/saltcart/locality/topology.py
@@ -1,4 +1,4 @@
-"""The zones of a fleet, which of them is near to which, and what each can do."""
+"""The zones of a fleet, their regions, members and capacity."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One upstream member; ``capacity``: requests a second that it can do."""
+    """One upstream member, and its capacity in requests per second."""
 
     host: str
     zone: str
@@ -16,7 +16,7 @@
 
 
 class ZoneTopology:
-    """Zones by number, in the order of their names, the same for every instance with the same settings."""
+    """Zones numbered in the order of their names, so that all instances with the same settings agree."""
 
     def __init__(self, endpoints: Iterable[Endpoint]) -> None:
         self.endpoints = tuple(endpoints)
@@ -27,13 +27,13 @@
         self.members: list[list[str]] = [[] for _ in self.zones]
         for endpoint in self.endpoints:
             number = self.zone_numbers[endpoint.zone]
-            self.regions[number] = endpoint.region  # one for each zone: the settings are checked for that
+            self.regions[number] = endpoint.region  # the settings are checked for one region per zone
             self.capacity[number] += endpoint.capacity
             self.members[number].append(endpoint.host)
         self.priority_levels = [self._priority_levels(number) for number in range(len(self.zones))]
 
-    def _priority_levels(self, own: int) -> tuple[tuple[int, ...], ...]:
-        """Return zones by priority: the own one, those of its region, the others."""
-        others = [number for number in range(len(self.zones)) if number != own]
-        near = tuple(number for number in others if self.regions[number] == self.regions[own])
-        return (own,), near, tuple(number for number in others if number not in near)
+    def _priority_levels(self, own_zone: int) -> tuple[tuple[int, ...], ...]:
+        """Return zone numbers by priority level: the own zone, others of its region, all others."""
+        others = [number for number in range(len(self.zones)) if number != own_zone]
+        same_region = tuple(number for number in others if self.regions[number] == self.regions[own_zone])
+        return (own_zone,), same_region, tuple(number for number in others if number not in same_region)
--- a/saltcart/locality/zone_trust.py
+++ b/saltcart/locality/zone_trust.py
@@ -1,31 +1,39 @@
-"""How far one zone trusts another: it falls at once, when what was seen can't be chance, and comes back late.
+"""Trust between zones: it falls at once on significant evidence of a failure and recovers slowly.
 
-It comes back only after so long in unbroken and proven health, longer after each fall, and in steps.
+Recovery starts only after a time of uninterrupted and proven health, which is longer after each recent fall,
+and proceeds in steps.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from saltcart.locality.evidence import BEGUN_LOG_ODDS, PROVEN_LOG_ODDS
+from saltcart.locality.evidence import PROVEN_LOG_ODDS, RECOVERY_START_LOG_ODDS
 from saltcart.locality.settings import LocalitySettings
 
-WHOLE_SHARE = 1000  # shares are whole thousandths, so that all come to the same ones
-FALL = 100  # thousandths less than was trusted: a fall, not chance
-NEARLY_WHOLE = WHOLE_SHARE - FALL // 2  # is as good as whole
-SAME_FALL_SECONDS = 10.0  # within which further falls are the same one
-PRESSED_SHARE = 1 / 3  # of the wait for recovery, that is left of it while work is rejected
-FORGET_FACTOR = 4.0  # times the wait for recovery, in full trust, after which a fall is forgotten
-MAX_DOUBLINGS = 16  # of the wait for recovery
+WHOLE_SHARE = 1000  # thousandths; whole numbers, so that all instances compute equal shares
+FALL_THRESHOLD = 100  # thousandths; a smaller decrease is attributed to random variation
+NEARLY_WHOLE_SHARE = WHOLE_SHARE - FALL_THRESHOLD // 2  # counts as full trust
+SAME_FALL_SECONDS = 10.0  # decreases within this time of the last one count as the same fall
+REJECTING_WAIT_SHARE = 1 / 3  # of the recovery wait that remains while requests are rejected
+FORGET_FACTOR = 4.0  # times the recovery wait, in full trust, after which falls are forgotten
+MAX_DOUBLINGS = 16  # of the recovery wait
 
 
 class ZoneTrust(msgspec.Struct, array_like=True, frozen=True):
-    """How far one zone trusts another, where that is less than fully or was of late.
-
-    Its fields go by their order on the wire.  ``share`` in thousandths; ``next_step_at``: Unix seconds of the
-    next step back if health lasts until then, or at which the falls are forgotten; 0 while it is as bad as it
-    is trusted to be.  ``health_level``: the health, in thousandths, that has lasted since the wait began.
-    ``fell_at``: Unix seconds.
+    """Trust of one zone in another, where it is less than full or was so recently.
+
+    The order of the fields is the wire format.
+
+    Attributes:
+        origin: Number of the zone that sends requests.
+        target: Number of the zone that would serve them; the origin itself for its trust in itself.
+        share: Trust in thousandths.
+        recent_falls: Number of falls that are not forgotten.
+        next_step_at: Unix time in seconds of the next recovery step if health lasts until then, or at which
+            the falls are forgotten; 0 while the target is no better than its trust.
+        health_level: Available share of the target's capacity, in thousandths, when the wait began.
+        fell_at: Unix time in seconds of the last decrease.
     """
 
     origin: int
@@ -36,12 +44,12 @@
     health_level: int = WHOLE_SHARE
     fell_at: float = 0.0
 
-    def wait_at_share(self, share: int) -> ZoneTrust:
-        """Return trust of this share that waits for health to last."""
+    def without_next_step(self, share: int) -> ZoneTrust:
+        """Return trust of this share without a scheduled recovery step."""
         return ZoneTrust(self.origin, self.target, share, self.recent_falls, fell_at=self.fell_at)
 
-    def wait_until(self, share: int, next_step_at: float, health_level: int) -> ZoneTrust:
-        """Return trust of this share whose next step is due then."""
+    def with_next_step(self, share: int, next_step_at: float, health_level: int) -> ZoneTrust:
+        """Return trust of this share with its next step scheduled."""
         return ZoneTrust(
             self.origin,
             self.target,
@@ -55,46 +63,53 @@
 
 def next_trust(
     settings: LocalitySettings,
-    before: ZoneTrust,
+    previous: ZoneTrust,
     capacity_share: float,
     now: float,
     log_odds: float = PROVEN_LOG_ODDS,
-    pressed: bool = False,
+    is_rejecting: bool = False,
 ) -> ZoneTrust:
-    """Return the trust that follows from what is seen now.
-
-    ``capacity_share``: of the target's capacity, that is there.  ``log_odds``: for the target's health, of
-    the sequential test.  A wait begins when something speaks for health and ends when it is proven, however
-    long the few outcomes of a small zone take for that.  ``pressed``: work is rejected for want of room.  The
-    wait keeps work from swinging that is served well elsewhere; what is served nowhere has nothing to lose by
-    a try, so it is shorter then.
+    """Return the trust that follows from the present observations.
+
+    The recovery wait begins with the first evidence of health and ends when health is proven, however long
+    the few outcomes of a small zone take for that.  It keeps requests that are served well elsewhere from
+    swinging back and forth.  Requests that are served nowhere have nothing to lose by a trial, so the wait is
+    shorter while requests are rejected.
+
+    Args:
+        settings: Settings of zone-aware routing.
+        previous: The trust of the plan in use.
+        capacity_share: Available share of the target's capacity, from 0 to 1.
+        now: Unix time in seconds.
+        log_odds: Result of the sequential test of the target's health.
+        is_rejecting: Whether requests are rejected for lack of capacity.
     """
-    found = round(capacity_share * WHOLE_SHARE)
-    if found <= FALL:
-        found = 0  # what is all but gone is gone: no work is to find that out
-    if found < before.share - FALL or found == 0 < before.share:
-        return _fallen(before, found, now)
-    wait = _recovery_wait(settings, before.recent_falls)
-    if before.share >= NEARLY_WHOLE:
-        return _forgetting(before, now, FORGET_FACTOR * wait)
-    if found <= before.share + FALL // 2:
-        return before.wait_at_share(before.share)
-    is_shaken = found < before.health_level - FALL or log_odds < BEGUN_LOG_ODDS
-    if before.next_step_at == 0 or is_shaken:  # never healthy for long: a flap
-        return before.wait_until(before.share, now + wait, found)
-    shortened = wait * (1 - PRESSED_SHARE) if pressed and before.share == 0 else 0.0
-    if now < before.next_step_at - shortened or log_odds < PROVEN_LOG_ODDS:
-        return before
-    share = min(found, before.share + round(settings.step * WHOLE_SHARE))
-    if share >= NEARLY_WHOLE:
-        return before.wait_at_share(WHOLE_SHARE)
-    return before.wait_until(share, now + settings.step_every, before.health_level)
-
-
-def _fallen(before: ZoneTrust, share: int, now: float) -> ZoneTrust:
-    is_new_fall = now - before.fell_at > SAME_FALL_SECONDS
-    falls = before.recent_falls + is_new_fall
-    return ZoneTrust(before.origin, before.target, share, falls, fell_at=round(now, 1))
+    available = round(capacity_share * WHOLE_SHARE)
+    if available <= FALL_THRESHOLD:
+        available = 0  # a zone with almost no capacity gets no requests that would only confirm this
+    if available < previous.share - FALL_THRESHOLD or available == 0 < previous.share:
+        return _trust_after_fall(previous, available, now)
+    wait = _recovery_wait(settings, previous.recent_falls)
+    if previous.share >= NEARLY_WHOLE_SHARE:
+        return _full_trust(previous, now, FORGET_FACTOR * wait)
+    if available <= previous.share + FALL_THRESHOLD // 2:
+        return previous.without_next_step(previous.share)
+    is_interrupted = available < previous.health_level - FALL_THRESHOLD or log_odds < RECOVERY_START_LOG_ODDS
+    if previous.next_step_at == 0 or is_interrupted:  # a flapping zone never gets beyond this
+        return previous.with_next_step(previous.share, now + wait, available)
+    shortened = wait * (1 - REJECTING_WAIT_SHARE) if is_rejecting and previous.share == 0 else 0.0
+    if now < previous.next_step_at - shortened or log_odds < PROVEN_LOG_ODDS:
+        return previous
+    share = min(available, previous.share + round(settings.step * WHOLE_SHARE))
+    if share >= NEARLY_WHOLE_SHARE:
+        return previous.without_next_step(WHOLE_SHARE)
+    return previous.with_next_step(share, now + settings.step_every, previous.health_level)
+
+
+def _trust_after_fall(previous: ZoneTrust, share: int, now: float) -> ZoneTrust:
+    is_new_fall = now - previous.fell_at > SAME_FALL_SECONDS
+    falls = previous.recent_falls + is_new_fall
+    return ZoneTrust(previous.origin, previous.target, share, falls, fell_at=round(now, 1))
 
 
 def _recovery_wait(settings: LocalitySettings, falls: int) -> float:
@@ -103,11 +118,11 @@
     return min(settings.recover_most, wait)
 
 
-def _forgetting(before: ZoneTrust, now: float, forget_after: float) -> ZoneTrust:
-    """Return full trust: there is nothing to win back, but for the falls to be forgotten."""
-    is_due = before.next_step_at != 0 and now >= before.next_step_at
-    if before.recent_falls == 0 or is_due:
-        return ZoneTrust(before.origin, before.target)
-    if before.next_step_at == 0:
-        return before.wait_until(WHOLE_SHARE, now + forget_after, WHOLE_SHARE)
-    return before
+def _full_trust(previous: ZoneTrust, now: float, forget_after: float) -> ZoneTrust:
+    """Return full trust, and forget the falls after ``forget_after`` seconds of it."""
+    is_due = previous.next_step_at != 0 and now >= previous.next_step_at
+    if previous.recent_falls == 0 or is_due:
+        return ZoneTrust(previous.origin, previous.target)
+    if previous.next_step_at == 0:
+        return previous.with_next_step(WHOLE_SHARE, now + forget_after, WHOLE_SHARE)
+    return previous
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -1,4 +1,4 @@
-"""Ties the decisions on zones to membership, the upstream's connections and the clocks."""
+"""Connects zone-aware routing to membership, the upstream's connections and the clocks."""
 
 from __future__ import annotations
 
@@ -20,26 +20,38 @@
 
 
 class LocalityDriver(RegisterListener):
-    """The chooser of one upstream whose members are in zones."""
+    """Chooses the members of one upstream whose members are in zones."""
 
     def __init__(
         self,
         settings: LocalitySettings,
         upstream: UpstreamConf,
         driver: MembershipDriver,
-        runs: AjpUpstream,
+        ajp_upstream: AjpUpstream,
         seed: int,
         log: Log,
         weights: Mapping[str, float],
     ) -> None:
-        """``weights``: by class, of a response in time; an unknown class counts as the least."""
+        """Start routing, and register with the membership driver and the upstream.
+
+        Args:
+            settings: Settings of zone-aware routing.
+            upstream: The upstream's members with their zones and capacity.
+            driver: Driver of the fleet's membership.
+            ajp_upstream: Connections to the upstream's members.
+            seed: Seed of the random numbers.
+            log: Event log.
+            weights: Priority weight by class; an unknown class counts as the lowest.
+        """
         super().__init__(driver, log)
-        self.runs = runs
+        self.ajp_upstream = ajp_upstream
         self.weights = weights
         self.least_weight = min(weights.values(), default=1.0)
         self.leaders = dict[str, str]()
-        self.leaders_version = -1  # of the view from which they were found
-        topology = ZoneTopology(Endpoint(m.host, m.zone, m.region, m.capacity) for m in upstream.members)
+        self.leaders_version = -1  # version of the membership view that the leaders were determined from
+        topology = ZoneTopology(
+            Endpoint(member.host, member.zone, member.region, member.capacity) for member in upstream.members
+        )
         self.router = ZoneRouter(
             settings,
             topology,
@@ -51,51 +63,51 @@
             self.loop.time(),
         )
         self.router.on_plan_changed = self._on_plan_changed
-        runs.chooser = self
+        ajp_upstream.chooser = self
 
     def tick(self, now: float) -> None:
-        """Report what is due."""
+        """Send the reports that are due."""
         self.router.tick(now, time.time())
 
-    def register_changed(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
-        """Take a newer plan or summary."""
-        self.router.on_register_changed(now, topic, number, by, data)
+    def register_changed(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
+        """Process a newer plan or zone summary."""
+        self.router.on_register_changed(now, topic, number, author, data)
 
     def direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
-        """Take an instance's report."""
+        """Process an instance's load report."""
         self.router.on_direct_message(now, sender, topic, data)
 
     def _load(self, host: str) -> float:
-        member = self.runs.by_host[host]
+        member = self.ajp_upstream.by_host[host]
         return (member.open + 1) / member.weight
 
     def zone_leaders(self) -> Mapping[str, str]:
-        """Return the leader of each zone."""
+        """Return the leader's name by zone."""
         view = self.member.view
         if self.leaders_version != view.version:
             self.leaders_version = view.version
             self.leaders = zone_leaders(record for record in view if record.is_present)
         return self.leaders
 
-    # ---- the upstream's chooser ---------------------------------------------------------------
+    # ---- choice of members for the upstream ---------------------------------------------------
 
-    def arrived(self, klass: str) -> bool:
-        """Count a request; whether it has room is found out in ``choose``."""
-        self.router.record_arrival(self.loop.time(), self._weight(klass))
+    def arrived(self, class_name: str) -> bool:
+        """Count a request; it is always accepted here, as ``choose`` decides whether to reject it."""
+        self.router.record_arrival(self.loop.time(), self._weight(class_name))
         return True
 
-    def choose(self, klass: str, tried: set[str], safe: bool) -> str | None:
-        """Return the member that a request goes to."""
-        return self.router.choose(self.loop.time(), tried, safe, self._weight(klass))
+    def choose(self, class_name: str, tried_hosts: set[str], is_idempotent: bool) -> str | None:
+        """Return the member that an attempt goes to; None to reject the request."""
+        return self.router.choose(self.loop.time(), tried_hosts, is_idempotent, self._weight(class_name))
 
-    def ended(self, host: str, good: bool, took: float, refused: bool) -> None:
-        """Count a request that is over."""
-        self.router.record_outcome(self.loop.time(), host, good, took, refused)
+    def ended(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
+        """Count the outcome of an attempt that lasted ``seconds``."""
+        self.router.record_outcome(self.loop.time(), host, good, seconds, connection_refused)
 
     def _weight(self, class_name: str) -> float:
         return self.weights.get(class_name, self.least_weight)
 
-    # ---- what is shown ------------------------------------------------------------------------
+    # ---- log and administration API -----------------------------------------------------------
 
     def _on_plan_changed(self, plan: FailoverPlan, number: int, author: str) -> None:
         zones = self.router.topology.zones
@@ -104,7 +116,9 @@
             "locality-plan",
             number=number,
             by=author,
-            rows={zones[o]: {zones[t]: share for t, share in row.items()} for o, row in rows},
+            rows={
+                zones[origin]: {zones[target]: share for target, share in row.items()} for origin, row in rows
+            },
         )
 
     def state(self) -> dict[str, object]:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -16,10 +16,10 @@
 from saltcart.lab import zones as model
 from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, DemandEstimator, credible_demand
 from saltcart.locality.evidence import (
-    BEGUN_LOG_ODDS,
     MAX_LOG_ODDS,
-    POOR_SHARE,
+    POOR_SUCCESS_SHARE,
     PROVEN_LOG_ODDS,
+    RECOVERY_START_LOG_ODDS,
     OutcomeCounts,
     SequentialTest,
     capacity_shares,
@@ -443,20 +443,20 @@
     o.record_outcome(0.0, "a2", True, 0.25)
     for _ in range(CONF.consecutive + 3):
         o.record_outcome(0.0, "a1", False, 1.0)
-    zones, members = o.take_unreported(0)
+    zones, members = o.pop_unreported(0)
     assert zones == {0: (1, CONF.consecutive)}
     assert members == {1: (1, 0, 0.25), 0: (0, 8, 8.0)}
-    assert o.take_unreported(0) == ({}, {})
+    assert o.pop_unreported(0) == ({}, {})
 
 
 def test_what_the_zone_tells_of_a_member_counts_for_all_of_its_instances() -> None:
     o = outliers()
-    o.apply_zone_findings(0.0, 0, {0: 0, 1: 10})
+    o.apply_capacity_percents(0.0, 0, {0: 0, 1: 10})
     assert o.usable_endpoints(0.0, 0) == ["a2", "a3", "a4"] and o.slowness("a2", 0.0) == pytest.approx(10.0)
     assert o.next_trial(0.0, 0, False) in {"a1", "a2"}
-    o.apply_zone_findings(0.5, 0, {})
+    o.apply_capacity_percents(0.5, 0, {})
     assert len(o.usable_endpoints(0.5, 0)) == 4 and o.slowness("a2", 0.0) == 1.0
-    o.apply_zone_findings(1.0, 0, {0: 0, 1: 0, 2: 0})
+    o.apply_capacity_percents(1.0, 0, {0: 0, 1: 0, 2: 0})
     assert len(o.usable_endpoints(1.0, 0)) == 4  # panic: with so few left all are tried
 
 
@@ -467,11 +467,11 @@
             o.record_outcome(now, "a1", False, 0.0)
         now = o.endpoints["a1"].ejected_until
     began = now - o.endpoints["a1"].ejection_seconds
-    o.apply_zone_findings(began + 1.0, 0, {0: 100})
+    o.apply_capacity_percents(began + 1.0, 0, {0: 100})
     assert o.next_trial(began + 1.0, 0, False) is None  # it was put out only now
-    o.apply_zone_findings(began + 4.0, 0, {1: 100})
+    o.apply_capacity_percents(began + 4.0, 0, {1: 100})
     assert o.next_trial(began + 4.0, 0, False) is None  # of this one nothing was told
-    o.apply_zone_findings(began + 4.0, 0, {0: 100})
+    o.apply_capacity_percents(began + 4.0, 0, {0: 100})
     assert o.next_trial(began + 4.0, 0, False) == "a1"
 
 
@@ -492,8 +492,8 @@
 
 
 def test_few_ends_prove_little_and_many_the_same_share() -> None:
-    assert success_upper_bound(0.0, 2.0) > POOR_SHARE > success_upper_bound(0.0, 4.0)
-    assert success_upper_bound(5.0, 5.0) > POOR_SHARE > success_upper_bound(50.0, 50.0)
+    assert success_upper_bound(0.0, 2.0) > POOR_SUCCESS_SHARE > success_upper_bound(0.0, 4.0)
+    assert success_upper_bound(5.0, 5.0) > POOR_SUCCESS_SHARE > success_upper_bound(50.0, 50.0)
 
 
 def test_a_tally_fades_with_time_and_holds_no_more_ends_than_it_may() -> None:
@@ -522,7 +522,7 @@
     proof.add(1000, 0)
     assert proof.log_odds == MAX_LOG_ODDS
     proof.add(0, 100)
-    assert proof.log_odds == 0.0 < BEGUN_LOG_ODDS
+    assert proof.log_odds == 0.0 < RECOVERY_START_LOG_ODDS
 
 
 def test_members_are_judged_by_the_ends_of_all_instances() -> None:
@@ -530,7 +530,7 @@
     tallies = {place: OutcomeCounts() for place in ends}
     for place, (good, bad, took) in ends.items():
         tallies[place].add(0.0, good, bad, took)
-    found = capacity_shares(tallies, CONF.slower, POOR_SHARE)
+    found = capacity_shares(tallies, CONF.slower, POOR_SUCCESS_SHARE)
     assert found == {0: 1.0, 1: pytest.approx(0.12, abs=0.01), 2: 0.0, 4: 1.0}
 
 
@@ -697,7 +697,7 @@
     shed = LoadShedder(random.Random(1))
     for worth in worths:
         shed.record_arrival(1.0, worth)
-    chances = {worth: shed.chance(worth, share) for worth in sorted(set(worths))}
+    chances = {worth: shed.rejection_probability(worth, share) for worth in sorted(set(worths))}
     assert sum(chances[w] for w in worths) == pytest.approx(share * len(worths), abs=1e-6)
     assert list(chances.values()) == sorted(chances.values(), reverse=True)
 
@@ -707,10 +707,10 @@
     for n in range(5000):
         shed.record_arrival(n / 1000, n / 7)
     assert len(shed.weight_counts) <= MAX_WEIGHTS
-    assert shed.chance(1e9, 0.5) < shed.chance(0.0, 0.5) == 1.0
+    assert shed.rejection_probability(1e9, 0.5) < shed.rejection_probability(0.0, 0.5) == 1.0
     shed.record_arrival(10_000.0, 1.0)
     assert shed.weight_counts == {1.0: 1.0}  # what is long past is forgotten
-    assert shed.chance(5.0, 0.3) == 0.3  # one request tells nothing of the others
+    assert shed.rejection_probability(5.0, 0.3) == 0.3  # one request tells nothing of the others
 
 
 def test_reports_and_sums_of_large_zones_fit_a_packet() -> None:
@@ -721,11 +721,11 @@
     collector = LoadAggregator(0, 200, CONF)
     told = set[int]()
     for _ in range(7):
-        zones, members = o.take_unreported(0)
+        zones, members = o.pop_unreported(0)
         grades = {z: (round(g, 3), round(e, 1)) for z in range(9) for g, e in [o.grade(0.4, z)]}
         report = InstanceReport(1234.56, grades, zones, members, 1234.56)
         assert len(encode_report(report)) <= 900
-        collector.take(0.4, "i0", report)
+        collector.add_report(0.4, "i0", report)
         told |= members.keys()
     assert told == set(range(200))  # what did not fit was told later
     assert len(encode_report(collector.summary(0.4))) <= 900
@@ -762,9 +762,9 @@
 
 def test_a_sum_weighs_by_evidence_and_forgets_the_stale() -> None:
     collector = LoadAggregator(A, 2, CONF)
-    collector.take(0.0, "gone", InstanceReport(100.0, {A: (0.0, 1000.0)}))
-    collector.take(5.0, "one", InstanceReport(3.0, {A: (1.0, 30.0), B: (0.0, 1.0)}))
-    collector.take(5.0, "two", InstanceReport(4.0, {A: (0.0, 10.0)}, steady_demand=4.0))
+    collector.add_report(0.0, "gone", InstanceReport(100.0, {A: (0.0, 1000.0)}))
+    collector.add_report(5.0, "one", InstanceReport(3.0, {A: (1.0, 30.0), B: (0.0, 1.0)}))
+    collector.add_report(5.0, "two", InstanceReport(4.0, {A: (0.0, 10.0)}, long_term_demand=4.0))
     summary = collector.summary(5.5)
     assert (summary.instances, summary.demand, summary.grades) == (2, 7.0, {A: 0.75})
 
@@ -782,7 +782,7 @@
 
     pack = msgspec.msgpack.encode
     collector = LoadAggregator(A, 2, CONF)
-    collector.take(5.0, "old", read_report(pack(Before(3.0, {A: (1.0, 9.0)}))))
+    collector.add_report(5.0, "old", read_report(pack(Before(3.0, {A: (1.0, 9.0)}))))
     assert collector.summary(5.0).demand == 3.0
     assert read_summary(pack(SumBefore(A, 2, 7.0, {B: 0.25}))).log_odds >= PROVEN_LOG_ODDS
     new = InstanceReport(3.5, {A: (0.5, 9.0)}, {A: (3, 1)}, {1: (2, 1, 0.5)}, 3.0)
@@ -795,7 +795,7 @@
     """Twenty instances with one end of each member: none could tell, all together can."""
     collector = LoadAggregator(A, 2, CONF)
     for n in range(20):
-        collector.take(
+        collector.add_report(
             5.0,
             f"i{n}",
             InstanceReport(
@@ -810,7 +810,7 @@
     assert summary.outcomes == {A: (20.0, 20.0), B: (20.0, 0.0)} and summary.log_odds == 0.0
     for n in range(40):
         seen = {0: (1, 0, 0.05), 1: (1, 0, 0.05)}
-        collector.take(6.0 + n / 10, "i0", InstanceReport(1.0, {A: (0.0, 9.0)}, {A: (2, 0)}, seen))
+        collector.add_report(6.0 + n / 10, "i0", InstanceReport(1.0, {A: (0.0, 9.0)}, {A: (2, 0)}, seen))
     summary = collector.summary(10.0)
     assert (
         summary.capacity_percents == {0: 100, 1: 100}
