--- a/saltcart/locality/plan_proposal.py
+++ b/saltcart/locality/plan_proposal.py
@@ -222,9 +222,7 @@
         """Return the next plan; None if the previous one stays."""
         self._update_trust()
         trust = [self.trust[pair] for pair in sorted(self.trust)]
-        demand = [
-            self.summaries[origin].summary.demand if origin in self.fresh else 0.0 for origin in self.zones
-        ]
+        demand = [self.summaries[zone].summary.demand if zone in self.fresh else 0.0 for zone in self.zones]
         rows, planned_capacity = self._allocate(demand)
         for origin, row in self.previous.rows.items():
             if origin not in self.fresh:
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -55,7 +55,20 @@
 
 
 class ZoneRouter:
-    """Routes requests to members of zones by the plan that all instances share."""
+    """Routes requests to members of zones by the plan that all instances share.
+
+    It starts with an empty plan, by which every zone keeps its requests.
+
+    Args:
+        settings: Settings of zone-aware routing.
+        topology: The zones and their members.
+        name: Name of this instance.
+        zone: Zone of this instance.
+        rng: Source of random numbers.
+        membership: Port to the fleet's membership.
+        load: Returns a member's requests in flight, divided by its weight.
+        now: Monotonic time in seconds.
+    """
 
     def __init__(
         self,
@@ -68,18 +81,6 @@
         load: Callable[[str], float],
         now: float,
     ) -> None:
-        """Start with an empty plan, by which every zone keeps its requests.
-
-        Args:
-            settings: Settings of zone-aware routing.
-            topology: The zones and their members.
-            name: Name of this instance.
-            zone: Zone of this instance.
-            rng: Source of random numbers.
-            membership: Port to the fleet's membership.
-            load: Returns a member's requests in flight, divided by its weight.
-            now: Monotonic time in seconds.
-        """
         self.settings = settings
         self.topology = topology
         self.name = name
@@ -227,7 +228,7 @@
         return None
 
     def choose(
-        self, now: float, tried_hosts: set[str], is_idempotent: bool, weight: float = 1.0
+        self, now: float, attempted_hosts: set[str], is_idempotent: bool, weight: float = 1.0
     ) -> str | None:
         """Return the member that an attempt goes to; None to reject the request.
 
@@ -236,11 +237,11 @@
 
         Args:
             now: Monotonic time in seconds.
-            tried_hosts: Members that were tried and have certainly not run the request.
+            attempted_hosts: Members that were tried and have certainly not run the request.
             is_idempotent: Whether the request may run twice, so that it may serve as a trial request.
             weight: Priority weight; when the plan rejects a share of the requests, the lowest go first.
         """
-        if not tried_hosts:
+        if not attempted_hosts:
             zone = self.draw_zone(weight)
             if zone is None:
                 self.rejected_count += 1
@@ -248,7 +249,7 @@
             host = self._choose_first(now, zone, is_idempotent)
             if host is not None:
                 return host
-        return self._choose_in_plan(now, tried_hosts) or self._choose_outside_plan(now, tried_hosts)
+        return self._choose_in_plan(now, attempted_hosts) or self._choose_outside_plan(now, attempted_hosts)
 
     def _choose_first(self, now: float, zone: int, is_idempotent: bool) -> str | None:
         if is_idempotent and self.trial_tokens >= 1:
@@ -260,21 +261,23 @@
         self.placed[name] = self.placed.get(name, 0) + 1
         return self._least_loaded(now, zone, set())
 
-    def _choose_in_plan(self, now: float, tried_hosts: set[str]) -> str | None:
+    def _choose_in_plan(self, now: float, attempted_hosts: set[str]) -> str | None:
         for zone in self._random_order(self.plan.row(self.own_zone)):
-            host = self._least_loaded(now, zone, tried_hosts)
+            host = self._least_loaded(now, zone, attempted_hosts)
             if host is not None:
                 return host
         return None
 
-    def _choose_outside_plan(self, now: float, tried_hosts: set[str]) -> str | None:
+    def _choose_outside_plan(self, now: float, attempted_hosts: set[str]) -> str | None:
         if self.retry_tokens < 1:
             return None
         row = self.plan.row(self.own_zone)
         for level in self.topology.priority_levels[self.own_zone]:
             others = [zone for zone in level if zone not in row]
             hosts = [
-                host for zone in others if (host := self._least_loaded(now, zone, tried_hosts)) is not None
+                host
+                for zone in others
+                if (host := self._least_loaded(now, zone, attempted_hosts)) is not None
             ]
             if hosts:
                 self.retry_tokens -= 1
@@ -285,8 +288,8 @@
         """Return a row's zones in random order, weighted by share, so that retries spread over the zones."""
         return sorted(row, key=lambda zone: -math.log(1 - self.rng.random()) / max(1, row[zone]))
 
-    def _least_loaded(self, now: float, zone: int, tried_hosts: set[str]) -> str | None:
-        hosts = [host for host in self.outliers.usable_endpoints(now, zone) if host not in tried_hosts]
+    def _least_loaded(self, now: float, zone: int, attempted_hosts: set[str]) -> str | None:
+        hosts = [host for host in self.outliers.usable_endpoints(now, zone) if host not in attempted_hosts]
         if not hosts:
             return None
         typical_duration = self.outliers.typical_seconds()
--- a/saltcart/locality/zone_trust.py
+++ b/saltcart/locality/zone_trust.py
@@ -1,7 +1,10 @@
 """Trust between zones: it falls at once on significant evidence of a failure and recovers slowly.
 
-Recovery starts only after a time of uninterrupted and proven health, which is longer after each recent fall,
-and proceeds in steps.
+Recovery starts after a wait and proceeds in steps.  The wait is longer after each recent fall.  It begins
+with the first evidence of health and ends only when health is proven, however long the few outcomes of a
+small zone take for that.  It keeps requests that are served well elsewhere from swinging back and forth.
+Requests that are served nowhere have nothing to lose by a trial, so the wait is shorter while requests are
+rejected.
 """
 
 from __future__ import annotations
@@ -71,17 +74,12 @@
 ) -> ZoneTrust:
     """Return the trust that follows from the present observations.
 
-    The recovery wait begins with the first evidence of health and ends when health is proven, however long
-    the few outcomes of a small zone take for that.  It keeps requests that are served well elsewhere from
-    swinging back and forth.  Requests that are served nowhere have nothing to lose by a trial, so the wait is
-    shorter while requests are rejected.
-
     Args:
         settings: Settings of zone-aware routing.
-        previous: The trust of the plan in use.
-        capacity_share: Available share of the target's capacity, from 0 to 1.
+        previous: Trust by the plan in use.
+        capacity_share: Available share of the target's capacity.
         now: Unix time in seconds.
-        log_odds: Result of the sequential test of the target's health.
+        log_odds: Sequential test of the target's health.
         is_rejecting: Whether requests are rejected for lack of capacity.
     """
     available = round(capacity_share * WHOLE_SHARE)
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -20,7 +20,19 @@
 
 
 class LocalityDriver(RegisterListener):
-    """Chooses the members of one upstream whose members are in zones."""
+    """Chooses the members that one upstream's requests go to, by zone-aware routing.
+
+    It registers with the membership driver and as the upstream's chooser.
+
+    Args:
+        settings: Settings of zone-aware routing.
+        upstream: The upstream's members with their zones and capacity.
+        driver: Driver of the fleet's membership.
+        ajp_upstream: Connections to the upstream's members.
+        seed: Seed of the random numbers.
+        log: Event log.
+        weights: Priority weight by class; an unknown class counts as the lowest.
+    """
 
     def __init__(
         self,
@@ -32,17 +44,6 @@
         log: Log,
         weights: Mapping[str, float],
     ) -> None:
-        """Start routing, and register with the membership driver and the upstream.
-
-        Args:
-            settings: Settings of zone-aware routing.
-            upstream: The upstream's members with their zones and capacity.
-            driver: Driver of the fleet's membership.
-            ajp_upstream: Connections to the upstream's members.
-            seed: Seed of the random numbers.
-            log: Event log.
-            weights: Priority weight by class; an unknown class counts as the lowest.
-        """
         super().__init__(driver, log)
         self.ajp_upstream = ajp_upstream
         self.weights = weights
@@ -96,9 +97,9 @@
         self.router.record_arrival(self.loop.time(), self._weight(class_name))
         return True
 
-    def choose(self, class_name: str, tried_hosts: set[str], is_idempotent: bool) -> str | None:
+    def choose(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
         """Return the member that an attempt goes to; None to reject the request."""
-        return self.router.choose(self.loop.time(), tried_hosts, is_idempotent, self._weight(class_name))
+        return self.router.choose(self.loop.time(), attempted_hosts, is_idempotent, self._weight(class_name))
 
     def ended(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
         """Count the outcome of an attempt that lasted ``seconds``."""
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -1,4 +1,4 @@
-"""Zones: shares that add up and never overfill, trust that falls at once and comes back late, one plan."""
+"""Zone-aware routing: share allocation, trust between zones, failover plans, outliers and load reports."""
 
 from __future__ import annotations
 
@@ -46,309 +46,394 @@
 from saltcart.membership.member_record import MemberRecord
 from saltcart.wire.errors import MalformedMessageError
 
-CONF = LocalitySettings(upstream="work")
+SETTINGS = LocalitySettings(upstream="work")
 
 
-def sites(capacity: float = 20.0) -> ZoneTopology:
-    """Two zones in one region and one in another, two members each."""
+def three_zones(capacity: float = 20.0) -> ZoneTopology:
+    """Two zones in one region and one in another, with two members each."""
     return ZoneTopology(
-        Endpoint(f"{z}{m}", z, r, capacity) for z, r in (("a", "x"), ("b", "x"), ("c", "y")) for m in "12"
+        Endpoint(f"{zone}{number}", zone, region, capacity)
+        for zone, region in (("a", "x"), ("b", "x"), ("c", "y"))
+        for number in "12"
     )
 
 
 A, B, C = range(3)
 
 
-def heard(
+def received_summaries(
     demand: tuple[float, ...] = (20.0, 20.0, 20.0),
-    ago: tuple[float, ...] = (0.1, 0.1, 0.1),
+    ages: tuple[float, ...] = (0.1, 0.1, 0.1),
     grades: Mapping[int, Mapping[int, float]] | None = None,
-    ends: Mapping[int, Mapping[int, tuple[float, float]]] | None = None,
-    odds: float = PROVEN_LOG_ODDS,
+    outcomes: Mapping[int, Mapping[int, tuple[float, float]]] | None = None,
+    log_odds: float = PROVEN_LOG_ODDS,
 ) -> dict[int, ReceivedSummary]:
-    told, seen = grades or {}, ends or {}
+    zone_grades, zone_outcomes = grades or {}, outcomes or {}
     return {
-        z: ReceivedSummary(
-            ago[z], ZoneSummary(z, 3, demand[z], dict(told.get(z, {})), dict(seen.get(z, {})), odds)
+        zone: ReceivedSummary(
+            ages[zone],
+            ZoneSummary(
+                zone,
+                3,
+                demand[zone],
+                dict(zone_grades.get(zone, {})),
+                dict(zone_outcomes.get(zone, {})),
+                log_odds,
+            ),
         )
-        for z in range(3)
+        for zone in range(3)
     }
 
 
-# ---- shares -----------------------------------------------------------------------------------
+# ---- share allocation -------------------------------------------------------------------------
 
 
-THREE = st.lists(st.floats(0, 80), min_size=3, max_size=3)
+THREE_RATES = st.lists(st.floats(0, 80), min_size=3, max_size=3)
 
 
 @given(
-    THREE,
-    THREE,
+    THREE_RATES,
+    THREE_RATES,
     st.dictionaries(st.tuples(st.integers(0, 2), st.integers(0, 2)), st.floats(0, 1), max_size=6),
 )
-def test_rows_add_up_and_no_zone_is_sent_more_than_it_has_room_for(
-    demand: list[float], room: list[float], trust: dict[tuple[int, int], float]
+def test_rows_sum_to_the_whole_and_no_zone_gets_more_than_its_capacity(
+    demand: list[float], capacity: list[float], trust: dict[tuple[int, int], float]
 ) -> None:
-    rows = allocate_shares(sites(), demand, room, trust)
-    for t in range(3):
+    rows = allocate_shares(three_zones(), demand, capacity, trust)
+    for target in range(3):
         inflow = sum(
-            demand[o] * row_of(rows, o).get(t, 0) / WHOLE_SHARE for o in range(3) if demand[o] > 1e-9
+            demand[origin] * row_of(rows, origin).get(target, 0) / WHOLE_SHARE
+            for origin in range(3)
+            if demand[origin] > 1e-9
         )
-        assert inflow <= room[t] + 0.004 * sum(demand) + 1e-6  # whole thousandths
+        assert inflow <= capacity[target] + 0.004 * sum(demand) + 1e-6  # rounding to thousandths
     for row in rows.values():
-        assert 0 <= sum(row.values()) <= WHOLE_SHARE and all(s > 0 for s in row.values())
-    if sum(room) >= sum(demand) + 1 and not trust:
+        assert 0 <= sum(row.values()) <= WHOLE_SHARE and all(share > 0 for share in row.values())
+    if sum(capacity) >= sum(demand) + 1 and not trust:
         assert all(
             sum(row.values()) >= WHOLE_SHARE - 5 for row in rows.values()
-        )  # nothing refused without need
+        )  # nothing is rejected while there is capacity
 
 
 @given(st.floats(1, 60), st.floats(0, 1), st.floats(0, 1))
-def test_the_better_a_zone_is_the_more_of_its_work_stays(demand: float, one: float, other: float) -> None:
+def test_a_zone_with_more_capacity_keeps_at_least_as_many_of_its_requests(
+    demand: float, one: float, other: float
+) -> None:
     low, high = sorted((one, other))
 
-    def home(health: float) -> int:
-        return row_of(allocate_shares(sites(), [demand, 5.0, 5.0], [40 * health, 40.0, 40.0], {}), A).get(
-            A, 0
-        )
+    def home_share(health: float) -> int:
+        return row_of(
+            allocate_shares(three_zones(), [demand, 5.0, 5.0], [40 * health, 40.0, 40.0], {}), A
+        ).get(A, 0)
 
-    assert home(low) <= home(high)
+    assert home_share(low) <= home_share(high)
 
 
-def test_work_goes_to_the_own_zone_then_the_own_region_then_elsewhere() -> None:
+def test_requests_go_to_the_own_zone_then_the_own_region_then_other_regions() -> None:
     def row(demand: float) -> Mapping[int, int]:
-        return row_of(allocate_shares(sites(), [demand, 10.0, 10.0], [30.0, 30.0, 30.0], {}), A)
+        return row_of(allocate_shares(three_zones(), [demand, 10.0, 10.0], [30.0, 30.0, 30.0], {}), A)
 
     assert row(30.0) == {A: WHOLE_SHARE}
     assert row(40.0) == {A: 750, B: 250}
     assert row(60.0) == {A: 501, B: 333, C: 166}
-    assert sum(row(100.0).values()) == 700  # what no zone has room for is refused
+    assert sum(row(100.0).values()) == 700  # the rest exceeds the capacity of all zones and is rejected
 
 
-def test_what_zones_keep_for_chance_is_taken_only_when_there_is_no_other_room() -> None:
+def test_reserved_capacity_is_used_only_when_no_other_is_left() -> None:
     def row(demand: float) -> Mapping[int, int]:
         return row_of(
-            allocate_shares(sites(), [demand, 0.0, 0.0], [0.0, 20.0, 30.0], {}, [0.0, 15.0, 15.0]), A
+            allocate_shares(three_zones(), [demand, 0.0, 0.0], [0.0, 20.0, 30.0], {}, [0.0, 15.0, 15.0]), A
         )
 
     assert row(5.0) == {B: WHOLE_SHARE}
     assert row(20.0) == {B: 250, C: 750}
-    assert row(40.0) == {B: 375, C: 625}  # the last of it goes where most is left
+    assert row(40.0) == {B: 375, C: 625}  # the reserve is used in proportion to what is left
     assert sum(row(100.0).values()) == 500
 
 
-def test_a_zone_that_is_not_trusted_gets_nothing_from_who_does_not() -> None:
-    rows = allocate_shares(sites(), [40.0, 10.0, 10.0], [0.0, 36.0, 36.0], {(A, B): 0.0})
+def test_an_untrusted_zone_gets_no_requests_from_the_zone_that_distrusts_it() -> None:
+    rows = allocate_shares(three_zones(), [40.0, 10.0, 10.0], [0.0, 36.0, 36.0], {(A, B): 0.0})
     assert rows[A] == {C: 650}
 
 
-# ---- trust ------------------------------------------------------------------------------------
+# ---- trust between zones ----------------------------------------------------------------------
 
 
-def test_trust_falls_at_once_and_comes_back_in_steps_after_health_has_lasted() -> None:
-    trust, now, seen = ZoneTrust(A, B), 1000.0, list[tuple[float, int]]()
-    trust = next_trust(CONF, trust, 0.0, now)
+def test_trust_falls_at_once_and_recovers_in_steps_after_lasting_health() -> None:
+    trust, now, steps = ZoneTrust(A, B), 1000.0, list[tuple[float, int]]()
+    trust = next_trust(SETTINGS, trust, 0.0, now)
     assert trust.share == 0
     while trust.share < WHOLE_SHARE and now < 1100:
         now += 0.5
-        before, trust = trust.share, next_trust(CONF, trust, 1.0, now)
+        before, trust = trust.share, next_trust(SETTINGS, trust, 1.0, now)
         if trust.share != before:
-            seen.append((now - 1000.5, trust.share))
-    assert [share for _, share in seen] == [250, 500, 750, 1000]
-    assert seen[0][0] == pytest.approx(CONF.recover_for, abs=0.6)
-    assert seen[1][0] - seen[0][0] == pytest.approx(CONF.step_every, abs=0.6)
+            steps.append((now - 1000.5, trust.share))
+    assert [share for _, share in steps] == [250, 500, 750, 1000]
+    assert steps[0][0] == pytest.approx(SETTINGS.recover_for, abs=0.6)
+    assert steps[1][0] - steps[0][0] == pytest.approx(SETTINGS.step_every, abs=0.6)
 
 
-def test_a_flapping_zone_is_not_trusted_again_while_it_flaps() -> None:
+def test_a_flapping_zone_regains_no_trust_while_it_flaps() -> None:
     trust, rises = ZoneTrust(A, A), 0
     for n in range(3600 * 2):
         before = trust.share
-        trust = next_trust(CONF, trust, float(n // 4 % 2), 1000.0 + n / 2)  # two seconds well, two not
+        trust = next_trust(SETTINGS, trust, float(n // 4 % 2), 1000.0 + n / 2)  # two seconds up, two down
         rises += trust.share > before
     assert rises == 0 and trust.share == 0
 
 
-@pytest.mark.parametrize("each", [1, 4, 40])
-def test_what_flaps_is_not_trusted_again_however_few_its_ends_are(each: int) -> None:
-    """Two seconds well, two not, and ``each`` ends in four seconds; a step is half a second."""
-    luck, trust, proof, rises = random.Random(each), ZoneTrust(A, A, 0, 1), SequentialTest(), 0
+@pytest.mark.parametrize("outcomes_per_period", [1, 4, 40])
+def test_a_flapping_zone_regains_no_trust_however_few_its_outcomes_are(outcomes_per_period: int) -> None:
+    """The zone is up for two seconds and down for two; one step of the loop is half a second."""
+    rng, trust, health_test, rises = (
+        random.Random(outcomes_per_period),
+        ZoneTrust(A, A, 0, 1),
+        SequentialTest(),
+        0,
+    )
     for n in range(3600 * 2):
-        for _ in range(sum(luck.random() < each / 80 for _ in range(10))):
+        for _ in range(sum(rng.random() < outcomes_per_period / 80 for _ in range(10))):
             good = n // 4 % 2 == 1
-            proof.add(good, not good)
-        before, trust = trust.share, next_trust(CONF, trust, 1.0, 1000.0 + n / 2, proof.log_odds)
+            health_test.add(good, not good)
+        before, trust = trust.share, next_trust(SETTINGS, trust, 1.0, 1000.0 + n / 2, health_test.log_odds)
         rises += trust.share > before
     assert rises == 0 and trust.share == 0
 
 
-def test_health_is_proven_later_with_fewer_ends() -> None:
-    def after(rate: float) -> float:
-        trust, proof, now = ZoneTrust(A, A, 0, 1), SequentialTest(), 0.0
+def test_health_is_proven_later_with_fewer_outcomes() -> None:
+    def seconds_to_recovery(rate: float) -> float:
+        trust, health_test, now = ZoneTrust(A, A, 0, 1), SequentialTest(), 0.0
         while trust.share == 0:
             now += 1 / rate
-            proof.add(1, 0)
-            trust = next_trust(CONF, trust, 1.0, 1000.0 + now, proof.log_odds)
+            health_test.add(1, 0)
+            trust = next_trust(SETTINGS, trust, 1.0, 1000.0 + now, health_test.log_odds)
         return now
 
-    assert after(20.0) < CONF.recover_for + 1 < 25 < after(1.0) < 35 < after(0.5) < 65
+    assert (
+        seconds_to_recovery(20.0)
+        < SETTINGS.recover_for + 1
+        < 25
+        < seconds_to_recovery(1.0)
+        < 35
+        < seconds_to_recovery(0.5)
+        < 65
+    )
 
 
-def test_while_work_is_refused_the_wait_is_shorter_but_still_needs_proof() -> None:
-    begun = next_trust(CONF, ZoneTrust(A, A, 0, 1), 1.0, 1000.0)
-    at = 1000.0 + CONF.recover_for / 2
+def test_the_recovery_wait_is_shorter_while_requests_are_rejected_but_still_needs_proof() -> None:
+    waiting = next_trust(SETTINGS, ZoneTrust(A, A, 0, 1), 1.0, 1000.0)
+    at = 1000.0 + SETTINGS.recover_for / 2
     assert (
-        next_trust(CONF, begun, 1.0, at).share
+        next_trust(SETTINGS, waiting, 1.0, at).share
         == 0
-        < next_trust(CONF, begun, 1.0, at, PROVEN_LOG_ODDS, True).share
+        < next_trust(SETTINGS, waiting, 1.0, at, PROVEN_LOG_ODDS, True).share
     )
-    assert next_trust(CONF, begun, 1.0, at, PROVEN_LOG_ODDS - 0.1, True).share == 0
+    assert next_trust(SETTINGS, waiting, 1.0, at, PROVEN_LOG_ODDS - 0.1, True).share == 0
 
 
-def test_each_fall_of_late_doubles_the_wait_and_one_long_ago_does_not() -> None:
+def test_each_recent_fall_doubles_the_recovery_wait_and_old_falls_are_forgotten() -> None:
     def wait(falls: int) -> float:
-        trust = next_trust(CONF, ZoneTrust(A, B, 0, falls), 1.0, 1000.0)
+        trust = next_trust(SETTINGS, ZoneTrust(A, B, 0, falls), 1.0, 1000.0)
         return trust.next_step_at - 1000.0
 
-    assert [wait(n) / CONF.recover_for for n in (1, 2, 3)] == [1, 2, 4] and wait(30) == CONF.recover_most
-    well = next_trust(CONF, ZoneTrust(A, B, WHOLE_SHARE, 2), 1.0, 1000.0)
-    assert well.recent_falls == 2 and next_trust(CONF, well, 1.0, well.next_step_at) == ZoneTrust(A, B)
+    assert [wait(n) / SETTINGS.recover_for for n in (1, 2, 3)] == [1, 2, 4] and wait(
+        30
+    ) == SETTINGS.recover_most
+    full = next_trust(SETTINGS, ZoneTrust(A, B, WHOLE_SHARE, 2), 1.0, 1000.0)
+    assert full.recent_falls == 2 and next_trust(SETTINGS, full, 1.0, full.next_step_at) == ZoneTrust(A, B)
 
 
-def test_falls_within_a_short_time_are_one() -> None:
+def test_decreases_within_a_short_time_count_as_one_fall() -> None:
     trust, now = ZoneTrust(A, B), 1000.0
     for health in (0.8, 0.6, 0.3, 0.0):
         now += 0.5
-        trust = next_trust(CONF, trust, health, now)
+        trust = next_trust(SETTINGS, trust, health, now)
     assert (trust.share, trust.recent_falls) == (0, 1)
 
 
 # ---- plans ------------------------------------------------------------------------------------
 
 
-def test_the_same_is_made_of_the_same() -> None:
-    told = heard((30.0, 10.0, 10.0), grades={A: {A: 0.2}})
-    other = dict(reversed(told.items()))
-    plans = [propose_plan(CONF, sites(), FailoverPlan(), one, 1000.0) for one in (told, other)]
+def test_equal_input_results_in_equal_plans() -> None:
+    summaries = received_summaries((30.0, 10.0, 10.0), grades={A: {A: 0.2}})
+    reordered = dict(reversed(summaries.items()))
+    plans = [
+        propose_plan(SETTINGS, three_zones(), FailoverPlan(), each, 1000.0) for each in (summaries, reordered)
+    ]
     assert plans[0] == plans[1] and plans[0] is not None and plans[0].rows
 
 
-def test_a_plan_stands_while_nothing_falls_and_nobody_is_too_full() -> None:
+def test_a_plan_stays_while_no_zone_fails_or_is_too_full() -> None:
     first = propose_plan(
-        CONF, sites(), FailoverPlan(), heard((30.0, 10.0, 10.0), grades={A: {A: 0.0}}), 1000.0
+        SETTINGS,
+        three_zones(),
+        FailoverPlan(),
+        received_summaries((30.0, 10.0, 10.0), grades={A: {A: 0.0}}),
+        1000.0,
     )
     assert first is not None and A not in first.rows[A]
-    for demand in (27.0, 33.0):  # chance
-        then = propose_plan(CONF, sites(), first, heard((demand, 10.0, 10.0), grades={A: {A: 0.0}}), 1003.0)
+    for demand in (27.0, 33.0):  # random variation
+        then = propose_plan(
+            SETTINGS,
+            three_zones(),
+            first,
+            received_summaries((demand, 10.0, 10.0), grades={A: {A: 0.0}}),
+            1003.0,
+        )
         assert then is None or then.rows == first.rows
 
 
-def test_a_fall_moves_work_at_once_and_recovery_waits() -> None:
+def test_a_failed_zone_loses_its_requests_at_once_and_gets_them_back_later() -> None:
     plan = FailoverPlan(made_at=999.4)
-    fallen = propose_plan(CONF, sites(), plan, heard(grades={B: {B: 0.0}}), 1000.0)
-    assert fallen is not None and fallen.rows.keys() == {B}
-    well = propose_plan(CONF, sites(), fallen, heard(), 1001.0)
-    assert well is None or well.rows == fallen.rows
+    failed = propose_plan(SETTINGS, three_zones(), plan, received_summaries(grades={B: {B: 0.0}}), 1000.0)
+    assert failed is not None and failed.rows.keys() == {B}
+    recovered = propose_plan(SETTINGS, three_zones(), failed, received_summaries(), 1001.0)
+    assert recovered is None or recovered.rows == failed.rows
 
 
-def test_a_zone_that_fell_silent_gets_nothing_and_keeps_its_row() -> None:
-    """Split brain: each side goes on with its own zones and sends nothing to the other's."""
+def test_a_zone_with_stale_reports_gets_no_spillover_and_keeps_its_row() -> None:
+    """In a network partition, each side continues with its own zones and sends nothing to the other's."""
     before = FailoverPlan(900.0, {C: {C: 700, A: 300}})
-    plan = propose_plan(CONF, sites(), before, heard((60.0, 10.0, 10.0), ago=(0.1, 0.1, 9.0)), 1000.0)
+    plan = propose_plan(
+        SETTINGS, three_zones(), before, received_summaries((60.0, 10.0, 10.0), ages=(0.1, 0.1, 9.0)), 1000.0
+    )
     assert plan is not None and plan.rows[C] == {C: 700, A: 300}
     assert C not in plan.rows[A] and plan.rejected_share(A) > 0
 
 
-def test_a_zone_that_fails_is_left_before_any_of_its_members_is_out() -> None:
-    def home(good: float, bad: float) -> int:
-        plan = propose_plan(CONF, sites(), FailoverPlan(), heard(ends={A: {A: (good, bad)}}), 1000.0)
+def test_a_failing_zone_loses_its_requests_before_any_of_its_members_is_ejected() -> None:
+    def home_share(good: float, bad: float) -> int:
+        plan = propose_plan(
+            SETTINGS,
+            three_zones(),
+            FailoverPlan(),
+            received_summaries(outcomes={A: {A: (good, bad)}}),
+            1000.0,
+        )
         return WHOLE_SHARE if plan is None else plan.row(A).get(A, 0)
 
-    assert home(30.0, 30.0) == home(0.0, 12.0) == 0
-    assert home(100.0, 10.0) == home(3.0, 2.0) == home(0.0, 2.0) == WHOLE_SHARE  # little, or chance
+    assert home_share(30.0, 30.0) == home_share(0.0, 12.0) == 0
+    # Too few outcomes, or a success share that is not significantly low.
+    assert home_share(100.0, 10.0) == home_share(3.0, 2.0) == home_share(0.0, 2.0) == WHOLE_SHARE
 
 
-def test_what_all_zones_suffer_from_moves_no_work() -> None:
-    ill = {z: {z: (30.0, 30.0)} for z in range(3)}
-    assert propose_plan(CONF, sites(), FailoverPlan(), heard(ends=ill), 1000.0) is None
+def test_a_fault_that_affects_most_zones_moves_no_requests() -> None:
+    failing = {zone: {zone: (30.0, 30.0)} for zone in range(3)}
     assert (
-        propose_plan(CONF, sites(), FailoverPlan(), heard(ends={**ill, B: {B: (60.0, 0.0)}}), 1000.0) is None
+        propose_plan(SETTINGS, three_zones(), FailoverPlan(), received_summaries(outcomes=failing), 1000.0)
+        is None
     )
-    rest = {z: {z: (60.0, 0.0)} for z in (B, C)}
-    one = propose_plan(CONF, sites(), FailoverPlan(), heard(ends={A: ill[A], **rest}), 1000.0)
-    assert one is not None and one.rows.keys() == {A}
+    assert (
+        propose_plan(
+            SETTINGS,
+            three_zones(),
+            FailoverPlan(),
+            received_summaries(outcomes={**failing, B: {B: (60.0, 0.0)}}),
+            1000.0,
+        )
+        is None
+    )
+    healthy = {zone: {zone: (60.0, 0.0)} for zone in (B, C)}
+    plan = propose_plan(
+        SETTINGS,
+        three_zones(),
+        FailoverPlan(),
+        received_summaries(outcomes={A: failing[A], **healthy}),
+        1000.0,
+    )
+    assert plan is not None and plan.rows.keys() == {A}
 
 
-def test_a_zone_in_trouble_gives_up_others_work_first_and_its_own_when_that_did_not_help() -> None:
-    """Zone A has guests of C; B is full of its own work."""
+def test_a_zone_in_trouble_loses_spillover_first_and_its_own_requests_if_that_does_not_help() -> None:
+    """Zone A has spillover from C; B is full with its own requests."""
     before = FailoverPlan(900.0, {C: {C: 500, A: 500}}, [ZoneTrust(C, C, 500, 1, 1e9)])
-    demand, ill = (10.0, 33.0, 20.0), {A: {A: (30.0, 30.0)}}
-    told = heard(demand, ends=ill, grades={C: {C: 0.5}})
-    plan, now = propose_plan(CONF, sites(), before, told, 1000.0), 1000.0
+    demand, failing = (10.0, 33.0, 20.0), {A: {A: (30.0, 30.0)}}
+    summaries = received_summaries(demand, outcomes=failing, grades={C: {C: 0.5}})
+    plan, now = propose_plan(SETTINGS, three_zones(), before, summaries, 1000.0), 1000.0
     assert plan is not None and A not in plan.row(C) and plan.row(A) == {A: WHOLE_SHARE}
     while plan.row(A).get(A, 0) and now < 1030.0:
         now += 0.5
-        plan = propose_plan(CONF, sites(), plan, told, now) or plan
+        plan = propose_plan(SETTINGS, three_zones(), plan, summaries, now) or plan
     assert 1005.0 <= now <= 1015.0
 
 
-def test_a_zone_with_guests_and_no_member_left_is_left_by_all_at_once() -> None:
+def test_a_zone_without_usable_members_loses_spillover_and_its_own_requests_at_once() -> None:
     before = FailoverPlan(900.0, {C: {C: 500, A: 500}}, [ZoneTrust(C, C, 500, 1, 1e9)])
-    told = heard((10.0, 10.0, 20.0), grades={A: {A: 0.0}, C: {C: 0.5}})
-    plan = propose_plan(CONF, sites(), before, told, 1000.0)
+    summaries = received_summaries((10.0, 10.0, 20.0), grades={A: {A: 0.0}, C: {C: 0.5}})
+    plan = propose_plan(SETTINGS, three_zones(), before, summaries, 1000.0)
     assert plan is not None and A not in plan.row(C) and A not in plan.row(A)
 
 
-def test_guests_that_are_well_elsewhere_do_not_come_back_for_a_step() -> None:
+def test_spillover_that_another_zone_serves_well_does_not_return_for_a_recovery_step() -> None:
     before = FailoverPlan(
         900.0, {C: {C: 500, B: 500}}, [ZoneTrust(C, A, 0, 1, 1000.0), ZoneTrust(C, C, 500, 1, 1e9)]
     )
-    plan = propose_plan(CONF, sites(), before, heard((10.0, 10.0, 34.0), grades={C: {C: 0.5}}), 1000.5)
-    assert plan is not None and plan.rows == before.rows  # trust rises, no work moves
-    assert {(t.origin, t.target): t.share for t in plan.trust}[C, A] == 250
+    plan = propose_plan(
+        SETTINGS, three_zones(), before, received_summaries((10.0, 10.0, 34.0), grades={C: {C: 0.5}}), 1000.5
+    )
+    assert plan is not None and plan.rows == before.rows  # trust rises, but no requests move
+    assert {(trust.origin, trust.target): trust.share for trust in plan.trust}[C, A] == 250
 
 
-def test_another_zones_work_goes_back_only_when_its_own_instances_have_proven_it_well() -> None:
+def test_spillover_returns_to_a_zone_only_after_its_own_instances_have_proven_its_health() -> None:
     plan = propose_plan(
-        CONF, sites(), FailoverPlan(), heard((60.0, 10.0, 10.0), grades={B: {B: 0.0}}), 1000.0
+        SETTINGS,
+        three_zones(),
+        FailoverPlan(),
+        received_summaries((60.0, 10.0, 10.0), grades={B: {B: 0.0}}),
+        1000.0,
     )
     assert plan is not None and B not in plan.row(A)
 
-    def later(odds: float, demand: float) -> int:
+    def share_after_recovery(log_odds: float, demand: float) -> int:
         after, now = plan, 1000.0
-        while now < 1000.0 + 3 * CONF.recover_for:
+        while now < 1000.0 + 3 * SETTINGS.recover_for:
             now += 0.5
-            after = propose_plan(CONF, sites(), after, heard((60.0, demand, 10.0), odds=odds), now) or after
+            after = (
+                propose_plan(
+                    SETTINGS,
+                    three_zones(),
+                    after,
+                    received_summaries((60.0, demand, 10.0), log_odds=log_odds),
+                    now,
+                )
+                or after
+            )
         return after.row(A).get(B, 0)
 
-    assert later(PROVEN_LOG_ODDS - 1, 10.0) == 0 < later(PROVEN_LOG_ODDS, 10.0)
-    assert later(0.0, 0.0) > 0  # it has no work of its own to prove it by
+    assert share_after_recovery(PROVEN_LOG_ODDS - 1, 10.0) == 0 < share_after_recovery(PROVEN_LOG_ODDS, 10.0)
+    assert share_after_recovery(0.0, 0.0) > 0  # without demand of its own, the zone has no evidence
 
 
-def test_where_work_would_be_refused_a_large_zone_is_filled_further_and_a_small_one_is_not() -> None:
-    def refused(size: float) -> int:
+def test_while_requests_would_be_rejected_a_large_zone_is_filled_further_than_a_small_one() -> None:
+    def rejected_share(size: float) -> int:
         demand = (size, size, size)
         plan = propose_plan(
-            CONF, sites(size * 0.55), FailoverPlan(), heard(demand, grades={A: {A: 0.0}}), 1000.0
+            SETTINGS,
+            three_zones(size * 0.55),
+            FailoverPlan(),
+            received_summaries(demand, grades={A: {A: 0.0}}),
+            1000.0,
         )
         assert plan is not None
-        inflow = sum(plan.row(o).get(B, 0) for o in range(3)) * size / WHOLE_SHARE
-        assert inflow <= CONF.limit_pressed * 1.1 * size + 0.01 * size
-        return sum(plan.rejected_share(o) for o in range(3))
+        inflow = sum(plan.row(origin).get(B, 0) for origin in range(3)) * size / WHOLE_SHARE
+        assert inflow <= SETTINGS.limit_pressed * 1.1 * size + 0.01 * size
+        return sum(plan.rejected_share(origin) for origin in range(3))
 
-    small, large, huge = refused(20.0), refused(1000.0), refused(20_000.0)
-    assert small == pytest.approx(1000 * (3 - 2 * 1.1 * CONF.limit), abs=15)
-    assert huge == pytest.approx(1000 * (3 - 2 * 1.1 * CONF.limit_pressed), abs=15)
+    small, large, huge = rejected_share(20.0), rejected_share(1000.0), rejected_share(20_000.0)
+    assert small == pytest.approx(1000 * (3 - 2 * 1.1 * SETTINGS.limit), abs=15)
+    assert huge == pytest.approx(1000 * (3 - 2 * 1.1 * SETTINGS.limit_pressed), abs=15)
     assert huge < large < small
 
 
-def test_a_plan_is_read_as_it_was_written_and_what_is_none_is_malformed() -> None:
+def test_a_plan_survives_encoding_and_an_invalid_one_is_malformed() -> None:
     plan = FailoverPlan(1000.0, {A: {B: 400, C: 100}}, [ZoneTrust(A, A, 0, 1, 1015.0, 900, 1000.0)])
     assert (
         read_plan(encode(plan), 3) == plan
         and plan.rejected_share(A) == 500
         and plan.row(B) == {B: WHOLE_SHARE}
     )
-    for wrong in (
+    for invalid in (
         b"",
         b"\x01",
         encode(FailoverPlan(rows={9: {A: 1}})),
@@ -357,184 +442,189 @@
         encode(FailoverPlan(trust=[ZoneTrust(0, 9)])),
     ):
         with pytest.raises(MalformedMessageError):
-            read_plan(wrong, 3)
+            read_plan(invalid, 3)
 
 
-def test_plans_of_nine_zones_in_trouble_fit_a_post() -> None:
-    nine = ZoneTopology(Endpoint(f"z{z}", f"z{z}", f"r{z // 3}", 20.0) for z in range(9))
-    told = {z: ReceivedSummary(0.1, ZoneSummary(z, 9, 15.0, {0: 0.0, 1: 0.0, 2: 0.0})) for z in range(9)}
-    plan = propose_plan(CONF, nine, FailoverPlan(), told, 1_796_000_000.0)
+def test_a_plan_for_nine_zones_in_trouble_fits_into_a_register() -> None:
+    nine_zones = ZoneTopology(Endpoint(f"z{zone}", f"z{zone}", f"r{zone // 3}", 20.0) for zone in range(9))
+    summaries = {
+        zone: ReceivedSummary(0.1, ZoneSummary(zone, 9, 15.0, {0: 0.0, 1: 0.0, 2: 0.0})) for zone in range(9)
+    }
+    plan = propose_plan(SETTINGS, nine_zones, FailoverPlan(), summaries, 1_796_000_000.0)
     assert plan is not None and len(encode(plan)) <= 900
 
 
-# ---- members ----------------------------------------------------------------------------------
+# ---- outlier detection ------------------------------------------------------------------------
 
 
-def outliers() -> OutlierDetector:
-    return OutlierDetector(CONF, [("a1", "a2", "a3", "a4")])
+def one_zone_detector() -> OutlierDetector:
+    return OutlierDetector(SETTINGS, [("a1", "a2", "a3", "a4")])
 
 
-def test_failures_in_a_row_put_a_member_out_longer_each_time() -> None:
-    o, spans = outliers(), list[float]()
+def test_consecutive_failures_eject_a_member_for_twice_as_long_each_time() -> None:
+    detector, ejection_times = one_zone_detector(), list[float]()
     now = 0.0
     for _ in range(3):
-        while now >= o.endpoints["a1"].ejected_until:
-            o.record_outcome(now, "a1", False, 0.0)
+        while now >= detector.endpoints["a1"].ejected_until:
+            detector.record_outcome(now, "a1", False, 0.0)
             now += 0.01
-        spans.append(o.endpoints["a1"].ejection_seconds)
-        now = o.endpoints["a1"].ejected_until
-    assert spans == [CONF.ejected_for, 2 * CONF.ejected_for, 4 * CONF.ejected_for]
-    assert "a1" not in o.usable_endpoints(now - 0.1, 0) and "a1" in o.usable_endpoints(now, 0)
+        ejection_times.append(detector.endpoints["a1"].ejection_seconds)
+        now = detector.endpoints["a1"].ejected_until
+    assert ejection_times == [SETTINGS.ejected_for, 2 * SETTINGS.ejected_for, 4 * SETTINGS.ejected_for]
+    assert "a1" not in detector.usable_endpoints(now - 0.1, 0) and "a1" in detector.usable_endpoints(now, 0)
 
 
-def test_a_good_end_on_trial_brings_it_back() -> None:
-    o = outliers()
-    for _ in range(CONF.consecutive):
-        o.record_outcome(0.0, "a1", False, 0.0)
-    assert o.is_failing(1.0, "a1") and o.next_trial(1.0, 0, False) is None
-    assert o.next_trial(CONF.ejected_for, 0, False) == "a1"
-    o.record_outcome(CONF.ejected_for, "a1", True, 0.05)
-    assert not o.is_failing(CONF.ejected_for, "a1")
+def test_a_successful_trial_ends_the_ejection() -> None:
+    detector = one_zone_detector()
+    for _ in range(SETTINGS.consecutive):
+        detector.record_outcome(0.0, "a1", False, 0.0)
+    assert detector.is_failing(1.0, "a1") and detector.next_trial(1.0, 0, False) is None
+    assert detector.next_trial(SETTINGS.ejected_for, 0, False) == "a1"
+    detector.record_outcome(SETTINGS.ejected_for, "a1", True, 0.05)
+    assert not detector.is_failing(SETTINGS.ejected_for, "a1")
 
 
-def test_refusals_tell_more_than_failures() -> None:
-    def needed(refused: bool) -> int:
-        o, n = outliers(), 0
-        while not o.is_failing(0.0, "a1"):
-            o.record_outcome(0.0, "a1", False, 0.0, refused)
-            n += 1
-        return n
+def test_fewer_refused_connections_than_other_failures_eject_a_member() -> None:
+    def needed_failures(connection_refused: bool) -> int:
+        detector, count = one_zone_detector(), 0
+        while not detector.is_failing(0.0, "a1"):
+            detector.record_outcome(0.0, "a1", False, 0.0, connection_refused)
+            count += 1
+        return count
 
-    assert needed(True) == 3 and needed(False) == 5
+    assert needed_failures(True) == 3 and needed_failures(False) == 5
 
 
-def test_no_more_than_half_are_out_and_in_panic_all_are_tried() -> None:
-    o = outliers()
+def test_at_most_half_of_a_zone_is_ejected_and_all_are_tried_below_the_panic_threshold() -> None:
+    detector = one_zone_detector()
     for host in ("a1", "a2", "a3"):
-        for _ in range(CONF.consecutive):
-            o.record_outcome(0.0, host, False, 0.0)
-    assert sorted(o.usable_endpoints(0.1, 0)) == ["a1", "a2", "a3", "a4"]  # a quarter is left: panic
-    o = outliers()
+        for _ in range(SETTINGS.consecutive):
+            detector.record_outcome(0.0, host, False, 0.0)
+    # A quarter is healthy, which is below the panic threshold.
+    assert sorted(detector.usable_endpoints(0.1, 0)) == ["a1", "a2", "a3", "a4"]
+    detector = one_zone_detector()
     for host in ("a1", "a2"):
-        for _ in range(CONF.consecutive):
-            o.record_outcome(0.0, host, False, 0.0)
-    assert o.usable_endpoints(0.1, 0) == ["a3", "a4"]
+        for _ in range(SETTINGS.consecutive):
+            detector.record_outcome(0.0, host, False, 0.0)
+    assert detector.usable_endpoints(0.1, 0) == ["a3", "a4"]
 
 
-def test_a_slow_member_counts_for_what_it_does() -> None:
-    o = outliers()
+def test_a_slow_member_counts_for_a_part_of_its_capacity() -> None:
+    detector = one_zone_detector()
     for n in range(100):
         for host in ("a1", "a2", "a3", "a4"):
-            o.record_outcome(n * 0.05, host, True, 0.5 if host < "a3" else 0.05)
-    grade, evidence = o.grade(5.0, 0)
+            detector.record_outcome(n * 0.05, host, True, 0.5 if host < "a3" else 0.05)
+    grade, evidence = detector.grade(5.0, 0)
     assert grade == pytest.approx(0.55, abs=0.02) and evidence > 50
 
 
-def test_one_slow_end_of_ones_own_is_chance() -> None:
-    o = outliers()
+def test_a_single_slow_outcome_does_not_lower_the_grade() -> None:
+    detector = one_zone_detector()
     for host in ("a1", "a2", "a3", "a4"):
-        o.record_outcome(0.0, host, True, 0.05)
-    o.record_outcome(0.1, "a1", True, 0.9)
-    assert o.grade(0.2, 0)[0] == 1.0
-
-
-def test_ends_are_told_once_and_those_of_members_that_are_out_say_nothing_of_the_zone() -> None:
-    o = outliers()
-    o.record_outcome(0.0, "a2", True, 0.25)
-    for _ in range(CONF.consecutive + 3):
-        o.record_outcome(0.0, "a1", False, 1.0)
-    zones, members = o.pop_unreported(0)
-    assert zones == {0: (1, CONF.consecutive)}
+        detector.record_outcome(0.0, host, True, 0.05)
+    detector.record_outcome(0.1, "a1", True, 0.9)
+    assert detector.grade(0.2, 0)[0] == 1.0
+
+
+def test_outcomes_are_reported_once_and_those_of_ejected_members_do_not_count_for_the_zone() -> None:
+    detector = one_zone_detector()
+    detector.record_outcome(0.0, "a2", True, 0.25)
+    for _ in range(SETTINGS.consecutive + 3):
+        detector.record_outcome(0.0, "a1", False, 1.0)
+    zones, members = detector.pop_unreported(0)
+    assert zones == {0: (1, SETTINGS.consecutive)}
     assert members == {1: (1, 0, 0.25), 0: (0, 8, 8.0)}
-    assert o.pop_unreported(0) == ({}, {})
+    assert detector.pop_unreported(0) == ({}, {})
 
 
-def test_what_the_zone_tells_of_a_member_counts_for_all_of_its_instances() -> None:
-    o = outliers()
-    o.apply_capacity_percents(0.0, 0, {0: 0, 1: 10})
-    assert o.usable_endpoints(0.0, 0) == ["a2", "a3", "a4"] and o.slowness("a2", 0.0) == pytest.approx(10.0)
-    assert o.next_trial(0.0, 0, False) in {"a1", "a2"}
-    o.apply_capacity_percents(0.5, 0, {})
-    assert len(o.usable_endpoints(0.5, 0)) == 4 and o.slowness("a2", 0.0) == 1.0
-    o.apply_capacity_percents(1.0, 0, {0: 0, 1: 0, 2: 0})
-    assert len(o.usable_endpoints(1.0, 0)) == 4  # panic: with so few left all are tried
+def test_the_capacity_that_a_zone_reports_for_a_member_applies_at_every_instance() -> None:
+    detector = one_zone_detector()
+    detector.apply_capacity_percents(0.0, 0, {0: 0, 1: 10})
+    assert detector.usable_endpoints(0.0, 0) == ["a2", "a3", "a4"] and detector.slowness(
+        "a2", 0.0
+    ) == pytest.approx(10.0)
+    assert detector.next_trial(0.0, 0, False) in {"a1", "a2"}
+    detector.apply_capacity_percents(0.5, 0, {})
+    assert len(detector.usable_endpoints(0.5, 0)) == 4 and detector.slowness("a2", 0.0) == 1.0
+    detector.apply_capacity_percents(1.0, 0, {0: 0, 1: 0, 2: 0})
+    assert len(detector.usable_endpoints(1.0, 0)) == 4  # below the panic threshold all are tried
 
 
-def test_a_member_that_is_well_with_all_others_is_tried_again_soon() -> None:
-    o, now = outliers(), 0.0
-    for _ in range(4):  # out for 24 seconds at last
-        for _ in range(CONF.consecutive):
-            o.record_outcome(now, "a1", False, 0.0)
-        now = o.endpoints["a1"].ejected_until
-    began = now - o.endpoints["a1"].ejection_seconds
-    o.apply_capacity_percents(began + 1.0, 0, {0: 100})
-    assert o.next_trial(began + 1.0, 0, False) is None  # it was put out only now
-    o.apply_capacity_percents(began + 4.0, 0, {1: 100})
-    assert o.next_trial(began + 4.0, 0, False) is None  # of this one nothing was told
-    o.apply_capacity_percents(began + 4.0, 0, {0: 100})
-    assert o.next_trial(began + 4.0, 0, False) == "a1"
+def test_an_ejected_member_that_is_healthy_for_the_other_instances_is_tried_soon() -> None:
+    detector, now = one_zone_detector(), 0.0
+    for _ in range(4):  # the last ejection lasts 24 seconds
+        for _ in range(SETTINGS.consecutive):
+            detector.record_outcome(now, "a1", False, 0.0)
+        now = detector.endpoints["a1"].ejected_until
+    ejected_at = now - detector.endpoints["a1"].ejection_seconds
+    detector.apply_capacity_percents(ejected_at + 1.0, 0, {0: 100})
+    assert detector.next_trial(ejected_at + 1.0, 0, False) is None  # it was ejected too recently
+    detector.apply_capacity_percents(ejected_at + 4.0, 0, {1: 100})
+    assert detector.next_trial(ejected_at + 4.0, 0, False) is None  # the report does not list it
+    detector.apply_capacity_percents(ejected_at + 4.0, 0, {0: 100})
+    assert detector.next_trial(ejected_at + 4.0, 0, False) == "a1"
 
 
-# ---- evidence ---------------------------------------------------------------------------------
+# ---- outcome statistics -----------------------------------------------------------------------
 
 
 COUNT = st.floats(0, 1000)
 
 
 @given(COUNT, COUNT, st.floats(0.1, 100))
-def test_the_kindest_reading_is_a_share_and_falls_with_bad_ends(good: float, bad: float, more: float) -> None:
-    kind = success_upper_bound(good, bad)
-    assert 0 <= good / max(1e-9, good + bad) <= kind + 1e-9 and kind <= 1
+def test_the_upper_bound_is_a_share_and_falls_with_bad_outcomes(good: float, bad: float, more: float) -> None:
+    bound = success_upper_bound(good, bad)
+    assert 0 <= good / max(1e-9, good + bad) <= bound + 1e-9 and bound <= 1
     assert (
-        success_upper_bound(good, bad + more) <= kind + 1e-9
-        and success_upper_bound(good + more, bad) >= kind - 1e-9
+        success_upper_bound(good, bad + more) <= bound + 1e-9
+        and success_upper_bound(good + more, bad) >= bound - 1e-9
     )
 
 
-def test_few_ends_prove_little_and_many_the_same_share() -> None:
+def test_the_same_success_share_is_significant_only_with_enough_outcomes() -> None:
     assert success_upper_bound(0.0, 2.0) > POOR_SUCCESS_SHARE > success_upper_bound(0.0, 4.0)
     assert success_upper_bound(5.0, 5.0) > POOR_SUCCESS_SHARE > success_upper_bound(50.0, 50.0)
 
 
-def test_a_tally_fades_with_time_and_holds_no_more_ends_than_it_may() -> None:
-    tally = OutcomeCounts(4.0, 12.0)
-    tally.add(0.0, 10, 0, 1.0)
-    tally.fade(4.0)
-    assert (tally.good, tally.seconds) == (5.0, 0.5) and tally.mean_seconds() == pytest.approx(0.1)
+def test_outcome_counts_decay_with_time_and_stay_within_their_maximum() -> None:
+    counts = OutcomeCounts(4.0, 12.0)
+    counts.add(0.0, 10, 0, 1.0)
+    counts.fade(4.0)
+    assert (counts.good, counts.seconds) == (5.0, 0.5) and counts.mean_seconds() == pytest.approx(0.1)
     for _ in range(20):
-        tally.add(4.0, 0, 1)
-    assert tally.good + tally.bad == pytest.approx(12.0) and tally.bad > 9
-    tally.add(4.0, 30, 0)
-    assert tally.bad == 0 and tally.good == 30  # all of what is told at once counts
+        counts.add(4.0, 0, 1)
+    assert counts.good + counts.bad == pytest.approx(12.0) and counts.bad > 9
+    counts.add(4.0, 30, 0)
+    assert counts.bad == 0 and counts.good == 30  # outcomes that are added at once all count
 
 
-def test_the_proof_of_health_takes_some_thirty_good_ends_and_a_bad_one_costs_six() -> None:
-    proof, needed = SequentialTest(), 0
-    while proof.log_odds < PROVEN_LOG_ODDS:
-        proof.add(1, 0)
+def test_about_thirty_good_outcomes_prove_health_and_a_bad_one_cancels_six() -> None:
+    health_test, needed = SequentialTest(), 0
+    while health_test.log_odds < PROVEN_LOG_ODDS:
+        health_test.add(1, 0)
         needed += 1
     assert 25 <= needed <= 35
-    proof.add(0, 1)
-    assert proof.log_odds < PROVEN_LOG_ODDS
+    health_test.add(0, 1)
+    assert health_test.log_odds < PROVEN_LOG_ODDS
     for _ in range(6):
-        proof.add(1, 0)
-    assert proof.log_odds >= PROVEN_LOG_ODDS
-    proof.add(1000, 0)
-    assert proof.log_odds == MAX_LOG_ODDS
-    proof.add(0, 100)
-    assert proof.log_odds == 0.0 < RECOVERY_START_LOG_ODDS
+        health_test.add(1, 0)
+    assert health_test.log_odds >= PROVEN_LOG_ODDS
+    health_test.add(1000, 0)
+    assert health_test.log_odds == MAX_LOG_ODDS
+    health_test.add(0, 100)
+    assert health_test.log_odds == 0.0 < RECOVERY_START_LOG_ODDS
 
 
-def test_members_are_judged_by_the_ends_of_all_instances() -> None:
-    ends = {0: (12, 0, 0.6), 1: (12, 0, 6.0), 2: (2, 10, 0.1), 3: (1, 1, 0.05), 4: (12, 0, 0.6)}
-    tallies = {place: OutcomeCounts() for place in ends}
-    for place, (good, bad, took) in ends.items():
-        tallies[place].add(0.0, good, bad, took)
-    found = capacity_shares(tallies, CONF.slower, POOR_SUCCESS_SHARE)
-    assert found == {0: 1.0, 1: pytest.approx(0.12, abs=0.01), 2: 0.0, 4: 1.0}
+def test_capacity_shares_follow_the_members_success_and_speed() -> None:
+    outcomes = {0: (12, 0, 0.6), 1: (12, 0, 6.0), 2: (2, 10, 0.1), 3: (1, 1, 0.05), 4: (12, 0, 0.6)}
+    counts = {position: OutcomeCounts() for position in outcomes}
+    for position, (good, bad, seconds) in outcomes.items():
+        counts[position].add(0.0, good, bad, seconds)
+    shares = capacity_shares(counts, SETTINGS.slower, POOR_SUCCESS_SHARE)
+    assert shares == {0: 1.0, 1: pytest.approx(0.12, abs=0.01), 2: 0.0, 4: 1.0}
 
 
-def test_a_change_of_demand_is_believed_when_it_is_more_than_chance() -> None:
+def test_short_term_demand_is_used_when_it_differs_significantly() -> None:
     assert (
         credible_demand(12.0, 10.0) == 10.0
         and credible_demand(20.0, 10.0) == 20.0
@@ -543,33 +633,33 @@
     assert credible_demand(1100.0, 1000.0) == 1100.0
 
 
-def test_demand_is_told_rightly_from_the_start() -> None:
+def test_the_demand_estimate_is_right_soon_after_the_start() -> None:
     demand = DemandEstimator(SHORT_TERM_HALF_LIFE)
     assert demand.rate(5.0) == 0.0
-    for n in range(1, 401):  # ten a second
+    for n in range(1, 401):  # ten per second
         demand.add(100.0 + n / 10)
         if n >= 20:
             assert demand.rate(100.0 + n / 10) == pytest.approx(10.0, rel=0.08)
-    assert demand.rate(146.0) == pytest.approx(5.0, rel=0.1)  # six seconds later: the half
+    assert demand.rate(146.0) == pytest.approx(5.0, rel=0.1)  # one half-life later
 
 
-# ---- instances that speak ---------------------------------------------------------------------
+# ---- instances that exchange messages ---------------------------------------------------------
 
 
 class SimulatedFleet:
-    """Instances of all zones whose posts arrive at once, unless their zones are apart."""
+    """Instances of all zones; messages arrive at once, except between partitioned zones."""
 
-    def __init__(self, each: int = 2) -> None:
-        self.now, self.apart = 100.0, set[str]()
+    def __init__(self, instances_per_zone: int = 2) -> None:
+        self.now, self.partitioned_zones = 100.0, set[str]()
         self.instances = dict[str, ZoneRouter]()
         self.number = dict[str, int]()
         self.posted = list[tuple[str, str, int, str, bytes]]()
-        for n in range(3 * each):
+        for n in range(3 * instances_per_zone):
             zone = "abc"[n % 3]
             name = f"i{n}"
             self.instances[name] = ZoneRouter(
-                CONF,
-                sites(),
+                SETTINGS,
+                three_zones(),
                 name,
                 zone,
                 random.Random(n),
@@ -578,178 +668,197 @@
                 self.now,
             )
 
-    def hears(self, one: str, other: str) -> bool:
-        return (one in self.apart) == (other in self.apart)
+    def is_reachable(self, one_zone: str, other_zone: str) -> bool:
+        return (one_zone in self.partitioned_zones) == (other_zone in self.partitioned_zones)
 
     def run(self, seconds: float, rate: float = 8.0) -> None:
-        """Each instance serves so many requests a second; ``dead`` members refuse."""
-        luck = random.Random(7)
+        """Let each instance route ``rate`` requests per second; members of failed zones refuse them."""
+        rng = random.Random(7)
         for _ in range(int(seconds * 10)):
             self.now += 0.1
-            for i in self.instances.values():
-                if luck.random() < rate / 10:
-                    i.record_arrival(self.now)
-                    tried = set[str]()
-                    while (host := i.choose(self.now, tried, True)) is not None and len(tried) < 3:
-                        tried.add(host)
-                        dead = host[0] in self.dead
-                        i.record_outcome(self.now, host, not dead, 0.0 if dead else 0.05, dead)
-                        if not dead:
+            for instance in self.instances.values():
+                if rng.random() < rate / 10:
+                    instance.record_arrival(self.now)
+                    attempted_hosts = set[str]()
+                    while (host := instance.choose(self.now, attempted_hosts, True)) is not None and len(
+                        attempted_hosts
+                    ) < 3:
+                        attempted_hosts.add(host)
+                        has_failed = host[0] in self.failed_zones
+                        instance.record_outcome(
+                            self.now, host, not has_failed, 0.0 if has_failed else 0.05, has_failed
+                        )
+                        if not has_failed:
                             break
-                i.tick(self.now, self.now)
+                instance.tick(self.now, self.now)
 
-    dead = ""
+    failed_zones = ""
 
 
 class SimulatedMembership:
-    def __init__(self, town: SimulatedFleet, name: str, zone: str) -> None:
-        self.fleet, self.name, self.zone = town, name, zone
+    def __init__(self, fleet: SimulatedFleet, name: str, zone: str) -> None:
+        self.fleet, self.name, self.zone = fleet, name, zone
 
     def zone_leaders(self) -> Mapping[str, str]:
         return zone_leaders(
-            MemberRecord(n, "h:1", 1, zone=i.zone)
-            for n, i in self.fleet.instances.items()
-            if self.fleet.hears(self.zone, i.zone)
+            MemberRecord(name, "h:1", 1, zone=instance.zone)
+            for name, instance in self.fleet.instances.items()
+            if self.fleet.is_reachable(self.zone, instance.zone)
         )
 
     def write_register(self, topic: str, data: bytes) -> None:
-        town = self.fleet
+        fleet = self.fleet
         number = max(
-            (i.plan_number for i in town.instances.values() if town.hears(i.zone, self.zone)), default=0
+            (
+                instance.plan_number
+                for instance in fleet.instances.values()
+                if fleet.is_reachable(instance.zone, self.zone)
+            ),
+            default=0,
         )
         number = number + 1 if topic == PLAN_TOPIC else 1
-        for i in town.instances.values():
-            if town.hears(i.zone, self.zone):
-                i.on_register_changed(town.now, topic, number, self.name, data)
+        for instance in fleet.instances.values():
+            if fleet.is_reachable(instance.zone, self.zone):
+                instance.on_register_changed(fleet.now, topic, number, self.name, data)
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
         sender = MemberRecord(self.name, "h:1", 1, zone=self.zone)
         self.fleet.instances[name].on_direct_message(self.fleet.now, sender, topic, data)
 
 
-def test_all_hold_one_plan_and_a_lost_zone_is_left_by_all_of_it() -> None:
-    town = SimulatedFleet()
-    town.run(5.0)
-    assert all(i.plan.row(i.own_zone) == {i.own_zone: WHOLE_SHARE} for i in town.instances.values())
-    town.dead = "a"
-    town.run(5.0)
-    plans = {(i.plan_number, i.plan_author) for i in town.instances.values()}
+def test_all_instances_adopt_one_plan_and_avoid_a_failed_zone() -> None:
+    fleet = SimulatedFleet()
+    fleet.run(5.0)
+    assert all(
+        instance.plan.row(instance.own_zone) == {instance.own_zone: WHOLE_SHARE}
+        for instance in fleet.instances.values()
+    )
+    fleet.failed_zones = "a"
+    fleet.run(5.0)
+    plans = {(instance.plan_number, instance.plan_author) for instance in fleet.instances.values()}
     assert len(plans) == 1
-    rows = {i.plan.row(A).get(A, 0) for i in town.instances.values()}
+    rows = {instance.plan.row(A).get(A, 0) for instance in fleet.instances.values()}
     assert rows == {0}
 
 
-def test_it_comes_back_in_steps_when_the_zone_is_well() -> None:
-    town = SimulatedFleet()
-    town.dead = "a"
-    town.run(6.0)
-    town.dead = ""
-    town.run(10.0)
-    any_one = next(iter(town.instances.values()))
-    assert any_one.plan.row(A).get(A, 0) == 0  # health has not lasted yet
-    town.run(40.0)
-    assert any_one.plan.row(A) == {A: WHOLE_SHARE}
-
-
-def test_two_sides_of_a_cut_keep_their_own_work_and_agree_afterwards() -> None:
-    town = SimulatedFleet()
-    town.run(5.0)
-    town.apart = {"a"}
-    town.run(10.0)
-    assert all(i.plan.row(i.own_zone) == {i.own_zone: WHOLE_SHARE} for i in town.instances.values())
-    town.apart = set()
-    town.run(30.0)
-    assert len({i.plan_number for i in town.instances.values()}) == 1
-
-
-def test_what_has_no_place_is_refused_at_once() -> None:
-    town = SimulatedFleet(1)
-    instance = town.instances["i0"]
-    instance.on_register_changed(town.now, PLAN_TOPIC, 1, "x", encode(FailoverPlan(0.0, {A: {A: 500}})))
-    drawn = [instance.choose(town.now, set(), False) for _ in range(1000)]
+def test_a_recovered_zone_gets_its_requests_back_after_lasting_health() -> None:
+    fleet = SimulatedFleet()
+    fleet.failed_zones = "a"
+    fleet.run(6.0)
+    fleet.failed_zones = ""
+    fleet.run(10.0)
+    instance = next(iter(fleet.instances.values()))
+    assert instance.plan.row(A).get(A, 0) == 0  # health has not lasted long enough
+    fleet.run(40.0)
+    assert instance.plan.row(A) == {A: WHOLE_SHARE}
+
+
+def test_both_sides_of_a_partition_keep_their_requests_and_agree_afterwards() -> None:
+    fleet = SimulatedFleet()
+    fleet.run(5.0)
+    fleet.partitioned_zones = {"a"}
+    fleet.run(10.0)
+    assert all(
+        instance.plan.row(instance.own_zone) == {instance.own_zone: WHOLE_SHARE}
+        for instance in fleet.instances.values()
+    )
+    fleet.partitioned_zones = set()
+    fleet.run(30.0)
+    assert len({instance.plan_number for instance in fleet.instances.values()}) == 1
+
+
+def test_the_share_that_the_plan_does_not_place_is_rejected_at_once() -> None:
+    fleet = SimulatedFleet(1)
+    instance = fleet.instances["i0"]
+    instance.on_register_changed(fleet.now, PLAN_TOPIC, 1, "x", encode(FailoverPlan(0.0, {A: {A: 500}})))
+    drawn = [instance.choose(fleet.now, set(), False) for _ in range(1000)]
     assert 400 < drawn.count(None) < 600 and instance.rejected_count == drawn.count(None)
 
 
-def test_of_what_has_no_place_the_least_worth_is_refused() -> None:
-    town = SimulatedFleet(1)
-    instance = town.instances["i0"]
+def test_the_lowest_priority_weights_are_rejected_first() -> None:
+    fleet = SimulatedFleet(1)
+    instance = fleet.instances["i0"]
     instance.on_register_changed(
-        town.now, PLAN_TOPIC, 1, "x", encode(FailoverPlan(0.0, {A: {A: 300, B: 300}}))
+        fleet.now, PLAN_TOPIC, 1, "x", encode(FailoverPlan(0.0, {A: {A: 300, B: 300}}))
     )
-    luck, came, refused = random.Random(5), dict[float, int](), dict[float, int]()
+    rng, arrived, rejected = random.Random(5), dict[float, int](), dict[float, int]()
     for n in range(6000):
-        worth = luck.choice((1.0, 1.0, 2.0, 8.0))  # a half, a quarter, a quarter
-        instance.record_arrival(town.now + n / 50, worth)
-        gone = instance.choose(town.now + n / 50, set(), False, worth) is None
-        came[worth], refused[worth] = came.get(worth, 0) + 1, refused.get(worth, 0) + gone
-    assert sum(refused.values()) == pytest.approx(0.4 * 6000, rel=0.05)
-    assert refused[8.0] == 0
-    assert refused[2.0] < 0.03 * came[2.0] and refused[1.0] > 0.75 * came[1.0]
+        weight = rng.choice((1.0, 1.0, 2.0, 8.0))  # a half, a quarter and a quarter of the requests
+        instance.record_arrival(fleet.now + n / 50, weight)
+        is_rejected = instance.choose(fleet.now + n / 50, set(), False, weight) is None
+        arrived[weight], rejected[weight] = arrived.get(weight, 0) + 1, rejected.get(weight, 0) + is_rejected
+    assert sum(rejected.values()) == pytest.approx(0.4 * 6000, rel=0.05)
+    assert rejected[8.0] == 0
+    assert rejected[2.0] < 0.03 * arrived[2.0] and rejected[1.0] > 0.75 * arrived[1.0]
     figures = dict(instance.figures())
-    assert figures["locality.worth_refused"] == pytest.approx(refused[1.0] + 2 * refused[2.0], abs=1)
+    assert figures["locality.worth_refused"] == pytest.approx(rejected[1.0] + 2 * rejected[2.0], abs=1)
 
 
-WORTHS = st.lists(st.sampled_from((0.5, 1.0, 3.0, 8.0)), min_size=10, max_size=200)
+WEIGHTS = st.lists(st.sampled_from((0.5, 1.0, 3.0, 8.0)), min_size=10, max_size=200)
 
 
-@given(WORTHS, st.floats(0, 1))
-def test_the_share_is_kept_whatever_the_worths(worths: list[float], share: float) -> None:
-    shed = LoadShedder(random.Random(1))
-    for worth in worths:
-        shed.record_arrival(1.0, worth)
-    chances = {worth: shed.rejection_probability(worth, share) for worth in sorted(set(worths))}
-    assert sum(chances[w] for w in worths) == pytest.approx(share * len(worths), abs=1e-6)
-    assert list(chances.values()) == sorted(chances.values(), reverse=True)
+@given(WEIGHTS, st.floats(0, 1))
+def test_the_rejected_share_is_exact_for_any_weights(weights: list[float], share: float) -> None:
+    shedder = LoadShedder(random.Random(1))
+    for weight in weights:
+        shedder.record_arrival(1.0, weight)
+    probabilities = {weight: shedder.rejection_probability(weight, share) for weight in sorted(set(weights))}
+    assert sum(probabilities[weight] for weight in weights) == pytest.approx(share * len(weights), abs=1e-6)
+    assert list(probabilities.values()) == sorted(probabilities.values(), reverse=True)
 
 
-def test_worths_without_end_take_no_memory_without_end() -> None:
-    shed = LoadShedder(random.Random(1))
+def test_the_number_of_counted_weights_is_bounded() -> None:
+    shedder = LoadShedder(random.Random(1))
     for n in range(5000):
-        shed.record_arrival(n / 1000, n / 7)
-    assert len(shed.weight_counts) <= MAX_WEIGHTS
-    assert shed.rejection_probability(1e9, 0.5) < shed.rejection_probability(0.0, 0.5) == 1.0
-    shed.record_arrival(10_000.0, 1.0)
-    assert shed.weight_counts == {1.0: 1.0}  # what is long past is forgotten
-    assert shed.rejection_probability(5.0, 0.3) == 0.3  # one request tells nothing of the others
+        shedder.record_arrival(n / 1000, n / 7)
+    assert len(shedder.weight_counts) <= MAX_WEIGHTS
+    assert shedder.rejection_probability(1e9, 0.5) < shedder.rejection_probability(0.0, 0.5) == 1.0
+    shedder.record_arrival(10_000.0, 1.0)
+    assert shedder.weight_counts == {1.0: 1.0}  # old weights are removed
+    assert shedder.rejection_probability(5.0, 0.3) == 0.3  # one request is too few for a threshold
 
 
-def test_reports_and_sums_of_large_zones_fit_a_packet() -> None:
-    o = OutlierDetector(CONF, [[f"{z}-{m}" for m in range(200)] for z in range(9)])
+def test_reports_and_summaries_of_large_zones_fit_into_a_packet() -> None:
+    detector = OutlierDetector(SETTINGS, [[f"{zone}-{member}" for member in range(200)] for zone in range(9)])
     for n in range(400):
-        for host in o.endpoints:
-            o.record_outcome(n * 0.001, host, n % 3 > 0, 0.0123)
-    collector = LoadAggregator(0, 200, CONF)
-    told = set[int]()
+        for host in detector.endpoints:
+            detector.record_outcome(n * 0.001, host, n % 3 > 0, 0.0123)
+    aggregator = LoadAggregator(0, 200, SETTINGS)
+    reported = set[int]()
     for _ in range(7):
-        zones, members = o.pop_unreported(0)
-        grades = {z: (round(g, 3), round(e, 1)) for z in range(9) for g, e in [o.grade(0.4, z)]}
+        zones, members = detector.pop_unreported(0)
+        grades = {
+            zone: (round(grade, 3), round(evidence, 1))
+            for zone in range(9)
+            for grade, evidence in [detector.grade(0.4, zone)]
+        }
         report = InstanceReport(1234.56, grades, zones, members, 1234.56)
         assert len(encode_report(report)) <= 900
-        collector.add_report(0.4, "i0", report)
-        told |= members.keys()
-    assert told == set(range(200))  # what did not fit was told later
-    assert len(encode_report(collector.summary(0.4))) <= 900
+        aggregator.add_report(0.4, "i0", report)
+        reported |= members.keys()
+    assert reported == set(range(200))  # what did not fit was reported later
+    assert len(encode_report(aggregator.summary(0.4))) <= 900
 
 
-def test_it_shows_what_zones_tell_of_their_members() -> None:
+def test_the_state_shows_the_summaries_of_zones_with_their_members() -> None:
     instance = SimulatedFleet(1).instances["i0"]
-    told = ZoneSummary(B, 3, 7.0, {B: 0.6}, {}, 4.5, {0: 20, 1: 100, 9: 0})
-    instance.on_register_changed(100.0, ZONE_TOPIC + "b", 1, "x", encode_report(told))
+    summary = ZoneSummary(B, 3, 7.0, {B: 0.6}, {}, 4.5, {0: 20, 1: 100, 9: 0})
+    instance.on_register_changed(100.0, ZONE_TOPIC + "b", 1, "x", encode_report(summary))
     shown = instance.state(101.0)["zones"]
     assert shown == {"b": {"demand": 7.0, "instances": 3, "ago": 1.0, "odds": 4.5, "members": {"b1": 0.2}}}
 
 
-def test_tries_in_zones_that_the_plan_does_not_name_are_few() -> None:
-    town = SimulatedFleet(1)
-    instance = town.instances["i0"]
+def test_retries_in_zones_outside_the_plan_are_limited_by_a_budget() -> None:
+    fleet = SimulatedFleet(1)
+    instance = fleet.instances["i0"]
     instance.retry_tokens = 0.0
     for _ in range(40):
-        instance.record_arrival(town.now)
-    found = [instance.choose(town.now, {"a1", "a2"}, True) for _ in range(40)]
-    assert sum(host is not None for host in found) == 10
+        instance.record_arrival(fleet.now)
+    chosen = [instance.choose(fleet.now, {"a1", "a2"}, True) for _ in range(40)]
+    assert sum(host is not None for host in chosen) == 10
 
 
-def test_reports_and_sums_are_read_as_written_and_what_is_none_is_malformed() -> None:
+def test_reports_and_summaries_survive_encoding_and_other_data_is_malformed() -> None:
     report = InstanceReport(3.5, {A: (0.5, 9.0)}, {A: (3, 1)}, {1: (2, 1, 0.5)}, 3.0)
     summary = ZoneSummary(A, 2, 7.0, {B: 0.25}, {A: (3.0, 1.0)}, 9.0, {0: 50})
     assert read_report(encode_report(report)) == report and read_summary(encode_report(summary)) == summary
@@ -760,42 +869,46 @@
         SimulatedFleet(1).instances["i0"].on_register_changed(1.0, ZONE_TOPIC + "a", 1, "x", b"\xc1")
 
 
-def test_a_sum_weighs_by_evidence_and_forgets_the_stale() -> None:
-    collector = LoadAggregator(A, 2, CONF)
-    collector.add_report(0.0, "gone", InstanceReport(100.0, {A: (0.0, 1000.0)}))
-    collector.add_report(5.0, "one", InstanceReport(3.0, {A: (1.0, 30.0), B: (0.0, 1.0)}))
-    collector.add_report(5.0, "two", InstanceReport(4.0, {A: (0.0, 10.0)}, long_term_demand=4.0))
-    summary = collector.summary(5.5)
+def test_a_summary_weights_grades_by_evidence_and_drops_stale_reports() -> None:
+    aggregator = LoadAggregator(A, 2, SETTINGS)
+    aggregator.add_report(0.0, "gone", InstanceReport(100.0, {A: (0.0, 1000.0)}))
+    aggregator.add_report(5.0, "one", InstanceReport(3.0, {A: (1.0, 30.0), B: (0.0, 1.0)}))
+    aggregator.add_report(5.0, "two", InstanceReport(4.0, {A: (0.0, 10.0)}, long_term_demand=4.0))
+    summary = aggregator.summary(5.5)
     assert (summary.instances, summary.demand, summary.grades) == (2, 7.0, {A: 0.75})
 
 
-def test_instances_of_the_version_before_are_understood_and_understand() -> None:
-    class Before(msgspec.Struct, array_like=True):  # the forms of 0.6
+def test_reports_and_summaries_are_compatible_with_version_0_6() -> None:
+    class ReportOfVersion06(msgspec.Struct, array_like=True):
         demand: float
         grades: dict[int, tuple[float, float]]
 
-    class SumBefore(msgspec.Struct, array_like=True):
+    class SummaryOfVersion06(msgspec.Struct, array_like=True):
         zone: int
         instances: int
         demand: float
         grades: dict[int, float]
 
     pack = msgspec.msgpack.encode
-    collector = LoadAggregator(A, 2, CONF)
-    collector.add_report(5.0, "old", read_report(pack(Before(3.0, {A: (1.0, 9.0)}))))
-    assert collector.summary(5.0).demand == 3.0
-    assert read_summary(pack(SumBefore(A, 2, 7.0, {B: 0.25}))).log_odds >= PROVEN_LOG_ODDS
-    new = InstanceReport(3.5, {A: (0.5, 9.0)}, {A: (3, 1)}, {1: (2, 1, 0.5)}, 3.0)
-    assert msgspec.msgpack.decode(encode_report(new), type=Before) == Before(3.5, {A: (0.5, 9.0)})
-    told = encode_report(ZoneSummary(A, 2, 7.0, {B: 0.25}, {A: (3.0, 1.0)}, 9.0, {0: 50}))
-    assert msgspec.msgpack.decode(told, type=SumBefore) == SumBefore(A, 2, 7.0, {B: 0.25})
-
-
-def test_what_each_saw_too_little_of_is_known_in_the_sum() -> None:
-    """Twenty instances with one end of each member: none could tell, all together can."""
-    collector = LoadAggregator(A, 2, CONF)
+    aggregator = LoadAggregator(A, 2, SETTINGS)
+    aggregator.add_report(5.0, "old", read_report(pack(ReportOfVersion06(3.0, {A: (1.0, 9.0)}))))
+    assert aggregator.summary(5.0).demand == 3.0
+    assert read_summary(pack(SummaryOfVersion06(A, 2, 7.0, {B: 0.25}))).log_odds >= PROVEN_LOG_ODDS
+    report = InstanceReport(3.5, {A: (0.5, 9.0)}, {A: (3, 1)}, {1: (2, 1, 0.5)}, 3.0)
+    assert msgspec.msgpack.decode(encode_report(report), type=ReportOfVersion06) == ReportOfVersion06(
+        3.5, {A: (0.5, 9.0)}
+    )
+    summary = encode_report(ZoneSummary(A, 2, 7.0, {B: 0.25}, {A: (3.0, 1.0)}, 9.0, {0: 50}))
+    assert msgspec.msgpack.decode(summary, type=SummaryOfVersion06) == SummaryOfVersion06(
+        A, 2, 7.0, {B: 0.25}
+    )
+
+
+def test_a_summary_judges_members_that_no_single_instance_can_judge() -> None:
+    """Each of twenty instances has one outcome per member, which is too little alone but enough in sum."""
+    aggregator = LoadAggregator(A, 2, SETTINGS)
     for n in range(20):
-        collector.add_report(
+        aggregator.add_report(
             5.0,
             f"i{n}",
             InstanceReport(
@@ -805,13 +918,13 @@
                 {0: (0, 1, 0.0), 1: (1, 0, 0.05), 7: (0, 1, 0.0)},
             ),
         )
-    summary = collector.summary(5.0)
+    summary = aggregator.summary(5.0)
     assert summary.capacity_percents == {0: 0, 1: 100} and summary.grades[A] == 0.5
     assert summary.outcomes == {A: (20.0, 20.0), B: (20.0, 0.0)} and summary.log_odds == 0.0
     for n in range(40):
-        seen = {0: (1, 0, 0.05), 1: (1, 0, 0.05)}
-        collector.add_report(6.0 + n / 10, "i0", InstanceReport(1.0, {A: (0.0, 9.0)}, {A: (2, 0)}, seen))
-    summary = collector.summary(10.0)
+        outcomes = {0: (1, 0, 0.05), 1: (1, 0, 0.05)}
+        aggregator.add_report(6.0 + n / 10, "i0", InstanceReport(1.0, {A: (0.0, 9.0)}, {A: (2, 0)}, outcomes))
+    summary = aggregator.summary(10.0)
     assert (
         summary.capacity_percents == {0: 100, 1: 100}
         and summary.grades[A] == 1.0
@@ -832,18 +945,18 @@
 }
 
 
-def deployment(**more: object) -> dict[str, object]:
-    return {"member": MEMBER, "upstream": [UPSTREAM], "locality": {"upstream": "work"}, **more}
+def deployment(**changes: object) -> dict[str, object]:
+    return {"member": MEMBER, "upstream": [UPSTREAM], "locality": {"upstream": "work"}, **changes}
 
 
-def test_it_is_off_without_its_table() -> None:
+def test_zone_aware_routing_is_off_without_its_table() -> None:
     assert read({"member": MEMBER, "upstream": [UPSTREAM]}).locality is None
     assert read(deployment(locality={"upstream": "work", "enabled": False})).locality is None
-    assert read(deployment()).locality == CONF
+    assert read(deployment()).locality == SETTINGS
 
 
 @pytest.mark.parametrize(
-    ("more", "reason"),
+    ("changes", "message"),
     [
         ({"locality": {"upstream": "work", "hold": 0}}, "locality.hold"),
         ({"locality": {"upstream": "work", "holds": 1}}, "holds"),
@@ -874,29 +987,31 @@
         ({"locality": {"upstream": "work", "stale": 0.6}}, "locality.stale"),
     ],
 )
-def test_what_cannot_stand_is_told_with_field_and_reason(more: dict[str, object], reason: str) -> None:
-    with pytest.raises(ConfigError, match=reason):
-        read(deployment(**more))
+def test_an_invalid_deployment_is_rejected_with_field_and_reason(
+    changes: dict[str, object], message: str
+) -> None:
+    with pytest.raises(ConfigError, match=message):
+        read(deployment(**changes))
 
 
-def test_a_table_out_of_range_names_its_field() -> None:
+def test_an_error_in_the_table_names_the_field() -> None:
     with pytest.raises(InvalidFieldError, match=r"locality\.limit"):
         read_locality({"upstream": "u", "limit": 2.0})
 
 
-# ---- the model --------------------------------------------------------------------------------
+# ---- simulated days ---------------------------------------------------------------------------
 
 
-def test_a_flapping_zone_of_few_instances_is_left_once_and_nobody_is_overrun() -> None:
-    """Five instances a zone; its own zone reaches its members every other two seconds."""
-    seen = model.play((model.Day("flap", 150.0, 45, 10.0, 145.0, flap=(0, 2.0)), "common", 1))
-    assert (seen.moves, seen.swings, seen.overloads, seen.agree) == (1, 1, 0, 1.0)
-    assert seen.good >= 0.97 * seen.requests
+def test_a_flapping_small_zone_loses_its_requests_once_and_no_zone_is_overloaded() -> None:
+    """There are five instances per zone, whose members are reachable for two seconds out of four."""
+    result = model.play((model.Day("flap", 150.0, 45, 10.0, 145.0, flap=(0, 2.0)), "common", 1))
+    assert (result.moves, result.swings, result.overloads, result.agree) == (1, 1, 0, 1.0)
+    assert result.good >= 0.97 * result.requests
 
 
-def test_half_a_zone_that_is_slow_keeps_the_work_that_its_other_half_can_do() -> None:
+def test_a_zone_whose_one_half_is_slow_keeps_the_requests_that_the_other_half_can_serve() -> None:
     day = model.Day("half slow", 30.0, 180, 8.0, 30.0, half_slow=0)
     fleet = model.Fleet(day, "common", 1)
-    seen, first = fleet.run(), fleet.instances[0]
+    result, first = fleet.run(), fleet.instances[0]
     assert isinstance(first, model.Common) and first.locality.plan.row(0).get(0, 0) >= 400
-    assert seen.overloads == 0 and sum(seen.lost_share[40:60]) >= 0.9 * 20
+    assert result.overloads == 0 and sum(result.lost_share[40:60]) >= 0.9 * 20
