--- a/saltcart/decision/admission.py
+++ b/saltcart/decision/admission.py
@@ -133,7 +133,7 @@
             accumulate(self.arrivals[k] * self.settings.classes[k].priority_weight for k in rising)
         )
         work = accumulate(self.arrivals[k] * self.run_times.run_seconds[k] for k in rising)
-        scale = (objective.whole + objective.worst_window) / (weights[-1] or 1.0)
+        scale = (objective.overall + objective.worst_window) / (weights[-1] or 1.0)
         losses = [
             (scale * weight + objective.worst_class) / (seconds + 1e-9)
             for weight, seconds in zip(weights, work)
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -55,7 +55,7 @@
         self.idle_timeout = IdleTimeout(settings)
         self.attempt_ages = [AttemptAgeEstimator(spec.deadline) for spec in settings.classes]
         self.wheel = TimingWheel[Request | int](self.sweep_interval)  # requests, and ids of reserved keys
-        self.cores_up_at = 0.0
+        self.workers_started_at = 0.0
         self.last_completion_at = 0.0
         self.predecessor = events.PredecessorLoad()
         self.actions: list[actions.Action] = []
@@ -94,7 +94,7 @@
     # ---- the life of the server ---------------------------------------------------------------
 
     def _on_started(self, now: float, _: events.Started) -> None:
-        self.cores_up_at = now
+        self.workers_started_at = now
         self.last_completion_at = now
         self.scheduler.limiter.period_began_at = now
         self.wheel.start(now)
@@ -118,7 +118,7 @@
         self.settings = replace(self.settings, starts_cold=event.starts_cold)
         self.scheduler.limiter = ConcurrencyLimiter(self.settings)
         self.scheduler.limiter.period_began_at = now
-        self.cores_up_at = now - event.age
+        self.workers_started_at = now - event.age
         self.last_completion_at = now
 
     # ---- arrivals -----------------------------------------------------------------------------
@@ -171,7 +171,7 @@
     # ---- runs ---------------------------------------------------------------------------------
 
     def _fill_slots(self, now: float) -> None:
-        age = now - self.cores_up_at
+        age = now - self.workers_started_at
         for request, decision in self.scheduler.decide(now, age, self.predecessor):
             if decision is RunDecision.REJECT:
                 self._finish(request, reject=True)
@@ -293,7 +293,7 @@
         if now >= self.drain.answer_by:
             for request in list(self.table.requests.values()):
                 self._finish(request, reject=True)
-        age = now - self.cores_up_at
+        age = now - self.workers_started_at
         self.scheduler.limiter.update(now, age, event.cpu_busy, self.held_count(), self.period)
         self._update_pressure(now)
         if now >= self.next_period_at:
--- a/saltcart/decision/settings.py
+++ b/saltcart/decision/settings.py
@@ -75,7 +75,7 @@
 class ObjectiveWeights:
     """Weights of the parts of the objective by which the deployment is judged."""
 
-    whole: float = 1.0
+    overall: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -90,8 +90,8 @@
     memory_kb: float
     answer_slack: float  # a final answer may be this late
     drain_grace: float  # what arrives later than this after the drain began must not run
-    max_running_per_core: float  # requests that a warm server survives, as a mean over max_running_span
-    max_running_span: float
+    max_running_per_core: float  # requests that a warm server survives, as a mean over max_running_window
+    max_running_window: float
     cold_speed_share: float = 1.0  # of its speed, that a cold server starts with
     warm_up_seconds: float = 0.0
     starts_cold: bool = False
@@ -102,7 +102,7 @@
     signal: LoadSignal = LoadSignal.NONE
     dependency: DependencyKind = DependencyKind.NONE
     dependency_call_share: float | None = None  # calls in the shared dependency, as a mean
-    dependency_call_span: float = 0.0
+    dependency_call_window: float = 0.0
     abandoned_call_seconds: float = 0.0  # an abandoned call may occupy the dependency for this long
     run_memory_factor: float = 1.0  # memory of a running request over that of a held one
     key_entry_kb: float = 0.0  # memory of one remembered idempotency key
--- a/saltcart/platform_settings.py
+++ b/saltcart/platform_settings.py
@@ -46,7 +46,7 @@
         answer_slack=contract.number("answerSlack"),
         drain_grace=contract.number("drainGrace"),
         max_running_per_core=contract.number("fallMultiple", low=1),
-        max_running_span=contract.number("fall"),
+        max_running_window=contract.number("fall"),
         cold_speed_share=contract.number("coldFrom", 1.0, high=1),
         warm_up_seconds=contract.number("cold", 0.0),
         starts_cold=extra.flag("cold", False),
@@ -56,7 +56,7 @@
         signal=extra.choice("signal", SIGNALS, LoadSignal.NONE),
         dependency=extra.choice("below", DEPENDENCIES, DependencyKind.NONE),
         dependency_call_share=extra.number("depShare", None),
-        dependency_call_span=extra.number("shareSpan", 0.0),
+        dependency_call_window=extra.number("shareSpan", 0.0),
         abandoned_call_seconds=extra.number("linger", 0.0),
         run_memory_factor=extra.number("runFactor", 1.0, low=1),
         key_entry_kb=extra.number("keyKb", 0.0),
@@ -134,7 +134,7 @@
 
 def _read_objective(mix: FieldReader) -> ObjectiveWeights:
     return ObjectiveWeights(
-        whole=mix.number("whole", 1.0),
+        overall=mix.number("whole", 1.0),
         worst_window=mix.number("worstWindow", 0.0),
         worst_class=mix.number("worstClass", 0.0),
         worst_tenant=mix.number("worstTenant", 0.0),
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -50,7 +50,7 @@
     answer_slack=0.06,
     drain_grace=1.0,
     max_running_per_core=4.0,
-    max_running_span=1.0,
+    max_running_window=1.0,
     cold_speed_share=0.3,
     warm_up_seconds=5.0,
     run_memory_factor=4.0,
@@ -58,7 +58,7 @@
     signal_lifetime=1.0,
     dependency=DependencyKind.SHARED,
     dependency_call_share=2.0,
-    dependency_call_span=5.0,
+    dependency_call_window=5.0,
     abandoned_call_seconds=0.2,
     batch_interval=0.005,
 )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -204,7 +204,7 @@
     w.service.pool_started(True, 2.0)
     assert w.service.is_healthy and w.service.controller is not None
     assert w.service.controller.settings.starts_cold
-    assert w.service.controller.cores_up_at == w.now - 2.0
+    assert w.service.controller.workers_started_at == w.now - 2.0
 
 
 def test_accounts_that_nobody_told_are_not_counted_one_by_one() -> None:
