--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -129,7 +129,7 @@
         s = self.service
         return 200, {
             "healthy": s.is_healthy,
-            "draining": s.drain.drain_at is not None,
+            "draining": s.drain.notified_at is not None,
             "hint": s.load_level,
             "keys": len(s.keys),
             "requests": Counter(r.phase.value for r in s.requests.values()),
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -12,7 +12,7 @@
 from saltcart.admin.registry import Registry, specs
 from saltcart.admin.server import AdminConnection
 from saltcart.config import Config, ConfigError
-from saltcart.core.draining import STOP_MARGIN
+from saltcart.core.draining import STOP_MARGIN_SECONDS
 from saltcart.core.ports import Log, WorkerPool
 from saltcart.core.service import Service
 from saltcart.decision.settings import Settings
@@ -190,7 +190,7 @@
 
         def make(settings: Settings, started: float) -> RetryStormController:
             damper = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started)
-            service.figure_sources.append(lambda: damper.figures(service.clock.read_seconds()))
+            service.metric_sources.append(lambda: damper.figures(service.clock.read_seconds()))
             self.storm_controller = damper
             return damper
 
@@ -202,7 +202,7 @@
 
         self.gossip = MembershipDriver(conf, self.conf.name, self.conf.seed, self.log)
         self.addresses["member"] = await self.gossip.open()
-        self.service.figure_sources.append(self.gossip.figures)
+        self.service.metric_sources.append(self.gossip.figures)
         self.log("listening", name=self.conf.name, front="member", address=self.addresses["member"])
         locality, fleet, upstreams = self.deployment.locality, self.deployment.fleet, self.upstreams
         if upstreams is None:
@@ -220,7 +220,7 @@
                 self.log,
                 {c.name: c.priority_weight for c in self.service.settings.classes},
             )
-            self.service.figure_sources.append(self.locality.router.figures)
+            self.service.metric_sources.append(self.locality.router.figures)
         if fleet is not None:
             from saltcart.net.subset_driver import SubsetDriver
 
@@ -232,7 +232,7 @@
                 seed + 2,
                 self.log,
             )
-            self.service.figure_sources.append(self.subsets.balancer.figures)
+            self.service.metric_sources.append(self.subsets.balancer.figures)
 
     def _compose(self, plans: Plans, upstreams: Upstreams) -> None:
         """Answers of the plans' classes are made of several dependencies' replies."""
@@ -251,7 +251,7 @@
             service.loop.usable_time,
         )
         service.composed_classes = frozenset(self.composer.desk.plans)
-        service.figure_sources.append(self.composer.figures)
+        service.metric_sources.append(self.composer.figures)
 
     async def _open_fronts(self, most: int) -> None:
         """Where clients connect; ``most`` connections in all."""
@@ -299,7 +299,7 @@
             self.gossip.leave()
         within = max(0.0, self.conf.stop_after - ago)
         if self.composer is not None:
-            self.composer.hasten(within - STOP_MARGIN)
+            self.composer.hasten(within - STOP_MARGIN_SECONDS)
         if self.takeover is None or not self.takeover.retire(within, done):
             self.service.start_drain(within, ago)
 
--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -80,7 +80,7 @@
         elif request.phase is PAUSED:
             request.phase = RUNNING
             request.stop_requested = False
-            self.ports.workers.proceed(request.inbound.request_id)
+            self.ports.workers.resume(request.inbound.request_id)
         elif request.phase is HELD:
             self._spawn(request)
 
@@ -171,7 +171,7 @@
         request = self._request(number)
         if request is None or request.phase is not CALLING or request.call_number != call_number:
             return
-        self.lifecycle.give_up_call(request)
+        self.lifecycle.cancel_call(request)
         self.on_call_overdue(request.inbound.request_id)
 
     def _skip_call(self, action: actions.SkipCall) -> None:
@@ -182,7 +182,7 @@
             return
         request.phase = RUNNING
         request.call_body = b""
-        self.ports.workers.skip(request.inbound.request_id, request.call_notice)
+        self.ports.workers.skip_call(request.inbound.request_id, request.call_notice)
 
     # ---- idempotency keys ---------------------------------------------------------------------
 
--- a/saltcart/core/decision_loop.py
+++ b/saltcart/core/decision_loop.py
@@ -82,7 +82,7 @@
         if self.clock.now > self.gauges_at + max(GAUGE_LIFETIME, 2 * sweep_interval):
             self.gauges = {}  # the link is away: idle cores of long ago must not let in more work
         self.feed(TimerFired(token, **self.gauges))
-        self.ports.workers.poll()
+        self.ports.workers.poll_gauges()
 
     def load(self) -> PredecessorLoad:
         """Return what is on the cores and in the memory."""
--- a/saltcart/core/idempotency.py
+++ b/saltcart/core/idempotency.py
@@ -27,7 +27,7 @@
         self.answer_slack = answer_slack
         self.finish_attempt = finish_attempt
         # Told of keys whose runs are over, once another process has taken over; no key is taken then.
-        self.successor: Callable[[KeyRecord, bool], None] | None = None
+        self.notify_successor: Callable[[KeyRecord, bool], None] | None = None
         self.uncertain_until = 0.0  # attempts that arrived by then may be of a run that nobody reported
 
     # ---- the life of one key ------------------------------------------------------------------
@@ -96,8 +96,8 @@
         current = self.keys.records.get(record.key)
         if current is record:
             self.keys.update_booking(record)  # its result is known: it takes no more than that
-        if self.successor is not None and (current is None or current is record):
-            self.successor(record, current is None)
+        if self.notify_successor is not None and (current is None or current is record):
+            self.notify_successor(record, current is None)
         waiting = record.waiting_attempts
         record.waiting_attempts = []
         for number in waiting:
@@ -114,12 +114,12 @@
 
         ``successor`` is told how the keys end that this process still answers for, and whether they are free.
         """
-        self.successor = successor
+        self.notify_successor = successor
         return list(self.keys.records.values())
 
-    def take_back(self) -> None:
+    def cancel_hand_over(self) -> None:
         """Go on: the process that took over is gone."""
-        self.successor = None
+        self.notify_successor = None
 
     def adopt(self, record: KeyRecord, is_free: bool, number: int) -> None:
         """Take what the predecessor reports of a key.
--- a/saltcart/core/idempotency_keys.py
+++ b/saltcart/core/idempotency_keys.py
@@ -32,7 +32,7 @@
     is_finished: bool = False
     result: bytes | None = None  # of a run that succeeded
     waiting_attempts: list[int] = field(default_factory=list)  # request numbers that wait for the result
-    earlier: KeyRecord | None = None  # of an earlier window, to which an attempt read late may belong
+    previous_window: KeyRecord | None = None  # of an earlier window, to which an attempt read late may belong
     booked_bytes: int = 0  # on the table's account
 
     def byte_size(self) -> int:
@@ -70,7 +70,7 @@
         if earlier is not None and earlier.holder_number == holder_number:
             earlier.expires_at = max(earlier.expires_at, expires_at)
             return earlier
-        record = KeyRecord(key, holder_number, expires_at, digest(body), earlier=earlier)
+        record = KeyRecord(key, holder_number, expires_at, digest(body), previous_window=earlier)
         self.records[key] = record
         self.update_booking(record)
         return record
@@ -96,10 +96,10 @@
         """Free a key; the record of an earlier window stands again."""
         if self.records.get(record.key) is not record:
             record.expires_at = float("-inf")  # an earlier one: nothing finds it any more
-        elif record.earlier is None:
+        elif record.previous_window is None:
             del self.records[record.key]
         else:
-            self.records[record.key] = record.earlier
+            self.records[record.key] = record.previous_window
         self._book_off(record)
 
     def _book_off(self, record: KeyRecord) -> None:
@@ -116,9 +116,9 @@
     def _expire_earlier(self, record: KeyRecord, now: float) -> None:
         current: KeyRecord | None = record
         while current is not None:
-            earlier = current.earlier
+            earlier = current.previous_window
             if earlier is not None and now > earlier.expires_at + self.read_grace:
                 self._book_off(earlier)
-                current.earlier = earlier.earlier
+                current.previous_window = earlier.previous_window
             else:
                 current = earlier
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -34,16 +34,16 @@
     def suspend(self, request_id: bytes) -> None:
         """Stop a run, as far as the settings' preemption allows."""
 
-    def proceed(self, request_id: bytes) -> None:
+    def resume(self, request_id: bytes) -> None:
         """Go on with a paused run."""
 
-    def supply(self, request_id: bytes, reply: bytes) -> None:
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None:
         """Give a run the reply to the call that it waits for."""
 
-    def skip(self, request_id: bytes, notice: int) -> None:
+    def skip_call(self, request_id: bytes, notice: int) -> None:
         """Let a run go on without the call that this notice asked for."""
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         """Ask for the gauges."""
 
 
@@ -53,7 +53,7 @@
     def call(self, request_id: bytes, timeout: float, body: bytes, must_run_once: bool) -> None:
         """Make a call; ``must_run_once``: not a second time where the first one may have run."""
 
-    def give_up(self, request_id: bytes) -> None:
+    def cancel_call(self, request_id: bytes) -> None:
         """Give a request's call up."""
 
 
@@ -156,7 +156,7 @@
     ) -> None:
         """A run is over, with or without replies of some dependencies."""
 
-    def run_awaits_call(self, request_id: bytes, notice: int, body: bytes) -> None:
+    def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
         """A run waits for a call with this body."""
 
     def run_uncertain(self, request_id: bytes) -> None:
--- a/saltcart/core/rate.py
+++ b/saltcart/core/rate.py
@@ -8,7 +8,7 @@
 MAX_HALVINGS = 1000.0  # beyond it nothing is left that a float holds
 
 
-class FadingRate:
+class DecayingRate:
     """Events a second, smoothed with a half-life in seconds."""
 
     __slots__ = ("half_life", "level", "updated_at")
--- a/saltcart/core/request_intake.py
+++ b/saltcart/core/request_intake.py
@@ -118,7 +118,7 @@
 
     def _takes_nothing(self, now: float) -> bool:
         # Once all is answered before the stop nothing more is taken: nobody would answer it.
-        has_handed_over = self.lifecycle.attempts.successor is not None
+        has_handed_over = self.lifecycle.attempts.notify_successor is not None
         return self.lifecycle.loop.controller is None or has_handed_over or now >= self.drain.answer_by
 
     def _decide(self, request: PendingRequest, class_index: int, record: KeyRecord | None) -> None:
--- a/saltcart/core/request_lifecycle.py
+++ b/saltcart/core/request_lifecycle.py
@@ -92,7 +92,7 @@
         if request.respond is not None or self.requests.get(request.number) is not request:
             return
         if request.phase is CALLING:
-            self.give_up_call(request)  # the pool ends the run by itself
+            self.cancel_call(request)  # the pool ends the run by itself
             request.phase = BLOCKED
         if request.phase not in ENDED_PHASES:
             return
@@ -108,10 +108,10 @@
         if self.held_fingerprints.get(fingerprint) == request.number:
             del self.held_fingerprints[fingerprint]
 
-    def give_up_call(self, request: PendingRequest) -> None:
+    def cancel_call(self, request: PendingRequest) -> None:
         """Give up the call that a request is at."""
         if self.ports.dependency_calls is not None:
-            self.ports.dependency_calls.give_up(request.inbound.request_id)
+            self.ports.dependency_calls.cancel_call(request.inbound.request_id)
 
     def open_request_count(self) -> int:
         """Return how many requests are owed a response."""
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -46,7 +46,7 @@
             return
         self.clock.read()
         if request.phase is CALLING:
-            self.lifecycle.give_up_call(request)
+            self.lifecycle.cancel_call(request)
         if outcome is Outcome.SUCCEEDED:
             response = FinalResponse(
                 ResponseStatus.SERVED,
@@ -83,7 +83,7 @@
         if request.attempt is not None:
             control.record_success(now, request.attempt.fingerprint, request.attempt.is_retry)
 
-    def run_awaits_call(self, request_id: bytes, notice: int, body: bytes) -> None:
+    def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
         """A run waits for a call with this body; ``notice`` names its wait to the pool."""
         request = self._in_pool(request_id)
         if request is None:
@@ -109,7 +109,7 @@
         if outcome is Outcome.SUCCEEDED:
             request.phase = RUNNING
             request.call_body = b""
-            self.ports.workers.supply(request_id, reply)
+            self.ports.workers.supply_reply(request_id, reply)
         else:
             request.phase = BLOCKED
         self.loop.feed(CallFinished(request.number, outcome, now - request.call_started_at))
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -14,7 +14,7 @@
 from saltcart.core.action_executor import ActionExecutor
 from saltcart.core.clock import CoreClock
 from saltcart.core.decision_loop import DecisionLoop
-from saltcart.core.draining import STOP_MARGIN, DrainState
+from saltcart.core.draining import STOP_MARGIN_SECONDS, DrainState
 from saltcart.core.idempotency_keys import KeyRecord, KeyTable
 from saltcart.core.messages import InboundRequest, ResponseCallback
 from saltcart.core.ports import Log, Ports, RetryStormControl
@@ -68,7 +68,7 @@
         self.make_storm_control: Callable[[Settings, float], RetryStormControl] | None = None
         self.on_started: Callable[[], None] | None = None  # called once, when the pool is up
         self.composed_classes = frozenset[str]()  # whose responses are composed, and may be partial
-        self.figure_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for operators
+        self.metric_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for operators
 
     def _join_parts(self) -> None:
         settings = self.settings
@@ -141,7 +141,7 @@
 
     # ---- from the fronts ----------------------------------------------------------------------
 
-    def arrive(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
+    def submit(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
         """Take a request; ``respond`` is called with its response, at once or later.  Returns its number."""
         return self.intake.take(inbound, respond)
 
@@ -167,7 +167,7 @@
 
     def start_drain(self, within: float, ago: float = 0.0) -> None:
         """Drain: the notice came ``ago`` seconds before, the process is stopped after ``within`` seconds."""
-        if self.drain.drain_at is not None:
+        if self.drain.notified_at is not None:
             return
         now = self.clock.read()
         self.drain.start(now - ago, now + within)
@@ -202,7 +202,7 @@
 
     def retire_after(self, within: float) -> None:
         """Handed over and stopped soon: no drain, for the server stays, but all is answered before that."""
-        self.timers.call_at(self.clock.read() + within - STOP_MARGIN, self.lifecycle.fail_all)
+        self.timers.call_at(self.clock.read() + within - STOP_MARGIN_SECONDS, self.lifecycle.fail_all)
         self.log("retiring", within=within, open=len(self.requests))
 
     def adopt_key(self, record: KeyRecord, is_free: bool) -> None:
@@ -210,7 +210,7 @@
         self.clock.read()
         self.lifecycle.attempts.adopt(record, is_free, next(self.lifecycle.numbers))
 
-    def distrust_keys(self) -> None:
+    def mark_keys_uncertain(self) -> None:
         """The predecessor never reported its keys: new ones fail until those of its runs have passed."""
         classes = self.settings.classes
         windows = [spec.key_window for spec in classes if spec.effect is Effect.IDEMPOTENT_BY_KEY]
@@ -240,7 +240,7 @@
         self.loop.start(controller, started_at)
         self.drain.report()
         self.timers.call_at(now + EXPIRY_INTERVAL, self._expire)
-        if self.drain.drain_at is not None:
+        if self.drain.notified_at is not None:
             self.loop.feed(DrainStarted(max(0.0, self.drain.stop_at - now)))
         if self.on_started is not None:
             self.on_started()
@@ -269,9 +269,9 @@
             request_id, outcome, seconds, result, skipped_dependencies, cached_dependencies
         )
 
-    def run_awaits_call(self, request_id: bytes, notice: int, body: bytes) -> None:
+    def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
         """A run waits for a call with this body."""
-        self.runs.run_awaits_call(request_id, notice, body)
+        self.runs.call_requested(request_id, notice, body)
 
     def run_uncertain(self, request_id: bytes) -> None:
         """A link broke over a start that must not be repeated."""
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -197,7 +197,7 @@
                 ask = read_ask(path, headers, body, self.service)
                 ask.admitted_last = self.last
                 self.open = self.taking = True
-                number = self.service.arrive(ask, self.reply)
+                number = self.service.submit(ask, self.reply)
             except InvalidRequestError as error:
                 self.open = False
                 self.respond(400, str(error).encode())
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -49,5 +49,5 @@
             if klass in self.service.composed_classes:
                 lines.append(statsd(f"partial.{klass}", counts[klass, "partial"], "c"))
         lines.append(statsd("open_requests", self.service.lifecycle.open_request_count(), "g"))
-        lines += [statsd(name, value, "g") for more in self.service.figure_sources for name, value in more()]
+        lines += [statsd(name, value, "g") for more in self.service.metric_sources for name, value in more()]
         return "".join(lines) + "END\n"
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -27,7 +27,7 @@
 from saltcart.budget.judge import Judge, Limits
 from saltcart.budget.plan import Plans, check_classes, read_plans
 from saltcart.budget.run import ComposedRun, Ended, GiveUp, Mark, Order, Orders, Part, Send
-from saltcart.core.draining import STOP_MARGIN
+from saltcart.core.draining import STOP_MARGIN_SECONDS
 from saltcart.core.messages import FinalResponse, InboundRequest
 from saltcart.core.service import Service
 from saltcart.decision.outcome import Outcome
@@ -197,11 +197,11 @@
     def suspend(self, ident: bytes) -> None:
         self.do(self.desk.stop, self.events.now, ident)
 
-    def proceed(self, ident: bytes) -> None: ...
-    def supply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, ident: bytes) -> None: ...
+    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
+    def skip_call(self, ident: bytes, notice: int) -> None: ...
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         self.service.gauges_polled((0.0, 0.0))  # runs that wait leave the cores alone
         if self.presses:
             self.do(self.desk.press, self.events.now, self.service.loop.held_count())
@@ -269,7 +269,7 @@
 
     def _drain(self) -> None:
         self.service.start_drain(WITHIN)
-        self.runs.do(self.desk.hasten, self.events.now, self.events.now + WITHIN - STOP_MARGIN)
+        self.runs.do(self.desk.hasten, self.events.now, self.events.now + WITHIN - STOP_MARGIN_SECONDS)
 
     def _arrive(self, n: int, nth: int) -> None:
         now, spec = self.events.now, self.settings.classes[self.kinds[n]]
@@ -291,7 +291,7 @@
             self.tally.offered += spec.priority_weight
             if keyed and chance < REPEATED:
                 self.events.at(now + 0.2, self._arrive, n, 1)
-        number = self.service.arrive(ask, lambda answer: self._answered(n, nth, now, answer))
+        number = self.service.submit(ask, lambda answer: self._answered(n, nth, now, answer))
         if gone < self.day.leaving and not nth:
             self.events.at(now + 0.05 + chance * spec.latency_objective / 2, self._leave, n, number)
 
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -281,7 +281,7 @@
             body=b"%d" % request.number,
         )
         ident = request.ident
-        self.service.arrive(ask, lambda answer: self.fleet.answered(request, self, answer, ident))
+        self.service.submit(ask, lambda answer: self.fleet.answered(request, self, answer, ident))
 
     def _ran(self, power: int, service: Service, ident: bytes, took: float) -> None:
         if not self._free(power):
@@ -323,11 +323,11 @@
     def _stopped(self, ident: bytes) -> None:
         self.service.run_finished(ident, Outcome.CANCELLED, 0.0, b"")
 
-    def proceed(self, ident: bytes) -> None: ...
-    def supply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, ident: bytes) -> None: ...
+    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
+    def skip_call(self, ident: bytes, notice: int) -> None: ...
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         self.service.gauges_polled((min(1.0, self.node.busy / CORES), float(self.node.busy)))
 
 
--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -4,7 +4,7 @@
 
 import math
 
-from saltcart.core.rate import LN2, FadingRate
+from saltcart.core.rate import LN2, DecayingRate
 
 QUICK_HALF_LIFE = 6.0  # seconds, of the first of two rates that are reported
 STEADY_HALF_LIFE = 24.0  # seconds, of the second
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, half_life: float) -> None:
-        self.counted_rate = FadingRate(half_life)
+        self.counted_rate = DecayingRate(half_life)
         self.began_at: float | None = None
 
     def add(self, now: float) -> None:
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -74,18 +74,18 @@
         else:
             self.upstreams.suspend(ident)
 
-    def proceed(self, ident: bytes) -> None:
+    def resume(self, ident: bytes) -> None:
         """Nothing is ever paused."""
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
+    def supply_reply(self, ident: bytes, reply: bytes) -> None:
         """Nothing waits for a call of the module's."""
 
-    def skip(self, ident: bytes, notice: int) -> None:
+    def skip_call(self, ident: bytes, notice: int) -> None:
         """Nothing waits for a call of the module's."""
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         """A run that waits for its dependencies keeps its slot and leaves the cores to others."""
-        self.upstreams.poll()
+        self.upstreams.poll_gauges()
         if self.desk.runs:
             self._carry_out(self.desk.press(self._time(), self.held()))
 
@@ -128,9 +128,9 @@
                 self._send(order)
             case GiveUp():
                 if order.dependency in self.lines:
-                    self.lines[order.dependency].client.give_up(order.ident)
+                    self.lines[order.dependency].client.cancel_call(order.ident)
                 else:
-                    self.upstreams.give_up(order.ident)
+                    self.upstreams.cancel_call(order.ident)
             case Ended():
                 self.events.run_finished(
                     order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -97,11 +97,11 @@
     # ---- the port -----------------------------------------------------------------------------
 
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
-        self.give_up(ident)  # a second call for a request gives up the first
+        self.cancel_call(ident)  # a second call for a request gives up the first
         call = self.calls[ident] = Call(ident, wire.get(ident, limit, body), once)
         self._begin(call)
 
-    def give_up(self, ident: bytes) -> None:
+    def cancel_call(self, ident: bytes) -> None:
         """Nobody waits for this call any more; its reply may still come, so the connection ends with it."""
         call = self.calls.pop(ident, None)
         if call is not None:
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -122,7 +122,7 @@
             case wire.Polled(gauges):
                 self.events.gauges_polled(gauges)
             case wire.Blocked(ident, notice, body):
-                self.events.run_awaits_call(ident, notice, body)
+                self.events.call_requested(ident, notice, body)
             case wire.Finished(ident, end, took, result):
                 self.events.run_finished(ident, ENDS.get(end, Outcome.FAILED), took, result)
             case wire.Bound(loaded, age):
@@ -152,16 +152,16 @@
     def suspend(self, ident: bytes) -> None:
         self._send(self.session.suspend(ident))
 
-    def proceed(self, ident: bytes) -> None:
+    def resume(self, ident: bytes) -> None:
         self._send(self.session.proceed(ident))
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
+    def supply_reply(self, ident: bytes, reply: bytes) -> None:
         self._send(self.session.supply(ident, reply))
 
-    def skip(self, ident: bytes, notice: int) -> None:
+    def skip_call(self, ident: bytes, notice: int) -> None:
         self._send(self.session.skip(ident, notice))
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         if self.pulse.silence(asyncio.get_running_loop().time()) and self.connection is not None:
             self.log("pool-silent")
             self.pulse.silent = 0.0
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -77,7 +77,7 @@
         upstream.spawn(ident, what, account, body, True, within)
         return True
 
-    def give_up(self, ident: bytes) -> None:
+    def cancel_call(self, ident: bytes) -> None:
         """Nobody waits for this call any more, and nobody is told how it ends."""
         if (asked := self.asked.pop(ident, None)) is not None:
             asked[0].suspend(ident)
@@ -86,16 +86,16 @@
         if (upstream := self.where.get(ident)) is not None:
             upstream.suspend(ident)
 
-    def proceed(self, ident: bytes) -> None:
+    def resume(self, ident: bytes) -> None:
         """Nothing is ever paused."""
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
+    def supply_reply(self, ident: bytes, reply: bytes) -> None:
         """Nothing waits for a call."""
 
-    def skip(self, ident: bytes, notice: int) -> None:
+    def skip_call(self, ident: bytes, notice: int) -> None:
         """Nothing waits for a call."""
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         busy = len(self.where)
         self.events.gauges_polled((min(1.0, busy / self.slots), float(busy)))
 
--- a/saltcart/retry_storm/admission_rate.py
+++ b/saltcart/retry_storm/admission_rate.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from saltcart.core.rate import FadingRate
+from saltcart.core.rate import DecayingRate
 
 CALM_SHARE = 1.0  # of the capacity, admitted at least while there is no storm
 READ_SHARE = 0.2  # of the cores may go into reading: where it is cheap the module chooses among more
@@ -46,7 +46,7 @@
         self.tokens = MIN_TOKENS
         self.leftover_tokens = 1.0  # of those who come last
         self.filled_at = 0.0
-        self.other_rate = FadingRate(OTHERS_HALF_LIFE)  # admitted, of those who don't come last
+        self.other_rate = DecayingRate(OTHERS_HALF_LIFE)  # admitted, of those who don't come last
         self.fill_share = MIN_FILL_SHARE  # up to all of it, while nobody waits
         self.admitted_count = 0
         self.rejected_count = 0
--- a/saltcart/retry_storm/storm_detector.py
+++ b/saltcart/retry_storm/storm_detector.py
@@ -7,7 +7,7 @@
 
 import enum
 
-from saltcart.core.rate import LN2, FadingRate
+from saltcart.core.rate import LN2, DecayingRate
 
 HALF_LIFE = 0.5  # seconds: a cold server has no more time than this to find out
 SLOW_FACTOR = 4  # times the half-life, of the offers that tell the end: it must not be chance
@@ -38,11 +38,11 @@
     """
 
     def __init__(self) -> None:
-        self.offered_rate = FadingRate(HALF_LIFE)
-        self.read_rate = FadingRate(HALF_LIFE)
-        self.retry_rate = FadingRate(HALF_LIFE)
-        self.rejected_rate = FadingRate(HALF_LIFE)
-        self.slow_offered_rate = FadingRate(SLOW_FACTOR * HALF_LIFE)
+        self.offered_rate = DecayingRate(HALF_LIFE)
+        self.read_rate = DecayingRate(HALF_LIFE)
+        self.retry_rate = DecayingRate(HALF_LIFE)
+        self.rejected_rate = DecayingRate(HALF_LIFE)
+        self.slow_offered_rate = DecayingRate(SLOW_FACTOR * HALF_LIFE)
         self.state = StormState.CALM
         self.sign_at = 0.0
         self.storm_count = 0
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -75,7 +75,7 @@
         except TimeoutError:
             self.log("takeover-unanswered")
         if not self.has_handed_over:
-            self.service.distrust_keys()
+            self.service.mark_keys_uncertain()
         self.log("took-over", keys=len(self.service.keys))
 
     def _on_packet(self, packet: HandoverPacket, descriptor: int | None) -> None:
@@ -219,7 +219,7 @@
         """The new process is gone: serve the connections that it did not take."""
         self.link = None
         self.stop_passing()
-        self.service.lifecycle.attempts.take_back()
+        self.service.lifecycle.attempts.cancel_hand_over()
         for listener in self.fronts.values():
             listener.pass_on = None
             for connection in list(listener.connections):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -41,24 +41,24 @@
 class ServiceHarness:
     """A service with everything round it faked: ``said`` holds what it asked of its ports, in order."""
 
-    def __init__(self, settings: Settings = SETTINGS, up: bool = True, **more: Any) -> None:
+    def __init__(self, settings: Settings = SETTINGS, pool_up: bool = True, **options: Any) -> None:
         self.now, self.port_calls = 1_000.0, list[tuple[Any, ...]]()
-        self.logged: list[str] = []
+        self.logged_events: list[str] = []
         self.responses: dict[bytes, list[FinalResponse]] = {}
         self.service = Service(
             settings,
             ("cpu_busy", None, "runnable"),
             1,
             lambda: self.now,
-            lambda event, **_: self.logged.append(event),
-            **more,
+            lambda event, **_: self.logged_events.append(event),
+            **options,
         )
         self.service.ports.workers, self.service.ports.dependency_calls, self.service.ports.registration = (
             self,
             self,
             self,
         )
-        if up:
+        if pool_up:
             self.service.pool_started(False, 100.0)
 
     # the ports
@@ -70,28 +70,28 @@
     def suspend(self, ident: bytes) -> None:
         self.port_calls.append(("suspend", ident))
 
-    def proceed(self, ident: bytes) -> None:
-        self.port_calls.append(("proceed", ident))
+    def resume(self, ident: bytes) -> None:
+        self.port_calls.append(("resume", ident))
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
-        self.port_calls.append(("supply", ident, reply))
+    def supply_reply(self, ident: bytes, reply: bytes) -> None:
+        self.port_calls.append(("supply_reply", ident, reply))
 
-    def skip(self, ident: bytes, notice: int) -> None:
-        self.port_calls.append(("skip", ident, notice))
+    def skip_call(self, ident: bytes, notice: int) -> None:
+        self.port_calls.append(("skip_call", ident, notice))
 
-    def poll(self) -> None: ...
+    def poll_gauges(self) -> None: ...
 
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
         self.port_calls.append(("call", ident, body))
 
-    def give_up(self, ident: bytes) -> None:
-        self.port_calls.append(("give up", ident))
+    def cancel_call(self, ident: bytes) -> None:
+        self.port_calls.append(("cancel_call", ident))
 
     def set_accepting(self, on: bool) -> None:
         self.port_calls.append(("accepting", on))
 
     # the driver
-    def arrive(self, number: int, class_name: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
+    def submit(self, number: int, class_name: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
         ident = b"%016x" % number
         once = class_name == "oddaja"  # all tries of one request carry the same body
         ask = InboundRequest(
@@ -105,9 +105,11 @@
             idempotency_key=key if once else None,
             body=b"body of %b" % key if once and key else b"body-%d" % number,
         )
-        return self.service.arrive(replace(ask, **more), self.responses.setdefault(ident, []).append)
+        return self.service.submit(replace(ask, **more), self.responses.setdefault(ident, []).append)
 
-    def end(self, number: int, outcome: Outcome = Outcome.SUCCEEDED, result: bytes = b"result") -> None:
+    def finish_run(
+        self, number: int, outcome: Outcome = Outcome.SUCCEEDED, result: bytes = b"result"
+    ) -> None:
         self.service.run_finished(b"%016x" % number, outcome, 0.1, result)
 
     def run_until(self, then: float) -> None:
@@ -116,7 +118,7 @@
             self.service.tick()
         self.now = then
 
-    def spawned(self) -> list[bytes]:
+    def spawned_ids(self) -> list[bytes]:
         return [s[1] for s in self.port_calls if s[0] == "spawn"]
 
     def statuses(self, number: int) -> list[str]:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -90,12 +90,12 @@
     )
     assert w.service.controller is not None and w.service.controller.sweep_interval > 2.0
     for n in range(1, 20):
-        w.arrive(n, "read", budget_seconds=90.0)
-    before = len(w.spawned())
-    polled = w.service.ports.workers.poll = lambda: w.service.gauges_polled((0.1, 5, 1))  # type: ignore[method-assign]
+        w.submit(n, "read", budget_seconds=90.0)
+    before = len(w.spawned_ids())
+    polled = w.service.ports.workers.poll_gauges = lambda: w.service.gauges_polled((0.1, 5, 1))  # type: ignore[method-assign]
     polled()
     w.run_until(w.now + 12.0)  # inside the first period: what grows does so for the cores' sake
-    assert len(w.spawned()) > before + 1
+    assert len(w.spawned_ids()) > before + 1
 
 
 CUSTOMERS: dict[str, dict[str, Any]] = {
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -112,29 +112,29 @@
 def test_a_fault_in_sweeping_the_keys_leaves_no_full_table() -> None:
     w = ServiceHarness(max_key_bytes=8000)
     w.service.keys.expire = failing(w.service.keys.expire, 2)  # type: ignore[method-assign]
-    w.arrive(1)
-    w.end(1)
+    w.submit(1)
+    w.finish_run(1)
     for _ in range(2):
         with pytest.raises(RuntimeError):  # the driver logs it and goes on
             w.run_until(w.now + 20.0)
     w.run_until(w.now + 20.0)
-    w.arrive(2, key=b"other")
-    assert w.spawned() == [ident(1), ident(2)]
+    w.submit(2, key=b"other")
+    assert w.spawned_ids() == [ident(1), ident(2)]
 
 
 def test_a_fault_in_one_action_costs_no_other() -> None:
     w = ServiceHarness()
     w.service.ports.workers.spawn = failing(w.spawn)  # type: ignore[method-assign]
-    w.arrive(1, "read")
-    assert "action-fault" in w.logged and w.spawned() == []
-    w.arrive(2, "read")
-    w.end(2)
+    w.submit(1, "read")
+    assert "action-fault" in w.logged_events and w.spawned_ids() == []
+    w.submit(2, "read")
+    w.finish_run(2)
     assert (w.statuses(1), w.statuses(2)) == (["failed"], ["served"])
     assert w.service.load().running == 0  # its slot is free again
     w.run_until(w.now + 3.1)
-    w.arrive(3, "read")
+    w.submit(3, "read")
     w.run_until(w.now + 0.5)
-    assert w.spawned() == [ident(2), ident(3)]
+    assert w.spawned_ids() == [ident(2), ident(3)]
 
 
 # ---- the clock --------------------------------------------------------------------------------
@@ -292,15 +292,15 @@
 
 def test_who_joined_a_run_is_served_by_it_though_its_key_has_aged_out_meanwhile() -> None:
     w = short(0.3)
-    w.arrive(1)
+    w.submit(1)
     w.run_until(w.now + 0.2)
-    w.arrive(2)
+    w.submit(2)
     w.run_until(w.now + 0.8)
-    w.arrive(3)  # past the window: a run of its own
-    assert w.spawned() == [ident(1), ident(3)]
-    w.end(1, result=b"first")
+    w.submit(3)  # past the window: a run of its own
+    assert w.spawned_ids() == [ident(1), ident(3)]
+    w.finish_run(1, result=b"first")
     assert w.statuses(2) == ["served"] and w.responses[ident(2)][0].body == b"first"
-    w.end(3, result=b"second")
+    w.finish_run(3, result=b"second")
     assert w.responses[ident(3)][0].body == b"second"
     w.run_until(w.now + 20.0)
     assert not w.service.keys.records and not w.service.keys.used_bytes and not w.service.requests
@@ -310,54 +310,54 @@
 def test_a_try_read_late_is_of_the_run_in_its_window_though_a_newer_one_came_between(freed: str) -> None:
     w = short(1.0)
     reached = w.now + 0.9
-    w.arrive(1)
-    w.end(1)
+    w.submit(1)
+    w.finish_run(1)
     w.run_until(w.now + 1.5)
     for n in range(10, 26):
-        w.arrive(n, "read")  # every slot is taken
-    newer = w.arrive(3)
+        w.submit(n, "read")  # every slot is taken
+    newer = w.submit(3)
     if freed == "its caller goes":
-        assert ident(3) not in w.spawned()
+        assert ident(3) not in w.spawned_ids()
         w.service.abandon(newer)
     else:
         for n in range(10, 26):
-            w.end(n)
-        assert ident(3) in w.spawned()
-        w.end(3, Outcome.NOT_STARTED)
-    w.arrive(2, received_at=reached)  # it came inside the first one's window
-    assert ident(2) not in w.spawned() and w.responses[ident(2)][0].body == b"result"
+            w.finish_run(n)
+        assert ident(3) in w.spawned_ids()
+        w.finish_run(3, Outcome.NOT_STARTED)
+    w.submit(2, received_at=reached)  # it came inside the first one's window
+    assert ident(2) not in w.spawned_ids() and w.responses[ident(2)][0].body == b"result"
 
 
 def test_keys_are_bounded_by_what_they_take_and_not_by_their_number() -> None:
     """All keyed, a long window: small results must not fill a table that is made for large ones."""
     w = ServiceHarness(max_key_bytes=20 * 6000)
     for n in range(1, 61):
-        w.arrive(n, key=b"%d" % n)
-        w.end(n)
-    assert len(w.spawned()) == 60
+        w.submit(n, key=b"%d" % n)
+        w.finish_run(n)
+    assert len(w.spawned_ids()) == 60
     for n in range(101, 141):
-        w.arrive(n, key=b"%d" % n)
-        w.end(n, result=b"x" * 4096)
-    assert 4 < len(w.spawned()) - 60 < 20 and w.service.keys.used_bytes <= 20 * 6000
+        w.submit(n, key=b"%d" % n)
+        w.finish_run(n, result=b"x" * 4096)
+    assert 4 < len(w.spawned_ids()) - 60 < 20 and w.service.keys.used_bytes <= 20 * 6000
     again = ServiceHarness(max_key_bytes=20 * 6000)
     for n in range(1, 5000):  # nor by further tries of one key
-        again.arrive(n)
+        again.submit(n)
         if n == 1:
-            again.end(1)
+            again.finish_run(1)
     assert again.service.keys.used_bytes < 8000 and again.statuses(4999) == ["served"]
 
 
 def test_keys_that_were_never_told_may_have_run() -> None:
     w = ServiceHarness()
-    w.service.distrust_keys()
-    w.arrive(1)
-    w.arrive(2, "read")
+    w.service.mark_keys_uncertain()
+    w.submit(1)
+    w.submit(2, "read")
     assert w.statuses(1) == ["failed"]  # no promise that it never ran
     w.run_until(w.now + 6.0 + 0.08)  # a try that came up to then may be of a run before the takeover
-    w.arrive(3)
+    w.submit(3)
     w.run_until(w.now + 0.1)
-    w.arrive(4)
-    assert w.statuses(3) == ["failed"] and w.spawned() == [ident(2), ident(4)]
+    w.submit(4)
+    assert w.statuses(3) == ["failed"] and w.spawned_ids() == [ident(2), ident(4)]
 
 
 @pytest.mark.parametrize("how", ["says nothing", "dies at once", "dies when it is asked", "tells late"])
@@ -424,11 +424,11 @@
     w = ServiceHarness(
         replace(CORE, drain_grace=5.0, classes=tuple(replace(c, latency_objective=0.3) for c in CORE.classes))
     )
-    w.arrive(1, klass)
+    w.submit(1, klass)
     w.service.start_drain(2.0)
     w.run_until(w.now + 2.0 - before_stop)
-    w.arrive(2, klass, key=b"other")
-    assert w.statuses(1) == ["failed"] and w.statuses(2) == ["refused"] and len(w.spawned()) == 1
+    w.submit(2, klass, key=b"other")
+    assert w.statuses(1) == ["failed"] and w.statuses(2) == ["refused"] and len(w.spawned_ids()) == 1
 
 
 @pytest.mark.parametrize(("late", "runs"), [(-0.001, True), (0.0, True), (0.001, False)])
@@ -439,29 +439,29 @@
     w.service.start_drain(3.0)
     w.service.controller.drain.accept_until = float("inf")
     w.run_until(w.now + 1.0)
-    w.arrive(1, "read", received_at=w.now + late)
-    assert (w.spawned() == [ident(1)]) is runs
+    w.submit(1, "read", received_at=w.now + late)
+    assert (w.spawned_ids() == [ident(1)]) is runs
     w.run_until(w.now + 3.0)
     assert len(w.statuses(1)) == 1
 
 
 @pytest.mark.parametrize("notice", ["before the pool is up", "twice", "before and again"])
 def test_a_notice_at_an_odd_moment_is_one_drain(notice: str) -> None:
-    w = ServiceHarness(up=notice == "twice")
+    w = ServiceHarness(pool_up=notice == "twice")
     w.service.start_drain(3.0)
     if notice != "before the pool is up":
         w.run_until(w.now + 0.5)
         w.service.start_drain(3.0)
     if notice != "twice":
-        w.arrive(1, "read")
+        w.submit(1, "read")
         assert w.statuses(1) == ["refused"]  # no pool yet
         w.run_until(w.now + 1.2)
         w.service.pool_started(True, 0.0)
-    assert w.logged.count("drain") == 1 and not w.service.is_healthy
+    assert w.logged_events.count("drain") == 1 and not w.service.is_healthy
     w.run_until(1_000.0 + 1.5)
-    w.arrive(2, "read")  # past the grace of the first notice
+    w.submit(2, "read")  # past the grace of the first notice
     w.run_until(1_000.0 + 3.0)
-    assert ident(2) not in w.spawned() and len(w.statuses(2)) == 1
+    assert ident(2) not in w.spawned_ids() and len(w.statuses(2)) == 1
 
 
 # ---- connections ------------------------------------------------------------------------------
@@ -624,12 +624,12 @@
 def test_a_run_whose_end_is_never_told_gives_all_back(klass: str) -> None:
     """As when more notices were missed than the pool keeps."""
     w = ServiceHarness()
-    w.arrive(1, klass)
-    assert w.spawned() == [ident(1)] and w.service.controller is not None
+    w.submit(1, klass)
+    assert w.spawned_ids() == [ident(1)] and w.service.controller is not None
     w.run_until(w.now + 4.2)
     assert w.statuses(1) == ["failed"] and w.service.load().running == 1  # it may still be on the cores
     w.run_until(w.now + 20.0)
-    assert "written-off" in w.logged and not w.service.requests and not w.service.requests_by_id
+    assert "written-off" in w.logged_events and not w.service.requests and not w.service.requests_by_id
     table = w.service.controller.table
     assert not any(table.counts) and table.memory_kb == pytest.approx(0)
 
@@ -637,15 +637,15 @@
 def test_a_machine_that_stood_still_over_several_deadlines_answers_each_once_and_runs_nothing_dead() -> None:
     w = ServiceHarness()
     for n in range(1, 41):
-        w.arrive(n, "read" if n % 2 else "oddaja", key=b"%d" % n)
-    ran = len(w.spawned())
+        w.submit(n, "read" if n % 2 else "oddaja", key=b"%d" % n)
+    ran = len(w.spawned_ids())
     assert 2 <= ran < 40
     w.now += 30.0  # no timer rang meanwhile
     w.service.tick()
-    w.end(1)  # its end was told meanwhile
+    w.finish_run(1)  # its end was told meanwhile
     w.run_until(w.now + 1.0)
-    assert all(len(answers) == 1 for answers in w.responses.values()) and len(w.spawned()) == ran
-    w.arrive(50, "read")
+    assert all(len(answers) == 1 for answers in w.responses.values()) and len(w.spawned_ids()) == ran
+    w.submit(50, "read")
     assert w.statuses(50) in ([], ["refused"])
     w.run_until(w.now + 20.0)
     assert not w.service.requests and len(w.statuses(50)) == 1
@@ -655,13 +655,17 @@
 @pytest.mark.parametrize("first", ["end", "abandon", "due"])
 def test_an_end_a_gone_caller_and_the_due_time_in_one_moment_are_one_ending(klass: str, first: str) -> None:
     w = ServiceHarness()
-    number = w.arrive(1, klass)
+    number = w.submit(1, klass)
     w.now += 3.0 + CORE.answer_slack / 2  # due, with its guard, though no timer has rung
-    act = {"end": lambda: w.end(1), "abandon": lambda: w.service.abandon(number), "due": w.service.tick}
+    act = {
+        "end": lambda: w.finish_run(1),
+        "abandon": lambda: w.service.abandon(number),
+        "due": w.service.tick,
+    }
     act[first]()
     for other in act:
         act[other]()
     assert len(w.statuses(1)) == (0 if first == "abandon" else 1)
-    w.end(1)
+    w.finish_run(1)
     w.run_until(w.now + 20.0)
-    assert not w.service.requests and not w.service.keys.used_bytes and len(w.spawned()) == 1
+    assert not w.service.requests and not w.service.keys.used_bytes and len(w.spawned_ids()) == 1
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -40,11 +40,11 @@
             self.service.clock.now, self.service.run_finished, ident, Outcome.CANCELLED, 0.0, b""
         )
 
-    def proceed(self, ident: bytes) -> None: ...
-    def supply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, ident: bytes) -> None: ...
+    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
+    def skip_call(self, ident: bytes, notice: int) -> None: ...
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         self.service.gauges_polled((1.0, 2.0))
 
 
@@ -60,13 +60,13 @@
     app.runs = Work(app)
     await app.start()
     taken = list[bytes]()
-    arrive = app.service.arrive
+    arrive = app.service.submit
 
     def counted(inbound: InboundRequest, respond: ResponseCallback) -> int:
         taken.append(inbound.request_id)
         return arrive(inbound, respond)
 
-    app.service.arrive = counted  # type: ignore[method-assign]
+    app.service.submit = counted  # type: ignore[method-assign]
     asked = list[tuple[str, str, asyncio.Task[int]]]()
 
     async def ask(client: HttpClient, number: int, klass: str) -> int:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -41,7 +41,7 @@
                 while clock() < came[-1] + 0.5:  # the turn goes on
                     pass
             await heard.wait()
-            drain_at, stop_at = app.service.drain.drain_at, app.service.drain.stop_at
+            drain_at, stop_at = app.service.drain.notified_at, app.service.drain.stop_at
             assert drain_at is not None and drain_at < came[1]
             assert stop_at - drain_at == pytest.approx(app.conf.stop_after, abs=0.1)
 
@@ -192,7 +192,7 @@
         client.call(b"a", 1.0, b"", False)
         client.call(b"b", 1.0, b"", False)
         await until(lambda: begun == [b"a"])
-        client.give_up(b"a")
+        client.cancel_call(b"a")
         await until(lambda: begun == [b"a", b"b"])
         client.close()
         await until(lambda: not client.tasks)
@@ -208,34 +208,34 @@
     end: Outcome | None, told: str, closed: str
 ) -> None:
     w = ServiceHarness()
-    w.arrive(1)
-    assert w.spawned() == [ident(1)]
+    w.submit(1)
+    assert w.spawned_ids() == [ident(1)]
     if end is not None:
-        w.end(1, end)
+        w.finish_run(1, end)
     if closed == "handed over":
         w.service.lifecycle.attempts.hand_over(lambda entry, gone: None)
     else:
         w.service.start_drain(2.0)
         w.run_until(w.now + 1.95)
-    w.arrive(2)
-    w.arrive(3, key=b"new")
+    w.submit(2)
+    w.submit(3, key=b"new")
     assert w.statuses(2) == [told] and w.statuses(3) == ["refused"]
     assert told == "failed" or w.responses[ident(2)][0].body == b"result"
 
 
 def test_a_sender_whose_clock_is_ahead_puts_no_try_past_its_window() -> None:
     w = short(1.0)
-    w.arrive(1)
-    w.end(1)
+    w.submit(1)
+    w.finish_run(1)
     w.run_until(w.now + 0.5)
-    w.arrive(2, received_at=w.now + 4.0)
-    assert w.spawned() == [ident(1)] and w.responses[ident(2)][0].body == b"result"
+    w.submit(2, received_at=w.now + 4.0)
+    assert w.spawned_ids() == [ident(1)] and w.responses[ident(2)][0].body == b"result"
     ahead = short(1.0)
-    ahead.arrive(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
-    ahead.end(1)
+    ahead.submit(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
+    ahead.finish_run(1)
     ahead.run_until(ahead.now + 4.5)
-    ahead.arrive(2)
-    assert ahead.spawned() == [ident(1)]
+    ahead.submit(2)
+    assert ahead.spawned_ids() == [ident(1)]
 
 
 @pytest.mark.parametrize("sockets", [64, 100, 128, 256, 512, 1024])
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -44,10 +44,10 @@
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
         assert ident in self.waiting and limit > 0, "a call that no run waits for"
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
+    def supply_reply(self, ident: bytes, reply: bytes) -> None:
         self.waiting.remove(ident)
 
-    def skip(self, ident: bytes, notice: int) -> None:
+    def skip_call(self, ident: bytes, notice: int) -> None:
         assert ident not in self.key, "a call left out that must not be"
         self.waiting.remove(ident)
 
@@ -70,7 +70,7 @@
             keyed = rng.random() < 0.5
             if keyed:
                 self.key[ident] = b"%d" % rng.randrange(6)
-            self.arrive(
+            self.submit(
                 self.number,
                 "oddaja" if keyed else "read",
                 self.key.get(ident),
@@ -89,7 +89,7 @@
             ident = rng.choice(sorted(self.under_way - self.waiting))
             self.waiting.add(ident)
             self.called.add(ident)
-            self.service.run_awaits_call(ident, self.number, b"question")
+            self.service.call_requested(ident, self.number, b"question")
         elif self.under_way:
             ident = rng.choice(sorted(self.under_way))
             self.under_way.discard(ident)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -53,11 +53,11 @@
 
 def test_unmarked_repeats_of_a_write_join_its_run_and_it_runs_once() -> None:
     w, _ = world()
-    w.arrive(1)
-    w.arrive(2)  # during the run: another id, the same key and body
-    w.end(1)
-    w.arrive(3)  # after its answer was lost on the way
-    assert w.spawned() == [b"%016x" % 1]
+    w.submit(1)
+    w.submit(2)  # during the run: another id, the same key and body
+    w.finish_run(1)
+    w.submit(3)  # after its answer was lost on the way
+    assert w.spawned_ids() == [b"%016x" % 1]
     assert [w.statuses(n) for n in (1, 2, 3)] == [["served"]] * 3
 
 
@@ -65,9 +65,9 @@
     from saltcart.core.messages import InvalidRequestError
 
     w, _ = world()
-    w.arrive(1)
+    w.submit(1)
     with pytest.raises(InvalidRequestError, match="another body"):
-        w.arrive(2, body=b"other")
+        w.submit(2, body=b"other")
 
 
 def test_who_is_refused_is_told_a_moment_at_once() -> None:
@@ -75,7 +75,7 @@
     w.service.start_drain(4.0)  # nothing new runs: it is refused
     w.run_until(w.now + 2.0)
     before = w.now
-    w.arrive(1, "read")
+    w.submit(1, "read")
     (answer,) = w.responses[b"%016x" % 1]
     assert answer.status.value == "refused" and w.now == before  # given up and answered in one moment
     assert answer.retry_after_seconds >= 0.2 and answer.back_off_seconds <= 0.5
@@ -91,7 +91,7 @@
         w.service.start_drain(4.0)
         w.run_until(w.now + 2.0)
         for n in range(1, 40):  # the same work again and again, as in a storm
-            w.arrive(n, "read")
+            w.submit(n, "read")
         told += [(a.back_off_seconds, a.is_final) for n in range(1, 40) for a in w.responses[b"%016x" % n]]
         moments = [a.retry_after_seconds for n in range(1, 40) for a in w.responses[b"%016x" % n]]
         assert all(m > 0 for m in moments) if watched else not any(moments)
@@ -100,8 +100,8 @@
 
 def test_a_failed_write_says_when_its_key_is_free() -> None:
     w, _ = world()
-    w.arrive(1)
-    w.end(1, Outcome.FAILED)
+    w.submit(1)
+    w.finish_run(1, Outcome.FAILED)
     (answer,) = w.responses[b"%016x" % 1]
     assert answer.status.value == "failed" and answer.retry_after_seconds == pytest.approx(6.0, abs=0.2)
 
@@ -109,20 +109,20 @@
 def test_in_a_storm_a_held_read_makes_way_for_the_same_work_come_anew() -> None:
     w, damper = world(cores=1)
     storm_on(damper)
-    w.arrive(1, "read", body=b"a")
-    w.arrive(2, "read", body=b"b")
-    held = 2 if b"%016x" % 2 not in w.spawned() else 0
+    w.submit(1, "read", body=b"a")
+    w.submit(2, "read", body=b"b")
+    held = 2 if b"%016x" % 2 not in w.spawned_ids() else 0
     assert held  # the second waits for the one core
-    w.arrive(3, "read", body=b"b")
+    w.submit(3, "read", body=b"b")
     assert w.statuses(2) == ["refused"] and w.statuses(3) == []
-    w.end(1)
-    assert w.spawned()[-1] == b"%016x" % 3
+    w.finish_run(1)
+    assert w.spawned_ids()[-1] == b"%016x" % 3
 
 
 def test_in_calm_times_the_same_work_twice_is_two_requests() -> None:
     w, _ = world(cores=1)
     for n in (1, 2, 3):
-        w.arrive(n, "read", body=b"same")
+        w.submit(n, "read", body=b"same")
     assert w.statuses(2) == [] and w.statuses(3) == []
 
 
@@ -140,9 +140,9 @@
     w.service.controller.handle = listen  # type: ignore[method-assign]
     mark = damper.record_arrival(w.now, "a", "read", None, None, b"same").fingerprint
     back = damper.record_rejection(w.now, mark)
-    w.arrive(1, "read", body=b"same", priority_rank=0.3)  # before its moment
+    w.submit(1, "read", body=b"same", priority_rank=0.3)  # before its moment
     w.now += back.retry_after + 0.05
-    w.arrive(2, "read", body=b"same", priority_rank=0.3)
+    w.submit(2, "read", body=b"same", priority_rank=0.3)
     early, kept = heard
     assert (early.priority_rank, early.has_reservation) == (0.0, False)
     assert (
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -89,9 +89,9 @@
     def tell(entry: KeyRecord, gone: bool) -> None:
         new.service.adopt_key(wire.read_key(wire.decode(wire.encode(wire.key_packet(entry, gone)))), gone)
 
-    old.arrive(1)  # runs
-    old.arrive(2, key=b"done")
-    old.end(2, result=b"before")
+    old.submit(1)  # runs
+    old.submit(2, key=b"done")
+    old.finish_run(2, result=b"before")
     for entry in old.service.lifecycle.attempts.hand_over(tell):
         tell(entry, False)
     return old, new
@@ -99,30 +99,30 @@
 
 def test_tries_of_a_key_that_the_old_process_ran_share_its_result() -> None:
     old, new = two()
-    new.arrive(11)
-    new.arrive(12, key=b"done")
+    new.submit(11)
+    new.submit(12, key=b"done")
     assert new.statuses(12) == ["served"] and new.responses[ident(12)][0].body == b"before"
-    assert new.statuses(11) == [] and new.spawned() == []
-    old.end(1, result=b"after")
+    assert new.statuses(11) == [] and new.spawned_ids() == []
+    old.finish_run(1, result=b"after")
     assert new.statuses(11) == ["served"] and new.responses[ident(11)][0].body == b"after"
-    new.arrive(13)
-    assert new.statuses(13) == ["served"] and new.spawned() == []
-    old.arrive(3, key=b"else")  # it takes nothing more: never run, so refused
-    assert old.statuses(3) == ["refused"] and len(old.spawned()) == 2
+    new.submit(13)
+    assert new.statuses(13) == ["served"] and new.spawned_ids() == []
+    old.submit(3, key=b"else")  # it takes nothing more: never run, so refused
+    assert old.statuses(3) == ["refused"] and len(old.spawned_ids()) == 2
 
 
 @pytest.mark.parametrize("how", ["fails", "never ran", "dies"])
 def test_a_run_of_the_old_process_that_ends_badly_is_not_run_again(how: str) -> None:
     old, new = two()
-    new.arrive(11)
+    new.submit(11)
     if how == "dies":
         new.service.predecessor_lost()
     else:
-        old.end(1, Outcome.NOT_STARTED if how == "never ran" else Outcome.FAILED)
+        old.finish_run(1, Outcome.NOT_STARTED if how == "never ran" else Outcome.FAILED)
     assert new.statuses(11) == ["failed"]
-    new.arrive(12)
+    new.submit(12)
     # Only proof that nothing ran makes a key as free as before.
-    assert new.spawned() == ([ident(12)] if how == "never ran" else [])
+    assert new.spawned_ids() == ([ident(12)] if how == "never ran" else [])
     assert new.statuses(12) == ([] if how == "never ran" else ["failed"])
 
 
@@ -197,7 +197,7 @@
                 assert other.spawned == [ident(3), ident(4)] and len(pool.spawned) == 2
                 done = asyncio.Event()
                 old.leave(done.set)
-                assert not done.is_set() and not new.service.drain.drain_at
+                assert not done.is_set() and not new.service.drain.notified_at
                 pool.finish(ident(1))
                 assert (await busy.answer()).body == b"done x"
                 await asyncio.wait_for(done.wait(), 20)
@@ -240,7 +240,7 @@
                 async with running(None, platform, pool=other.address):
                     assert (await (await HttpClient(address).open()).ask(n)).status == 200
                     assert other.spawned[-1] == ident(n)
-                await until(lambda: old.service.lifecycle.attempts.successor is None)
+                await until(lambda: old.service.lifecycle.attempts.notify_successor is None)
                 assert (await (await HttpClient(address).open()).ask(n + 1)).status == 200
                 assert pool.spawned[-1] == ident(n + 1)
 
@@ -260,10 +260,10 @@
             busy = await HttpClient(address).open()
             async with running(None, platform, pool=other.address):
                 pool.auto = False
-                await until(lambda: old.service.lifecycle.attempts.successor is not None)
+                await until(lambda: old.service.lifecycle.attempts.notify_successor is not None)
                 old.leave(done.set)
-            await until(lambda: old.service.lifecycle.attempts.successor is None)
-            assert old.service.drain.drain_at is not None and not done.is_set()
+            await until(lambda: old.service.lifecycle.attempts.notify_successor is None)
+            assert old.service.drain.notified_at is not None and not done.is_set()
             pool.auto = True
             late = await HttpClient(address).open()
             assert (await late.ask(2)).status == 200 and pool.spawned == [ident(2)]
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -278,7 +278,7 @@
             await until(lambda: b"d" in links)
             assert ended[1:] == [(b"b", "REJECTED")]
             assert links[b"d"] is not links[b"b"]  # what must run once takes no connection that was idle
-            client.give_up(b"c")
+            client.cancel_call(b"c")
             client.move("127.0.0.1:1")
             links[b"d"].write(b"d HIT 1\r\n!\r\n")  # a call under way ends where it was made
             await until(lambda: ended[2:] == [(b"d", "SUCCEEDED")] and not client.connections)
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -111,8 +111,8 @@
     recorded.expires_at = world.now + 5.0
     recorded.body_digest = digest(b"body of k")
     world.service.adopt_key(recorded, False)
-    world.arrive(2)
-    assert world.statuses(2) == ["served"] and world.spawned() == []
+    world.submit(2)
+    assert world.statuses(2) == ["served"] and world.spawned_ids() == []
     assert world.responses[ident(2)][0].body == KEY.result
 
 
