--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -163,7 +163,7 @@
 
     def _receive(self, number: int, packet: Datagram) -> None:
         if self.up[number]:
-            self.members[number].received(self.events.now, packet)
+            self.members[number].receive(self.events.now, packet)
             self._flush(number)
 
     def crash(self, number: int) -> None:
--- a/saltcart/lab/views.py
+++ b/saltcart/lab/views.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from saltcart.membership.dissemination import NewsQueue, retransmit_limit
+from saltcart.membership.dissemination import UpdateQueue, retransmit_limit
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.view import MembershipSnapshot, MembershipView, ProbeRotation
 
@@ -33,9 +33,9 @@
     def take(self, room: int, most: int) -> list[MemberRecord]:
         out = list[MemberRecord]()
         for name, (times, record) in sorted(self.told.items(), key=lambda item: item[1][0]):
-            if record.max_bytes() > room:
+            if record.max_encoded_bytes() > room:
                 break
-            room -= record.max_bytes()
+            room -= record.max_encoded_bytes()
             out.append(record)
             self.told[name] = times + 1, record
             if times + 1 >= most:
@@ -87,7 +87,7 @@
     plain, _ = held(lambda: [{r.name: r for r in records} for _ in range(VIEWS)])
     out["view, bytes each"] = ours / VIEWS, plain / VIEWS
 
-    def news(made: NewsQueue | SortedNews) -> Callable[[int], object]:
+    def news(made: UpdateQueue | SortedNews) -> Callable[[int], object]:
         for record in records[:500]:
             made.put(record)
         most = retransmit_limit(count)
@@ -98,7 +98,7 @@
 
         return step
 
-    out["news, ns a packet"] = timed(2_000, news(NewsQueue())), timed(2_000, news(SortedNews()))
+    out["news, ns a packet"] = timed(2_000, news(UpdateQueue())), timed(2_000, news(SortedNews()))
     turns = ProbeRotation(rng), Shuffled(rng)
     out["turn, ns each"] = (
         timed(5 * count, lambda n: turns[0].next(count)),
--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -11,7 +11,7 @@
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.messages import BucketDigests, BucketRecords, Gossip, ViewDigest
 from saltcart.membership.outbox import Outbox
-from saltcart.membership.view import BUCKETS
+from saltcart.membership.view import BUCKET_COUNT
 
 MAX_DELAYS = 3  # comparisons in a row that wait for news under way, which would only be sent twice
 MAX_SYNC_DATAGRAMS = 32  # that one comparison may send: the rest is for the next one
@@ -57,7 +57,7 @@
 
     def _waits_for_news(self) -> bool:
         """Whether news is under way, so that views differ anyhow; where there always is, it is no excuse."""
-        if len(self.context.news) and self.delays < MAX_DELAYS:
+        if len(self.context.updates) and self.delays < MAX_DELAYS:
             self.delays += 1
             return True
         self.delays = 0
@@ -94,14 +94,14 @@
     def on_bucket_digests(self, sender: MemberRecord, digests: list[int]) -> None:
         """Send the records of buckets that differ, and want the sender's in return."""
         own = self.context.view.digests
-        differing = [n for n in range(min(BUCKETS, len(digests))) if digests[n] != own[n]]
+        differing = [n for n in range(min(BUCKET_COUNT, len(digests))) if digests[n] != own[n]]
         if differing:
             self._send_records(sender.address, differing, want_back=True)
 
     def on_bucket_records(self, sender: MemberRecord, wanted: list[int]) -> None:
         """Send the records that the sender wants in return."""
         if wanted:
-            buckets = [n for n in wanted if 0 <= n < BUCKETS]
+            buckets = [n for n in wanted if 0 <= n < BUCKET_COUNT]
             self._send_records(sender.address, buckets, want_back=False)
 
     def _send_records(self, address: str, buckets: Iterable[int], *, want_back: bool) -> None:
@@ -112,10 +112,10 @@
         room = whole_room - BUCKET_NUMBER_BYTES * len(buckets)
         chunk = list[MemberRecord]()
         sent = 0
-        records = self.context.view.in_buckets(buckets)
+        records = self.context.view.records_in_buckets(buckets)
         self.context.rng.shuffle(records)  # what does not go this time goes another time
         for record in records:
-            if record.max_bytes() > room:
+            if record.max_encoded_bytes() > room:
                 self.outbox.send_exactly(address, first if sent == 0 else BucketRecords([]), chunk)
                 chunk = []
                 room = whole_room
@@ -123,6 +123,6 @@
                 if sent == MAX_SYNC_DATAGRAMS:
                     return
             chunk.append(record)
-            room -= record.max_bytes()
+            room -= record.max_encoded_bytes()
         if chunk or (want_back and sent == 0):
             self.outbox.send_exactly(address, first if sent == 0 else BucketRecords([]), chunk)
--- a/saltcart/membership/dissemination.py
+++ b/saltcart/membership/dissemination.py
@@ -26,7 +26,7 @@
     def name(self) -> str:
         """Under which a later one replaces it."""
 
-    def max_bytes(self) -> int:
+    def max_encoded_bytes(self) -> int:
         """Return how many bytes it takes on the wire, at most."""
 
 
@@ -59,7 +59,7 @@
             return taken
         for tier in self.tiers:
             for item in tier.values():
-                size = item.max_bytes()
+                size = item.max_encoded_bytes()
                 if size > room:
                     return self._count_sent(taken, limit)
                 room -= size
@@ -80,4 +80,4 @@
         return items
 
 
-NewsQueue = DisseminationQueue[MemberRecord]
+UpdateQueue = DisseminationQueue[MemberRecord]
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -51,17 +51,17 @@
         self.context = MemberContext(settings, own_record, rng, now, snapshot)
         self.outbox = Outbox(self.context)
         self.prober = Prober(self.context, self.outbox)
-        self.suspicions = SuspicionTracker(self.context, self.outbox, self.prober, self._merge)
-        self.prober.on_unreachable = self.suspicions.accuse
+        self.suspicion_tracker = SuspicionTracker(self.context, self.outbox, self.prober, self._merge)
+        self.prober.on_unreachable = self.suspicion_tracker.accuse
         self.anti_entropy = AntiEntropy(self.context, self.outbox)
         self.on_changed: Callable[[MembershipChange], None] = lambda change: None
         self.on_name_taken: Callable[[MemberRecord], None] = lambda record: None
         # Called with what another member sends to this one alone: its record, the topic and the data.
         self.on_direct_message: Callable[[MemberRecord, str, bytes], None] = lambda sender, topic, data: None
-        self.is_silent = False  # another process has this member's name
+        self.is_superseded = False  # another process has this member's name
         self.refuted_count = 0
-        self.foreign_packets = 0
-        self.packet_count = 0
+        self.foreign_datagram_count = 0
+        self.datagram_count = 0
         self.view.merge(own_record, now)
         self.prober.start()
         self.context.call_after(settings.gossip_every * rng.random(), self._gossip)
@@ -102,14 +102,14 @@
         """Return what is to be sent, once."""
         return self.outbox.take()
 
-    def received(self, now: float, datagram: messages.Datagram) -> None:
+    def receive(self, now: float, datagram: messages.Datagram) -> None:
         """Take a datagram."""
         self.context.now = now
-        self.packet_count += 1
-        if self.is_silent:
+        self.datagram_count += 1
+        if self.is_superseded:
             return
         if datagram.cluster != self.settings.cluster:
-            self.foreign_packets += 1
+            self.foreign_datagram_count += 1
             return
         sender = datagram.sender
         self._hear(sender)
@@ -119,20 +119,20 @@
         if known is not None and known.incarnation > sender.incarnation:  # an older process of that name
             self.outbox.send_exactly(sender.address, messages.Gossip(), [known])
         is_comparison = isinstance(datagram.message, messages.BucketRecords)
-        for record in datagram.news:
+        for record in datagram.updates:
             self._hear(self._softened(record, sender.name) if is_comparison else record)
         for value in datagram.registers:
             self.registers.merge(value, now)
-        if not self.is_silent:
+        if not self.is_superseded:
             self._act(sender, datagram.message)
 
     def leave(self, now: float) -> None:
         """Report that this member leaves; it answers probes until its process ends."""
         self.context.now = now
-        if self.context.is_leaving or self.is_silent:
+        if self.context.is_leaving or self.is_superseded:
             return
         self.context.is_leaving = True
-        self._merge(self.context.report_self(MemberState.LEFT))
+        self._merge(self.context.update_own_record(MemberState.LEFT))
         for _ in range(LEAVE_ROUNDS):
             self._gossip_once()
 
@@ -169,7 +169,7 @@
         if known is None and not record.is_present:
             return  # it is gone and was never known: nothing to remember
         if known is not None and self._is_further_accusation(record, known):
-            self.suspicions.confirm(record)
+            self.suspicion_tracker.confirm(record)
         self._merge(record)
 
     @staticmethod
@@ -182,7 +182,9 @@
         is_newer = record.incarnation > own.incarnation
         if record.address != own.address:
             if record.state == MemberState.ALIVE and is_newer:
-                self.is_silent = True  # a later process has this name: two would refute each other for ever
+                self.is_superseded = (
+                    True  # a later process has this name: two would refute each other for ever
+                )
                 self.context.timers.heap.clear()
                 self.on_name_taken(record)
             return
@@ -191,43 +193,43 @@
             state = MemberState.LEFT if self.context.is_leaving else MemberState.ALIVE
             self.refuted_count += 1
             self.context.health.adjust(+1)
-            self._merge(self.context.report_self(state, record.incarnation + 1))
+            self._merge(self.context.update_own_record(state, record.incarnation + 1))
 
     def _merge(self, record: MemberRecord) -> None:
         """Merge a report into the view; pass it on if it tells anything new."""
         change = self.view.merge(record, self.context.now)
         if change is None:
             return
-        self.context.news.put(record)
+        self.context.updates.put(record)
         if record.state == MemberState.SUSPECT:
-            self.suspicions.start(record)
+            self.suspicion_tracker.start(record)
         else:
-            self.suspicions.drop(record.name)
+            self.suspicion_tracker.drop(record.name)
         self.on_changed(change)
 
     def _act(self, sender: MemberRecord, message: messages.Message) -> None:
         match message:
-            case messages.Ping(seq):
-                self.prober.on_ping(sender, seq)
-            case messages.Ack(seq):
-                self.prober.on_ack(seq)
+            case messages.Ping(sequence):
+                self.prober.on_ping(sender, sequence)
+            case messages.Ack(sequence):
+                self.prober.on_ack(sequence)
             case messages.DirectMessage(topic, data):
                 self.on_direct_message(sender, topic, data)
             case messages.PingRequest():
                 self.prober.on_ping_request(sender, message)
-            case messages.Nack(seq):
-                self.prober.on_nack(seq)
-            case messages.ViewDigest(whole):
-                self.anti_entropy.on_view_digest(sender, whole)
+            case messages.Nack(sequence):
+                self.prober.on_nack(sequence)
+            case messages.ViewDigest(digest):
+                self.anti_entropy.on_view_digest(sender, digest)
             case messages.BucketDigests(digests):
                 self.anti_entropy.on_bucket_digests(sender, digests)
-            case messages.BucketRecords(wanted):
-                self.anti_entropy.on_bucket_records(sender, wanted)
+            case messages.BucketRecords(requested_buckets):
+                self.anti_entropy.on_bucket_records(sender, requested_buckets)
 
     # ---- gossip -------------------------------------------------------------------------------
 
     def _gossip(self) -> None:
-        if len(self.context.news) or len(self.registers.queue):
+        if len(self.context.updates) or len(self.registers.queue):
             self._gossip_once()
         self.context.call_after(self.context.jittered(self.settings.gossip_every), self._gossip)
 
@@ -248,9 +250,9 @@
             ("member.version", self.view.version),
             ("member.health", self.context.health.score),
             ("member.refuted", self.refuted_count),
-            ("member.accused", self.suspicions.accused_count),
-            ("member.packets", self.packet_count),
-            ("member.foreign", self.foreign_packets),
+            ("member.accused", self.suspicion_tracker.accused_count),
+            ("member.packets", self.datagram_count),
+            ("member.foreign", self.foreign_datagram_count),
         ]
 
     def state(self) -> dict[str, object]:
@@ -283,7 +285,7 @@
 def _shown_change(change: MembershipChange, now: float) -> dict[str, object]:
     return {
         "version": change.version,
-        "ago": round(now - change.at, 3),
+        "ago": round(now - change.changed_at, 3),
         "name": change.record.name,
         "state": MemberState(change.record.state).name.lower(),
         "incarnation": change.record.incarnation,
--- a/saltcart/membership/member_context.py
+++ b/saltcart/membership/member_context.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from saltcart.core.timers import Timers
-from saltcart.membership.dissemination import NewsQueue
+from saltcart.membership.dissemination import UpdateQueue
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.settings import MemberSettings
 from saltcart.membership.shared_registers import SharedRegisters
@@ -33,7 +33,7 @@
         self.rng = rng
         self.now = now
         self.view = MembershipView(snapshot)
-        self.news = NewsQueue()
+        self.updates = UpdateQueue()
         self.registers = SharedRegisters()
         self.health = LocalHealth()
         self.timers = Timers()
@@ -53,7 +53,7 @@
         """Make a call so many seconds from now."""
         self.timers.call_at(self.now + seconds, call, *args)
 
-    def report_self(self, state: MemberState, incarnation: int | None = None) -> MemberRecord:
+    def update_own_record(self, state: MemberState, incarnation: int | None = None) -> MemberRecord:
         """Change this member's own record and return it."""
         self.own_record = self.own_record.reported_as(state, self.own_record.name, incarnation)
         return self.own_record
--- a/saltcart/membership/member_record.py
+++ b/saltcart/membership/member_record.py
@@ -68,7 +68,7 @@
             reported_by,
         )
 
-    def max_bytes(self) -> int:
+    def max_encoded_bytes(self) -> int:
         """Return how many bytes it takes on the wire, at most."""
         texts = (self.name, self.address, self.zone, self.region, self.reported_by)
         return RECORD_OVERHEAD_BYTES + sum(map(len, texts))
--- a/saltcart/membership/messages.py
+++ b/saltcart/membership/messages.py
@@ -15,7 +15,7 @@
 from saltcart.schema import unpack
 from saltcart.wire.errors import MalformedMessageError
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 MAX_DATAGRAM_BYTES = 1200  # under what any network carries in one piece
 OVERHEAD_BYTES = 64  # of a datagram without its records, at most, beside a list of buckets
 MAX_NAME_LENGTH = 64
@@ -26,19 +26,19 @@
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
     """A probe; an ``Ack`` of the same number is wanted."""
 
-    seq: int
+    sequence: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
     """The answer to a probe, direct or through a helper."""
 
-    seq: int
+    sequence: int
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
     """Asks a helper to probe a member in the sender's place."""
 
-    seq: int
+    sequence: int
     name: str
     address: str
 
@@ -46,7 +46,7 @@
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
     """A helper's word that the member does not answer it either."""
 
-    seq: int
+    sequence: int
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag="tell"):
@@ -56,7 +56,7 @@
 class ViewDigest(msgspec.Struct, array_like=True, frozen=True, tag="digest"):
     """The digest of the sender's view; one who differs sends the digests of its buckets."""
 
-    whole: int
+    digest: int
 
 
 class BucketDigests(msgspec.Struct, array_like=True, frozen=True, tag="parts"):
@@ -66,9 +66,9 @@
 
 
 class BucketRecords(msgspec.Struct, array_like=True, frozen=True, tag="records"):
-    """The sender's records of some buckets go along as news; the receiver's of ``wanted`` are wanted back."""
+    """Carry the sender's records of some buckets as updates, and ask for the receiver's in return."""
 
-    wanted: Annotated[list[int], Meta(max_length=MAX_BUCKETS)]
+    requested_buckets: Annotated[list[int], Meta(max_length=MAX_BUCKETS)]
 
 
 class DirectMessage(msgspec.Struct, array_like=True, frozen=True, tag="give"):
@@ -90,7 +90,7 @@
     cluster: str
     sender: MemberRecord
     message: Message
-    news: list[MemberRecord] = []
+    updates: list[MemberRecord] = []
     registers: list[RegisterValue] = []
 
 
@@ -106,9 +106,9 @@
 def decode(data: bytes) -> Datagram:
     """Read a datagram; ``MalformedMessageError`` says what is wrong with it."""
     datagram = unpack(_decoder, data, "packet")
-    if datagram.version != VERSION:
+    if datagram.version != PROTOCOL_VERSION:
         raise MalformedMessageError(f"wire version {datagram.version}")
-    for record in (datagram.sender, *datagram.news):
+    for record in (datagram.sender, *datagram.updates):
         _check_record(record)
     for value in datagram.registers:
         _check_value(value)
--- a/saltcart/membership/outbox.py
+++ b/saltcart/membership/outbox.py
@@ -8,7 +8,7 @@
 from saltcart.membership.messages import (
     MAX_DATAGRAM_BYTES,
     OVERHEAD_BYTES,
-    VERSION,
+    PROTOCOL_VERSION,
     BucketDigests,
     BucketRecords,
     Datagram,
@@ -34,7 +34,7 @@
 
     def room(self) -> int:
         """Return how many bytes of records a datagram holds."""
-        return MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - self.context.own_record.max_bytes()
+        return MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - self.context.own_record.max_encoded_bytes()
 
     def send(self, address: str, name: str, message: Message, message_bytes: int = 0) -> None:
         """Send a message with as much news as fits; who is taken for a suspect or gone is told so by it.
@@ -47,14 +47,14 @@
         known = context.view.get(name) if name else None
         if known is not None and known.state != MemberState.ALIVE:
             news.append(known)
-            room -= known.max_bytes()
+            room -= known.max_encoded_bytes()
         values = list[RegisterValue]()
         if not isinstance(message, (BucketRecords, BucketDigests)):
             limit = retransmit_limit(context.view.present_count)
-            taken = [record for record in context.news.take(room, limit) if record is not known]
+            taken = [record for record in context.updates.take(room, limit) if record is not known]
             news += taken
             if len(context.registers.queue):
-                room -= sum(record.max_bytes() for record in taken)
+                room -= sum(record.max_encoded_bytes() for record in taken)
                 values = context.registers.queue.take(room, limit)
         self.send_exactly(address, message, news, values)
 
@@ -68,4 +68,6 @@
         """Send a message with just this news."""
         cluster = self.context.settings.cluster
         own_record = self.context.own_record
-        self.outgoing.append((address, Datagram(VERSION, cluster, own_record, message, news, values or [])))
+        self.outgoing.append(
+            (address, Datagram(PROTOCOL_VERSION, cluster, own_record, message, news, values or []))
+        )
--- a/saltcart/membership/probing.py
+++ b/saltcart/membership/probing.py
@@ -29,11 +29,11 @@
 class IndirectProbe:
     """A probe in another member's place."""
 
-    __slots__ = ("requester_address", "requester_seq")
+    __slots__ = ("requester_address", "requester_sequence")
 
-    def __init__(self, requester_address: str, requester_seq: int) -> None:
+    def __init__(self, requester_address: str, requester_sequence: int) -> None:
         self.requester_address = requester_address
-        self.requester_seq = requester_seq
+        self.requester_sequence = requester_sequence
 
 
 class Prober:
@@ -55,13 +55,13 @@
     def _probe_next(self) -> None:
         """Probe one member; a member that is in trouble itself takes longer intervals."""
         context = self.context
-        interval = context.jittered(context.health.stretched(context.settings.probe_every))
+        interval = context.jittered(context.health.scaled(context.settings.probe_every))
         context.call_after(interval, self._probe_next)
         if context.is_leaving:
             return
         size = len(context.view)
         for _ in range(min(size, MAX_LOOKS)):
-            target = context.view.at(self.rotation.next(size))
+            target = context.view.record_at(self.rotation.next(size))
             if target is not None and target.is_present and target.name != context.own_record.name:
                 self.probe(target)
                 return
@@ -69,37 +69,37 @@
     def probe(self, target: MemberRecord) -> None:
         """Probe a member now."""
         context = self.context
-        seq = context.next_sequence()
-        wait = context.health.stretched(context.settings.probe_wait)
-        self.probes[seq] = Probe(target.name, target.incarnation)
-        self.outbox.send(target.address, target.name, Ping(seq))
-        context.call_after(wait / 2, self._send_again, seq)
-        context.call_after(wait, self._request_indirect_probes, seq)
-
-    def _send_again(self, seq: int) -> None:
-        probe = self.probes[seq]
+        sequence = context.next_sequence()
+        wait = context.health.scaled(context.settings.probe_wait)
+        self.probes[sequence] = Probe(target.name, target.incarnation)
+        self.outbox.send(target.address, target.name, Ping(sequence))
+        context.call_after(wait / 2, self._send_again, sequence)
+        context.call_after(wait, self._request_indirect_probes, sequence)
+
+    def _send_again(self, sequence: int) -> None:
+        probe = self.probes[sequence]
         target = self.context.view.get(probe.name)
         if not probe.is_answered and target is not None:
-            self.outbox.send(target.address, target.name, Ping(seq))
+            self.outbox.send(target.address, target.name, Ping(sequence))
 
-    def _request_indirect_probes(self, seq: int) -> None:
+    def _request_indirect_probes(self, sequence: int) -> None:
         context = self.context
-        probe = self.probes[seq]
+        probe = self.probes[sequence]
         target = context.view.get(probe.name)
         if probe.is_answered or target is None or not target.is_present:
-            del self.probes[seq]
+            del self.probes[sequence]
             return
         excluded = {probe.name, context.own_record.name}
         helpers = context.view.sample(context.rng, context.settings.helpers, excluded)
         for helper in helpers:
-            self.outbox.send(helper.address, helper.name, PingRequest(seq, target.name, target.address))
-        self.outbox.send(target.address, target.name, Ping(seq))
+            self.outbox.send(helper.address, helper.name, PingRequest(sequence, target.name, target.address))
+        self.outbox.send(target.address, target.name, Ping(sequence))
         probe.helper_count = len(helpers)
         # A helper needs the wait for its own probe and the way there and back.
-        context.call_after(context.health.stretched(2 * context.settings.probe_wait), self._finish, seq)
+        context.call_after(context.health.scaled(2 * context.settings.probe_wait), self._finish, sequence)
 
-    def _finish(self, seq: int) -> None:
-        probe = self.probes.pop(seq)
+    def _finish(self, sequence: int) -> None:
+        probe = self.probes.pop(sequence)
         target = self.context.view.get(probe.name)
         if probe.is_answered or target is None or not target.is_present:
             return
@@ -112,41 +112,41 @@
 
     # ---- answers, and probes for others -------------------------------------------------------
 
-    def on_ping(self, sender: MemberRecord, seq: int) -> None:
+    def on_ping(self, sender: MemberRecord, sequence: int) -> None:
         """Answer a probe."""
-        self.outbox.send(sender.address, sender.name, Ack(seq))
+        self.outbox.send(sender.address, sender.name, Ack(sequence))
 
-    def on_ack(self, seq: int) -> None:
+    def on_ack(self, sequence: int) -> None:
         """A probe of this number is answered."""
-        indirect = self.indirect_probes.pop(seq, None)
+        indirect = self.indirect_probes.pop(sequence, None)
         if indirect is not None:
-            self.outbox.send(indirect.requester_address, "", Ack(indirect.requester_seq))
+            self.outbox.send(indirect.requester_address, "", Ack(indirect.requester_sequence))
             return
-        probe = self.probes.get(seq)
+        probe = self.probes.get(sequence)
         if probe is not None and not probe.is_answered:
             probe.is_answered = True
             self.context.health.adjust(-1)
 
-    def on_nack(self, seq: int) -> None:
+    def on_nack(self, sequence: int) -> None:
         """A helper got no answer for the probe of this number."""
-        probe = self.probes.get(seq)
+        probe = self.probes.get(sequence)
         if probe is not None:
             probe.nacks += 1
 
     def on_ping_request(self, sender: MemberRecord, request: PingRequest) -> None:
         """Probe a member in the sender's place."""
-        seq = self.context.next_sequence()
-        self.indirect_probes[seq] = IndirectProbe(sender.address, request.seq)
-        self.outbox.send(request.address, request.name, Ping(seq))
+        sequence = self.context.next_sequence()
+        self.indirect_probes[sequence] = IndirectProbe(sender.address, request.sequence)
+        self.outbox.send(request.address, request.name, Ping(sequence))
         wait = self.context.settings.probe_wait
-        self.context.call_after(wait / 2, self._send_indirect_again, seq, request.name, request.address)
-        self.context.call_after(wait, self._finish_indirect, seq)
+        self.context.call_after(wait / 2, self._send_indirect_again, sequence, request.name, request.address)
+        self.context.call_after(wait, self._finish_indirect, sequence)
 
-    def _send_indirect_again(self, seq: int, name: str, address: str) -> None:
-        if seq in self.indirect_probes:
-            self.outbox.send(address, name, Ping(seq))
+    def _send_indirect_again(self, sequence: int, name: str, address: str) -> None:
+        if sequence in self.indirect_probes:
+            self.outbox.send(address, name, Ping(sequence))
 
-    def _finish_indirect(self, seq: int) -> None:
-        indirect = self.indirect_probes.pop(seq, None)
+    def _finish_indirect(self, sequence: int) -> None:
+        indirect = self.indirect_probes.pop(sequence, None)
         if indirect is not None:
-            self.outbox.send(indirect.requester_address, "", Nack(indirect.requester_seq))
+            self.outbox.send(indirect.requester_address, "", Nack(indirect.requester_sequence))
--- a/saltcart/membership/settings.py
+++ b/saltcart/membership/settings.py
@@ -12,12 +12,12 @@
 from saltcart.field_reader import InvalidFieldError
 from saltcart.schema import convert
 
-ADDRESS = r"^[A-Za-z0-9.-]{1,253}:\d{1,5}$"
-LABEL = r"^[A-Za-z0-9._-]{0,32}$"
-LOOPBACK = re.compile(r"(127(\.\d{1,3}){3}|localhost):\d{1,5}\Z")
+ADDRESS_PATTERN = r"^[A-Za-z0-9.-]{1,253}:\d{1,5}$"
+LABEL_PATTERN = r"^[A-Za-z0-9._-]{0,32}$"
+LOOPBACK_ADDRESS = re.compile(r"(127(\.\d{1,3}){3}|localhost):\d{1,5}\Z")
 
-Address = Annotated[str, Meta(pattern=ADDRESS)]
-Label = Annotated[str, Meta(pattern=LABEL)]
+Address = Annotated[str, Meta(pattern=ADDRESS_PATTERN)]
+Label = Annotated[str, Meta(pattern=LABEL_PATTERN)]
 Seconds = Annotated[float, Meta(ge=0.01, le=3600.0)]
 
 
@@ -55,7 +55,7 @@
         ("advertise", conf.advertise),
         *((f"seeds[{n}]", seed) for n, seed in enumerate(conf.seeds)),
     ):
-        if value is not None and not LOOPBACK.match(value):
+        if value is not None and not LOOPBACK_ADDRESS.match(value):
             raise InvalidFieldError(
                 f"member.{key}: packets are not signed, so only loopback addresses are allowed"
             )
--- a/saltcart/membership/shared_registers.py
+++ b/saltcart/membership/shared_registers.py
@@ -31,7 +31,7 @@
         """The topic, under which a later value replaces it."""
         return self.topic
 
-    def max_bytes(self) -> int:
+    def max_encoded_bytes(self) -> int:
         """Return how many bytes it takes on the wire, at most."""
         return VALUE_OVERHEAD_BYTES + len(self.topic) + len(self.author) + len(self.data)
 
@@ -65,9 +65,9 @@
         chosen = list[RegisterValue]()
         for offset in range(len(values)):
             value = values[(self.resent + offset) % len(values)]
-            if value.max_bytes() > room:
+            if value.max_encoded_bytes() > room:
                 break
-            room -= value.max_bytes()
+            room -= value.max_encoded_bytes()
             chosen.append(value)
         self.resent += len(chosen)
         return chosen
--- a/saltcart/membership/suspicion.py
+++ b/saltcart/membership/suspicion.py
@@ -71,6 +71,6 @@
         """Raise or lower the score."""
         self.score = min(self.MAX_SCORE, max(0, self.score + step))
 
-    def stretched(self, seconds: float) -> float:
+    def scaled(self, seconds: float) -> float:
         """Return a time as it is for a member of this health."""
         return seconds * (1 + self.score)
--- a/saltcart/membership/suspicion_tracker.py
+++ b/saltcart/membership/suspicion_tracker.py
@@ -53,7 +53,7 @@
         if suspicion.ends_at() <= self.context.now:
             self._declare_dead(target.name)
         else:
-            self._keep_trying(target.name, suspicion)
+            self._keep_probing(target.name, suspicion)
 
     def start(self, report: MemberRecord) -> None:
         """The view has a new suspect."""
@@ -83,7 +83,7 @@
         if suspicion is None or suspicion.incarnation != report.incarnation:
             return
         if suspicion.confirm(report.reported_by):
-            self.context.news.put(report)
+            self.context.updates.put(report)
             self._set_timer(report.name, suspicion)
 
     def _set_timer(self, name: str, suspicion: Suspicion) -> None:
@@ -91,9 +91,9 @@
         if not suspicion.own_probe_failed:
             extra = BYSTANDER_FACTOR - 1 + JITTER * self.context.rng.random()
             ends_at += extra * (ends_at - suspicion.began_at)
-        self.context.timers.call_at(max(ends_at, self.context.now), self._on_ended, name, suspicion)
+        self.context.timers.call_at(max(ends_at, self.context.now), self._on_timeout, name, suspicion)
 
-    def _on_ended(self, name: str, suspicion: Suspicion) -> None:
+    def _on_timeout(self, name: str, suspicion: Suspicion) -> None:
         target = self._target(name, suspicion)
         if target is None or suspicion.ends_at() > self.context.now:
             return  # confirmed or refuted meanwhile: another timer has been set
@@ -108,12 +108,12 @@
         if target is not None:
             self.prober.probe(target)
 
-    def _keep_trying(self, name: str, suspicion: Suspicion) -> None:
+    def _keep_probing(self, name: str, suspicion: Suspicion) -> None:
         """Who has failed to reach a suspect keeps trying: its answer alone clears it."""
         target = self._target(name, suspicion)
         if target is not None:
             self.outbox.send(target.address, name, Ping(self.context.next_sequence()))
-            self.context.call_after(self.context.settings.probe_wait, self._keep_trying, name, suspicion)
+            self.context.call_after(self.context.settings.probe_wait, self._keep_probing, name, suspicion)
 
     def _target(self, name: str, suspicion: Suspicion) -> MemberRecord | None:
         """Return what is known of the suspect, while this suspicion of it stands."""
--- a/saltcart/membership/view.py
+++ b/saltcart/membership/view.py
@@ -19,7 +19,7 @@
 
 from saltcart.membership.member_record import MemberRecord, MemberState
 
-BUCKETS = 64
+BUCKET_COUNT = 64
 BYTES_PER_DIGEST = 8
 MAX_HISTORY = 256  # changes that are kept
 SCAN_FACTOR = 4  # up to so many times the members wanted, all are looked at in the place of draws
@@ -27,16 +27,16 @@
 STRIDE_DRAWS = 64  # for one without a common factor, before the stride of 1 is taken
 
 
-def bucket(name: str) -> int:
+def bucket_index(name: str) -> int:
     """Return the part of the digest that a member belongs to."""
-    return xxhash.xxh3_64_intdigest(name.encode()) & (BUCKETS - 1)
+    return xxhash.xxh3_64_intdigest(name.encode()) & (BUCKET_COUNT - 1)
 
 
 class MembershipChange(NamedTuple):
     """One change of the view; ``previous_state`` is None for a member that was not known."""
 
     version: int
-    at: float
+    changed_at: float
     previous_state: MemberState | None
     record: MemberRecord
 
@@ -47,10 +47,10 @@
     def __init__(self, records: Iterable[MemberRecord] = ()) -> None:
         self.records = {record.name: record for record in records}
         self.names = tuple(self.records)
-        self.digests = array("Q", bytes(BYTES_PER_DIGEST * BUCKETS))
-        self.names_by_bucket: list[list[str]] = [[] for _ in range(BUCKETS)]
+        self.digests = array("Q", bytes(BYTES_PER_DIGEST * BUCKET_COUNT))
+        self.names_by_bucket: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
         for record in self.records.values():
-            number = bucket(record.name)
+            number = bucket_index(record.name)
             self.digests[number] ^= record.fingerprint()
             self.names_by_bucket[number].append(record.name)
 
@@ -60,11 +60,11 @@
 
     def __init__(self, snapshot: MembershipSnapshot | None = None) -> None:
         self.snapshot = snapshot or MembershipSnapshot()
-        self.own_records: dict[
+        self.local_records: dict[
             str, MemberRecord | None
         ] = {}  # None: one of the snapshot's that was forgotten
-        self.own_names: list[str] = []  # that the snapshot has not
-        self.own_positions: dict[str, int] = {}  # of these, in ``own_names``
+        self.local_names: list[str] = []  # that the snapshot has not
+        self.local_positions: dict[str, int] = {}  # of these, in ``own_names``
         self.present_count = len(self.snapshot.names)
         self.gone_since: dict[str, float] = {}  # when each was found to be gone, in that order
         self.digests = array("Q", self.snapshot.digests)
@@ -81,8 +81,8 @@
 
     def get(self, name: str) -> MemberRecord | None:
         """Return what is known of a member."""
-        if name in self.own_records:
-            return self.own_records[name]
+        if name in self.local_records:
+            return self.local_records[name]
         return self.snapshot.records.get(name)
 
     def merge(self, record: MemberRecord, now: float) -> MembershipChange | None:
@@ -91,12 +91,12 @@
         if known is not None and not record.overrides(known):
             return None
         name = record.name
-        if name not in self.snapshot.records and name not in self.own_positions:
-            self.own_positions[name] = len(self.own_names)
-            self.own_names.append(name)
-        self.own_records[name] = record
+        if name not in self.snapshot.records and name not in self.local_positions:
+            self.local_positions[name] = len(self.local_names)
+            self.local_names.append(name)
+        self.local_records[name] = record
         known_fingerprint = 0 if known is None else known.fingerprint()
-        self.digests[bucket(name)] ^= record.fingerprint() ^ known_fingerprint
+        self.digests[bucket_index(name)] ^= record.fingerprint() ^ known_fingerprint
         self.present_count += record.is_present - (known is not None and known.is_present)
         if record.is_present:
             self.gone_since.pop(name, None)
@@ -122,49 +122,49 @@
     def _drop(self, name: str) -> None:
         del self.gone_since[name]
         if name in self.snapshot.records:
-            self.own_records[name] = None
+            self.local_records[name] = None
             return
-        del self.own_records[name]
-        position = self.own_positions.pop(name)
-        last = self.own_names.pop()
+        del self.local_records[name]
+        position = self.local_positions.pop(name)
+        last = self.local_names.pop()
         if last != name:  # it takes the free place
-            self.own_names[position] = last
-            self.own_positions[last] = position
+            self.local_names[position] = last
+            self.local_positions[last] = position
 
     # ---- looking for members ------------------------------------------------------------------
 
     def __len__(self) -> int:
         """Return how many names may be asked for by their number."""
-        return len(self.snapshot.names) + len(self.own_names)
+        return len(self.snapshot.names) + len(self.local_names)
 
-    def at(self, number: int) -> MemberRecord | None:
+    def record_at(self, number: int) -> MemberRecord | None:
         """Return the member of a number; None for one that was forgotten."""
         count = len(self.snapshot.names)
-        return self.get(self.snapshot.names[number] if number < count else self.own_names[number - count])
+        return self.get(self.snapshot.names[number] if number < count else self.local_names[number - count])
 
     def __iter__(self) -> Iterator[MemberRecord]:
         """Yield all that are known, the gone ones included."""
         for number in range(len(self)):
-            record = self.at(number)
+            record = self.record_at(number)
             if record is not None:
                 yield record
 
-    def in_buckets(self, wanted: Iterable[int]) -> list[MemberRecord]:
+    def records_in_buckets(self, wanted: Iterable[int]) -> list[MemberRecord]:
         """Return all that are known of some buckets, the gone ones included."""
         numbers = set(wanted)
         names = [name for number in numbers for name in self.snapshot.names_by_bucket[number]]
-        names += [name for name in self.own_names if bucket(name) in numbers]
+        names += [name for name in self.local_names if bucket_index(name) in numbers]
         return [record for name in names if (record := self.get(name)) is not None]
 
-    def sample(self, rng: random.Random, count: int, without: set[str]) -> list[MemberRecord]:
+    def sample(self, rng: random.Random, count: int, excluded: set[str]) -> list[MemberRecord]:
         """Return so many present members, drawn evenly; fewer where there are no more."""
         size = len(self)
-        if size <= SCAN_FACTOR * (count + len(without)):
-            return self._sample_all(rng, count, without)
+        if size <= SCAN_FACTOR * (count + len(excluded)):
+            return self._sample_all(rng, count, excluded)
         drawn = list[MemberRecord]()
-        skipped = set(without)
+        skipped = set(excluded)
         for _ in range(DRAWS_PER_MEMBER * count):
-            record = self.at(rng.randrange(size))
+            record = self.record_at(rng.randrange(size))
             if record is not None and record.is_present and record.name not in skipped:
                 drawn.append(record)
                 skipped.add(record.name)
@@ -172,8 +172,8 @@
                     return drawn
         return drawn + self._sample_all(rng, count - len(drawn), skipped)
 
-    def _sample_all(self, rng: random.Random, count: int, without: set[str]) -> list[MemberRecord]:
-        found = [record for record in self if record.is_present and record.name not in without]
+    def _sample_all(self, rng: random.Random, count: int, excluded: set[str]) -> list[MemberRecord]:
+        found = [record for record in self if record.is_present and record.name not in excluded]
         return rng.sample(found, min(count, len(found)))
 
 
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -57,11 +57,11 @@
         """Report what is due."""
         self.router.tick(now, time.time())
 
-    def register_changed(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
+    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
         """Take a newer plan or summary."""
         self.router.on_register_changed(now, topic, number, by, data)
 
-    def direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
+    def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """Take an instance's report."""
         self.router.on_direct_message(now, sender, topic, data)
 
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -11,7 +11,7 @@
 from saltcart.membership import messages
 from saltcart.membership.member import Member
 from saltcart.membership.member_record import MemberRecord, MemberState
-from saltcart.membership.settings import LOOPBACK, MemberSettings
+from saltcart.membership.settings import LOOPBACK_ADDRESS, MemberSettings
 from saltcart.membership.shared_registers import RegisterValue
 from saltcart.membership.view import MembershipChange
 from saltcart.net.base import address
@@ -102,7 +102,7 @@
             if self.malformed <= MAX_LOGGED:
                 self.log("member-malformed", peer=str(addr), error=str(error))
             return
-        self.member.received(self.loop.time(), datagram)
+        self.member.receive(self.loop.time(), datagram)
         self.flush()
 
     def error_received(self, exc: Exception) -> None:
@@ -121,7 +121,7 @@
             return
         try:
             # An address is what a peer says: none may lead elsewhere, or have a name looked up.
-            if not LOOPBACK.match(receiver):
+            if not LOOPBACK_ADDRESS.match(receiver):
                 raise ValueError("not a loopback address")
             self.transport.sendto(messages.encode(datagram), address(receiver))
         except (OSError, ValueError) as error:  # a port that is none, a full buffer
--- a/saltcart/net/register_listener.py
+++ b/saltcart/net/register_listener.py
@@ -11,7 +11,7 @@
 from saltcart.net.supervision import PeriodicTask
 from saltcart.wire.errors import MalformedMessageError
 
-TICK = 0.05  # seconds; what is due is decided by the decisions' own intervals
+TICK_SECONDS = 0.05  # seconds; what is due is decided by the decisions' own intervals
 
 
 class RegisterListener:
@@ -24,7 +24,7 @@
         self.log = log
         self.loop = asyncio.get_running_loop()
         driver.listeners.append(self)
-        self.ticks = PeriodicTask(TICK, self._tick)
+        self.ticks = PeriodicTask(TICK_SECONDS, self._tick)
         self.ticks.start()
 
     def close(self) -> None:
@@ -39,11 +39,11 @@
         """Do what is due."""
         raise NotImplementedError
 
-    def register_changed(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
+    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
         """Take a newer value of a register; ``MalformedMessageError`` for one that is none of its topic."""
         raise NotImplementedError
 
-    def direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
+    def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """Take something for this instance alone; ``MalformedMessageError`` as well."""
         raise NotImplementedError
 
@@ -54,7 +54,7 @@
         try:
             self.member.write_register(self.loop.time(), topic, data)
         except ValueError as error:
-            self.log("board-too-long", topic=topic, error=str(error))
+            self.log("register-too-long", topic=topic, error=str(error))
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
         """Send something to one instance alone."""
@@ -65,13 +65,13 @@
     def on_register_changed(self, value: RegisterValue) -> None:
         """Take a newer value; a malformed one is logged."""
         try:
-            self.register_changed(self.loop.time(), value.topic, value.number, value.author, value.data)
+            self.handle_register_value(self.loop.time(), value.topic, value.number, value.author, value.data)
         except MalformedMessageError as error:
-            self.log("board-malformed", sender=value.author, topic=value.topic, error=str(error))
+            self.log("register-malformed", sender=value.author, topic=value.topic, error=str(error))
 
     def on_direct_message(self, sender: MemberRecord, topic: str, data: bytes) -> None:
         """Take something for this instance alone; what is malformed is logged."""
         try:
-            self.direct_message(self.loop.time(), sender, topic, data)
+            self.handle_direct_message(self.loop.time(), sender, topic, data)
         except MalformedMessageError as error:
-            self.log("board-malformed", sender=sender.name, topic=topic, error=str(error))
+            self.log("register-malformed", sender=sender.name, topic=topic, error=str(error))
--- a/saltcart/net/subset_driver.py
+++ b/saltcart/net/subset_driver.py
@@ -46,11 +46,11 @@
         """Report what is due."""
         self.balancer.tick(now)
 
-    def register_changed(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
+    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
         """Take a newer bucket or demand."""
         self.balancer.on_register_changed(now, topic, data)
 
-    def direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
+    def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """Take an instance's report."""
         self.balancer.on_direct_message(now, sender, topic, data)
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -112,7 +112,7 @@
             asyncio.DatagramProtocol, remote_addr=(at[0], int(at[1]))
         )
         stranger = MemberRecord("x", "somewhere.invalid:9", 1)
-        transport.sendto(m.encode(m.Datagram(m.VERSION, "c", stranger, m.Ping(1))))
+        transport.sendto(m.encode(m.Datagram(m.PROTOCOL_VERSION, "c", stranger, m.Ping(1))))
         transport.sendto(b"\xc1 no packet")
         async with asyncio.timeout(WAIT):
             while len({event for event, _ in logged} & {"member-unsent", "member-malformed"}) < 2:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
 from saltcart.deployment import read
 from saltcart.field_reader import InvalidFieldError
 from saltcart.membership import messages as m
-from saltcart.membership.dissemination import NewsQueue, retransmit_limit
+from saltcart.membership.dissemination import UpdateQueue, retransmit_limit
 from saltcart.membership.member import Member
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.settings import MemberSettings, read_member
@@ -127,10 +127,10 @@
 
 
 def test_news_is_told_least_told_first_and_so_many_times() -> None:
-    spread, seen = NewsQueue(), dict[str, int]()
+    spread, seen = UpdateQueue(), dict[str, int]()
     for n in range(6):
         spread.put(MemberRecord(f"m{n}", "h:1", 1))
-    room = 3 * MemberRecord("m0", "h:1", 1).max_bytes()
+    room = 3 * MemberRecord("m0", "h:1", 1).max_encoded_bytes()
     while taken := spread.take(room, 4):
         assert len(taken) <= 3
         for record in taken:
@@ -140,7 +140,7 @@
 
 
 def test_a_newer_report_takes_the_place_of_an_older_one() -> None:
-    spread = NewsQueue()
+    spread = UpdateQueue()
     spread.put(MemberRecord("a", "h:1", 1))
     spread.take(1000, 3)
     spread.put(MemberRecord("a", "h:1", 2))
@@ -167,9 +167,9 @@
 def test_local_health_has_bounds() -> None:
     health = LocalHealth()
     health.adjust(-3)
-    assert health.stretched(2.0) == 2.0
+    assert health.scaled(2.0) == 2.0
     health.adjust(99)
-    assert health.stretched(2.0) == 2.0 * (1 + LocalHealth.MAX_SCORE)
+    assert health.scaled(2.0) == 2.0 * (1 + LocalHealth.MAX_SCORE)
 
 
 # ---- members that speak, in memory ------------------------------------------------------------
@@ -204,7 +204,7 @@
                 for to, packet in member.take_outgoing():
                     receiver = self.members.get(to)
                     if receiver is not None and not self.lost(address, to, packet):
-                        receiver.received(self.now, m.decode(m.encode(packet)))
+                        receiver.receive(self.now, m.decode(m.encode(packet)))
                         assert len(m.encode(packet)) <= m.MAX_DATAGRAM_BYTES
         return self.now - begun
 
@@ -326,7 +326,7 @@
     older.on_name_taken = taken.append
     net.join(9, born=9000, name="m4")
     net.run(5)
-    assert older.is_silent and taken[0].address == "127.0.0.1:9"
+    assert older.is_superseded and taken[0].address == "127.0.0.1:9"
     net.members.pop("127.0.0.1:4")
     net.run(5)
     assert net.state(1, "m4") == MemberState.ALIVE
@@ -347,7 +347,7 @@
     net.members["127.0.0.1:8"] = stranger
     net.run(5)
     assert net.state(1, "x") is None and stranger.view.present_count == 1
-    assert net.members["127.0.0.1:1"].foreign_packets > 0
+    assert net.members["127.0.0.1:1"].foreign_datagram_count > 0
 
 
 def test_a_third_of_all_packets_lost_kills_nobody() -> None:
@@ -356,7 +356,7 @@
     net.lost = lambda sender, receiver, packet: net.rng.random() < 0.3
     net.run(60)
     assert not any(c.record.state == MemberState.DEAD for d in net.members.values() for c in d.view.history)
-    assert sum(d.suspicions.accused_count for d in net.members.values()) > 10  # they had reason to
+    assert sum(d.suspicion_tracker.accused_count for d in net.members.values()) > 10  # they had reason to
 
 
 def test_a_large_view_comes_over_in_bounded_packets() -> None:
@@ -391,7 +391,7 @@
 def test_a_packet_is_read_as_it_was_written(
     sender: MemberRecord, message: m.Message, news: list[MemberRecord]
 ) -> None:
-    packet = m.Datagram(m.VERSION, "test", sender, message, news)
+    packet = m.Datagram(m.PROTOCOL_VERSION, "test", sender, message, news)
     assert m.decode(m.encode(packet)) == packet
 
 
@@ -403,14 +403,14 @@
 
 @given(RECORDS, st.data())
 def test_a_packet_with_a_byte_amiss_is_read_or_malformed(record: MemberRecord, data: st.DataObject) -> None:
-    raw = bytearray(m.encode(m.Datagram(m.VERSION, "test", record, m.Ping(7), [record])))
+    raw = bytearray(m.encode(m.Datagram(m.PROTOCOL_VERSION, "test", record, m.Ping(7), [record])))
     raw[data.draw(st.integers(0, len(raw) - 1))] = data.draw(st.integers(0, 255))
     member = SimulatedNetwork(1).members["127.0.0.1:1"]
     try:
         packet = m.decode(bytes(raw))
     except MalformedMessageError:
         return
-    member.received(101.0, packet)
+    member.receive(101.0, packet)
     member.tick(102.0)
 
 
@@ -431,9 +431,10 @@
 
 @given(RECORDS)
 def test_a_record_is_no_longer_on_the_wire_than_it_says(record: MemberRecord) -> None:
-    empty = len(m.encode(m.Datagram(m.VERSION, "t", record, m.Gossip())))
+    empty = len(m.encode(m.Datagram(m.PROTOCOL_VERSION, "t", record, m.Gossip())))
     assert (
-        len(m.encode(m.Datagram(m.VERSION, "t", record, m.Gossip(), [record]))) - empty <= record.max_bytes()
+        len(m.encode(m.Datagram(m.PROTOCOL_VERSION, "t", record, m.Gossip(), [record]))) - empty
+        <= record.max_encoded_bytes()
     )
 
 
@@ -468,16 +469,16 @@
     for count in (5, 1000):
         roster = MembershipSnapshot(MemberRecord(f"m{n}", f"127.0.0.1:{n + 1}", 1) for n in range(count))
         member = Member(CONF, "m0", "127.0.0.1:1", random.Random(1), 0.0, 1, roster)
-        member.received(
+        member.receive(
             0.0,
             m.Datagram(
-                m.VERSION,
+                m.PROTOCOL_VERSION,
                 "test",
                 MemberRecord("m1", "127.0.0.1:2", 1),
                 m.Gossip(),
                 [MemberRecord("m2", "127.0.0.1:3", 1, MemberState.SUSPECT, reported_by="m1")],
             ),
         )
-        spans.append(member.suspicions.suspicions["m2"].min_seconds)
+        spans.append(member.suspicion_tracker.suspicions["m2"].min_seconds)
     assert spans[0] == pytest.approx(CONF.suspect_for * CONF.probe_every)
     assert ceil(spans[1] / spans[0]) == 3
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -56,8 +56,8 @@
         if self.suspicions.get(name) is suspicion:
             self._declare_dead(name)
 
-    monkeypatch.setattr(SuspicionTracker, "_keep_trying", lambda *_: None)
-    monkeypatch.setattr(SuspicionTracker, "_on_ended", declare_dead)
+    monkeypatch.setattr(SuspicionTracker, "_keep_probing", lambda *_: None)
+    monkeypatch.setattr(SuspicionTracker, "_on_timeout", declare_dead)
     conf = MemberSettings("127.0.0.1:0", "model", suspect_for=1.0, suspect_most=1.0)
     net = model.Swim(Day("loss", 15, 60.0, loss=0.4), 1, conf)
     assert net.run().deaths > 0
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -152,7 +152,7 @@
 def test_a_datagram_is_written_and_read_as_before(name: str) -> None:
     news = NEWS if name in ("tell", "records", "ping") else []
     posts = [RegisterValue("plan", 4, "m2", b"\x00data")] if name == "tell" else []
-    packet = messages.Datagram(messages.VERSION, "lj", MEMBER, MESSAGES[name], news, posts)
+    packet = messages.Datagram(messages.PROTOCOL_VERSION, "lj", MEMBER, MESSAGES[name], news, posts)
     assert messages.encode(packet) == datagram(name)
     assert messages.decode(datagram(name)) == packet
 
@@ -161,7 +161,7 @@
     settings = MemberSettings("127.0.0.1:0", "lj")
     member = Member(settings, "m9", "127.0.0.1:7999", random.Random(1), 100.0, 9000)
     member.take_outgoing()
-    member.received(100.0, messages.decode(datagram("ping")))
+    member.receive(100.0, messages.decode(datagram("ping")))
     ((address, answer),) = member.take_outgoing()
     assert address == MEMBER.address and messages.encode(answer) == datagram("answer-to-ping")
 
