--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -4,7 +4,7 @@
 
 import math
 
-from saltcart.core.rate import LN2, FadingRate
+from saltcart.core.rate import LN2, DecayingRate
 
 # Half-lives, in seconds, of the two rates that each instance reports.
 SHORT_TERM_HALF_LIFE = 6.0
@@ -26,7 +26,7 @@
         Args:
             half_life: Half-life of a counted request, in seconds.
         """
-        self.counted_rate = FadingRate(half_life)
+        self.counted_rate = DecayingRate(half_life)
         self.started_at: float | None = None
 
     def add(self, now: float) -> None:
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -70,11 +70,11 @@
         """Send the reports that are due."""
         self.router.tick(now, time.time())
 
-    def register_changed(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
+    def handle_register_value(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
         """Process a newer plan or zone summary."""
         self.router.on_register_changed(now, topic, number, author, data)
 
-    def direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
+    def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """Process an instance's load report."""
         self.router.on_direct_message(now, sender, topic, data)
 
