--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -167,7 +167,7 @@
 
     def healthy(self, now: float, zone: int) -> bool:
         ends = self.ends[zone]
-        ends.fade(now)
+        ends.decay(now)
         share = ends.good / (ends.good + ends.bad) if ends.good + ends.bad >= 0.5 else 1.0
         return min(share, self.outliers.grade(now, zone)[0]) >= CONF.panic
 
--- a/saltcart/locality/evidence.py
+++ b/saltcart/locality/evidence.py
@@ -64,14 +64,14 @@
 
     def add(self, now: float, good: float, bad: float, seconds: float = 0.0) -> None:
         """Count outcomes whose durations sum up to ``seconds``."""
-        self.fade(now)
+        self.decay(now)
         if self.good + self.bad + good + bad > self.max_count:
             self._scale(max(0.0, self.max_count - good - bad) / max(1.0, self.good + self.bad))
         self.good += good
         self.bad += bad
         self.seconds += seconds
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Apply the decay since the last update."""
         if now > self.updated_at:
             self._scale(0.5 ** ((now - self.updated_at) / self.half_life))
--- a/saltcart/locality/load_reports.py
+++ b/saltcart/locality/load_reports.py
@@ -165,7 +165,7 @@
             if now - received_at <= stale
         }
         for counts in (*self.zone_outcomes.values(), *self.member_outcomes.values()):
-            counts.fade(now)
+            counts.decay(now)
         grades = self._grades()
         shares = capacity_shares(self.member_outcomes, self.settings.slower, POOR_SUCCESS_SHARE)
         if shares:
--- a/saltcart/locality/load_shedding.py
+++ b/saltcart/locality/load_shedding.py
@@ -28,14 +28,14 @@
     def record_arrival(self, now: float, weight: float) -> None:
         """Count a request of this weight."""
         if now > self.updated_at:
-            self._fade(0.5 ** ((now - self.updated_at) / ARRIVAL_HALF_LIFE))
+            self._decay(0.5 ** ((now - self.updated_at) / ARRIVAL_HALF_LIFE))
             self.updated_at = now
         weight = self._nearest_known_weight(weight)
         self.weight_counts[weight] = self.weight_counts.get(weight, 0.0) + 1
 
-    def _fade(self, factor: float) -> None:
-        faded = {weight: count * factor for weight, count in self.weight_counts.items()}
-        self.weight_counts = {weight: count for weight, count in faded.items() if count > NEGLIGIBLE_COUNT}
+    def _decay(self, factor: float) -> None:
+        decayed = {weight: count * factor for weight, count in self.weight_counts.items()}
+        self.weight_counts = {weight: count for weight, count in decayed.items() if count > NEGLIGIBLE_COUNT}
 
     def _nearest_known_weight(self, weight: float) -> float:
         if weight in self.weight_counts or len(self.weight_counts) < MAX_WEIGHTS:
--- a/saltcart/locality/outlier_detection.py
+++ b/saltcart/locality/outlier_detection.py
@@ -267,7 +267,7 @@
         members = self.members_by_zone[zone]
         for host in members:
             recent = self.endpoints[host].recent_outcomes
-            recent.fade(now)
+            recent.decay(now)
             evidence += recent.good + recent.bad
             if self.is_failing(now, host):
                 evidence += 1.0  # an ejection is evidence however long ago it was
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -589,7 +589,7 @@
 def test_outcome_counts_decay_with_time_and_stay_within_their_maximum() -> None:
     counts = OutcomeCounts(4.0, 12.0)
     counts.add(0.0, 10, 0, 1.0)
-    counts.fade(4.0)
+    counts.decay(4.0)
     assert (counts.good, counts.seconds) == (5.0, 0.5) and counts.mean_seconds() == pytest.approx(0.1)
     for _ in range(20):
         counts.add(4.0, 0, 1)
