--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -49,7 +49,7 @@
 
     With randomly arriving requests, the standard deviation of a decayed rate is the square root of
     rate * ln 2 / (2 * half-life): about 8% at ten requests per second and 1% at a thousand.  Random variation
-    therefore moves no work of a small zone, while a surge in a large zone is noticed within a second.
+    therefore moves no requests of a small zone, while a surge in a large zone is noticed within a second.
 
     Args:
         short_term: Rate with the short half-life, in requests per second.
--- a/saltcart/locality/plan_proposal.py
+++ b/saltcart/locality/plan_proposal.py
@@ -21,7 +21,7 @@
 
 MAX_RESERVE_USED = 0.7  # share of the capacity above ``limit`` that may be in use before requests are moved
 MIN_HOME_GAIN = 0.15  # share of a zone's requests; moving fewer back home does not justify a new plan
-REJECTION_THRESHOLD = 50  # thousandths of a zone's requests; rejecting as many calls for more capacity
+REJECTION_THRESHOLD = 50  # thousandths of a zone's requests; from it on, zones are filled beyond ``limit``
 SPILLOVER_DRAIN_SECONDS = 10.0  # after a zone's spillover has left, before its own requests may leave too
 MIN_INTERVAL = 0.5  # seconds between two plans, even when a zone fails
 # Standard deviations of one second's requests that a zone keeps free.
@@ -163,7 +163,7 @@
     summary: ZoneSummary,
     now: float,
 ) -> bool:
-    """Whether a zone in trouble keeps its own requests while spillover from other zones leaves it.
+    """Whether a degraded zone keeps its own requests while spillover from other zones leaves it.
 
     So it does while it has spillover, and for some time afterwards.  Random variation alone overloads a small
     zone with spillover now and then, and the zone recovers without it.  Moving its own requests too would
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -344,7 +344,7 @@
     assert plan is not None and plan.rows.keys() == {A}
 
 
-def test_a_zone_in_trouble_loses_spillover_first_and_its_own_requests_if_that_does_not_help() -> None:
+def test_a_degraded_zone_loses_spillover_first_and_its_own_requests_if_that_does_not_help() -> None:
     """Zone A has spillover from C; B is full with its own requests."""
     before = FailoverPlan(900.0, {C: {C: 500, A: 500}}, [ZoneTrust(C, C, 500, 1, 1e9)])
     demand, failing = (10.0, 33.0, 20.0), {A: {A: (30.0, 30.0)}}
@@ -445,7 +445,7 @@
             read_plan(invalid, 3)
 
 
-def test_a_plan_for_nine_zones_in_trouble_fits_into_a_register() -> None:
+def test_a_plan_for_nine_degraded_zones_fits_into_a_register() -> None:
     nine_zones = ZoneTopology(Endpoint(f"z{zone}", f"z{zone}", f"r{zone // 3}", 20.0) for zone in range(9))
     summaries = {
         zone: ReceivedSummary(0.1, ZoneSummary(zone, 9, 15.0, {0: 0.0, 1: 0.0, 2: 0.0})) for zone in range(9)
@@ -803,7 +803,7 @@
     for weight in weights:
         shedder.record_arrival(1.0, weight)
     probabilities = {weight: shedder.rejection_probability(weight, share) for weight in sorted(set(weights))}
-    assert sum(probabilities[weight] for weight in weights) == pytest.approx(share * len(weights), abs=1e-6)
+    assert sum(probabilities[w] for w in weights) == pytest.approx(share * len(weights), abs=1e-6)
     assert list(probabilities.values()) == sorted(probabilities.values(), reverse=True)
 
 
