--- a/saltcart/lab/subsets.py
+++ b/saltcart/lab/subsets.py
@@ -16,7 +16,7 @@
 
 from saltcart.lab.faults import subsets as rig
 from saltcart.subsetting.shared_rate_limit import SharedRateLimit
-from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered
+from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered_time
 from saltcart.subsetting.subset_assignment import digest, next_assignment
 
 SUBSET = 25  # members of an instance in the large fleets: with fewer, classes differ more in demand
@@ -228,8 +228,8 @@
     luck, ticks = random.Random(seed), Counter[int]()
     for n in range(count):
         if kind == "turns":
-            at, retry = next_staggered(100.0, 1.0, n), StaggeredBackoff(0.5, 8.0)
-            moments = [at + k for k in range(3)] + [retry.failed(100.0, n) + 1000]
+            at, retry = next_staggered_time(100.0, 1.0, n), StaggeredBackoff(0.5, 8.0)
+            moments = [at + k for k in range(3)] + [retry.record_failure(100.0, n) + 1000]
         elif kind == "fixed":
             moments = [100.0 + k for k in range(3)] + [1100.5]
         else:
--- a/saltcart/subsetting/staggering.py
+++ b/saltcart/subsetting/staggering.py
@@ -19,7 +19,7 @@
     return position * GOLDEN_RATIO % 1.0
 
 
-def next_staggered(now: float, period: float, position: int) -> float:
+def next_staggered_time(now: float, period: float, position: int) -> float:
     """Return the next moment after ``now`` that is this position's."""
     at = (now // period + phase(position)) * period
     return at if at > now else at + period
@@ -38,13 +38,13 @@
         self.max_seconds = max_seconds
         self.failures = 0
 
-    def failed(self, now: float, position: int) -> float:
+    def record_failure(self, now: float, position: int) -> float:
         """Return the moment of the next try: in the next period, never sooner than half of it from now."""
         doublings = min(MAX_DOUBLINGS, self.failures)
         period = min(self.max_seconds, self.first_seconds * 2**doublings)
         self.failures += 1
-        return next_staggered(now + period / 2, period, position)
+        return next_staggered_time(now + period / 2, period, position)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Begin anew with the next failure."""
         self.failures = 0
--- a/saltcart/subsetting/subset_assignment.py
+++ b/saltcart/subsetting/subset_assignment.py
@@ -16,7 +16,7 @@
 from saltcart.schema import unpack
 from saltcart.wire.errors import MalformedMessageError
 
-BUCKETS = 32  # registers that a table is written in: a change is written in the buckets that it concerns
+BUCKET_COUNT = 32  # registers that a table is written in: a change is written in the buckets that it concerns
 SHORT_DIGEST_MASK = 0xFFFFFFFF
 
 
@@ -27,7 +27,7 @@
 
 def bucket_of(name: str) -> int:
     """Return the bucket of a table that a name stands in."""
-    return digest(name) % BUCKETS
+    return digest(name) % BUCKET_COUNT
 
 
 def rendezvous_class(name: str, class_count: int) -> int:
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -19,9 +19,9 @@
 from saltcart.schema import unpack
 from saltcart.subsetting.settings import FleetSettings
 from saltcart.subsetting.shared_rate_limit import SharedRateLimit
-from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered, position_of
+from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered_time, position_of
 from saltcart.subsetting.subset_assignment import (
-    BUCKETS,
+    BUCKET_COUNT,
     bucket_of,
     encode_bucket,
     next_assignment,
@@ -145,7 +145,7 @@
         """Take a bucket or a demand; ``MalformedMessageError`` for what is none."""
         for table_topic in (MEMBERS_TOPIC, INSTANCES_TOPIC):
             bucket = _number_in(topic, table_topic)
-            if bucket is not None and bucket < BUCKETS:
+            if bucket is not None and bucket < BUCKET_COUNT:
                 self.tables[table_topic][bucket] = read_bucket(data, self.class_count)
                 self._update_subset()
         class_number = _number_in(topic, DEMAND_TOPIC)
@@ -167,7 +167,7 @@
         listed = [name for name in names if short_digest(name) in table.get(bucket_of(name), {})]
         assigned = {name: self.class_of(topic, name) for name in listed}
         following = next_assignment(assigned, names, self.class_count)
-        for bucket in range(BUCKETS):
+        for bucket in range(BUCKET_COUNT):
             data = encode_bucket(following, bucket)
             if read_bucket(data, self.class_count) != table.get(bucket, {}):
                 self.membership.write_register(f"{topic}{bucket}", data)
@@ -185,7 +185,7 @@
             return
         present = self.membership.present()
         position = position_of(self.name, present)
-        self.next_report_at = next_staggered(now, self.settings.report_every, position)
+        self.next_report_at = next_staggered_time(now, self.settings.report_every, position)
         self._note_present(now, present)
         if present and present[0] == self.name and now - self.present_since >= SETTLE_SECONDS:
             self._follow(MEMBERS_TOPIC, sorted(self.members))
@@ -267,7 +267,7 @@
         """Count a request that is over; one that refused is tried again at this instance's own moment."""
         if refused:
             backoff = self.backoffs.setdefault(host, StaggeredBackoff(FIRST_BACKOFF, MAX_BACKOFF))
-            self.resting_until[host] = backoff.failed(now, position_of(self.name, self.present))
+            self.resting_until[host] = backoff.record_failure(now, position_of(self.name, self.present))
         elif good and host in self.backoffs:
             del self.backoffs[host]
             self.resting_until.pop(host, None)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -17,9 +17,15 @@
 from saltcart.membership.member_record import MemberRecord
 from saltcart.subsetting.settings import FleetSettings, read_fleet
 from saltcart.subsetting.shared_rate_limit import SharedRateLimit
-from saltcart.subsetting.staggering import GOLDEN_RATIO, StaggeredBackoff, next_staggered, phase, position_of
+from saltcart.subsetting.staggering import (
+    GOLDEN_RATIO,
+    StaggeredBackoff,
+    next_staggered_time,
+    phase,
+    position_of,
+)
 from saltcart.subsetting.subset_assignment import (
-    BUCKETS,
+    BUCKET_COUNT,
     bucket_of,
     encode_bucket,
     next_assignment,
@@ -75,7 +81,7 @@
 @given(NAMES, st.integers(1, 6))
 def test_a_table_comes_over_in_its_parts(names: list[str], classes: int) -> None:
     table = next_assignment({}, names, classes)
-    parts = [read_bucket(encode_bucket(table, part), classes) for part in range(BUCKETS)]
+    parts = [read_bucket(encode_bucket(table, part), classes) for part in range(BUCKET_COUNT)]
     assert all(parts[bucket_of(n)][short_digest(n)] == c for n, c in table.items())
     assert sum(len(p) for p in parts) == len({(bucket_of(n), short_digest(n)) for n in names})
 
@@ -85,7 +91,7 @@
         with pytest.raises(MalformedMessageError):
             read_bucket(wrong, 2)
     table = next_assignment({}, [f"instance-{n}" for n in range(2000)], 25)
-    assert max(len(encode_bucket(table, part)) for part in range(BUCKETS)) <= 900
+    assert max(len(encode_bucket(table, part)) for part in range(BUCKET_COUNT)) <= 900
 
 
 # ---- shares -----------------------------------------------------------------------------------
@@ -119,22 +125,22 @@
 def test_a_turn_comes_once_a_period() -> None:
     at, turns = 100.0, list[float]()
     for _ in range(5):
-        at = next_staggered(at, 2.0, 7)
+        at = next_staggered_time(at, 2.0, 7)
         turns.append(at)
     assert [b - a for a, b in pairwise(turns)] == pytest.approx([2.0] * 4)
     assert turns[0] % 2.0 == pytest.approx(2.0 * (7 * GOLDEN_RATIO % 1.0))
 
 
 def test_retries_wait_longer_each_time_and_not_together() -> None:
-    moments = [StaggeredBackoff(0.5, 8.0).failed(100.0, n) for n in range(400)]
+    moments = [StaggeredBackoff(0.5, 8.0).record_failure(100.0, n) for n in range(400)]
     assert all(100.25 <= m <= 101.01 for m in moments)
     assert max(Counter(int(m * 100) for m in moments).values()) / 400 <= 0.05
     retry, waits = StaggeredBackoff(0.5, 8.0), list[float]()
     for _ in range(8):
-        waits.append(retry.failed(100.0, 3) - 100.0)
+        waits.append(retry.record_failure(100.0, 3) - 100.0)
     assert waits[-1] <= 12.0 and max(waits) > 4.0
-    retry.succeeded()
-    assert retry.failed(100.0, 3) - 100.0 == waits[0]
+    retry.record_success()
+    assert retry.record_failure(100.0, 3) - 100.0 == waits[0]
 
 
 def test_a_place_is_that_among_the_sorted_names() -> None:
