--- a/saltcart/subsetting/__init__.py
+++ b/saltcart/subsetting/__init__.py
@@ -1,1 +1,1 @@
-"""Choices of many instances that add up: who connects to which upstreams, and when each acts.  No I/O."""
+"""Deterministic subsetting of an upstream's members, shared rate limits and staggered times.  No I/O."""
--- a/saltcart/subsetting/subset_assignment.py
+++ b/saltcart/subsetting/subset_assignment.py
@@ -1,9 +1,9 @@
-"""Names in classes of equal size, changed by as few moves as can be.
+"""Assignment of names to classes of equal size, with as few moves as possible when the names change.
 
-A table that is kept and changed moves one name where one that is made anew from the names alone moves many
-(docs/design/fleet.md has the figures of rendezvous hashing and of shuffled rounds).  So it is kept in shared
-registers, in buckets, and followed by one instance at a time; what follows depends on the table and the names
-alone.
+An assignment that is stored and updated moves one name where one that is computed from the names alone moves
+many (docs/design/fleet.md has figures of rendezvous hashing and of shuffled rounds).  It is therefore stored
+in shared registers, divided into buckets, and updated by one instance at a time.  The next assignment depends
+on the previous one and the current names alone.
 """
 
 from __future__ import annotations
@@ -16,59 +16,71 @@
 from saltcart.schema import unpack
 from saltcart.wire.errors import MalformedMessageError
 
-BUCKET_COUNT = 32  # registers that a table is written in: a change is written in the buckets that it concerns
+BUCKET_COUNT = 32  # registers that hold an assignment; a change rewrites only the affected ones
 SHORT_DIGEST_MASK = 0xFFFFFFFF
 
 
 def digest(name: str, salt: int = 0) -> int:
-    """Return a name's digest."""
+    """Return a name's 64-bit digest."""
     return xxhash.xxh3_64_intdigest(name.encode(), salt)
 
 
-def bucket_of(name: str) -> int:
-    """Return the bucket of a table that a name stands in."""
+def bucket_index(name: str) -> int:
+    """Return the bucket of an assignment that a name belongs to."""
     return digest(name) % BUCKET_COUNT
 
 
 def rendezvous_class(name: str, class_count: int) -> int:
-    """Return the class of a name that no table has: the one whose digest with the name is highest."""
-    return max(range(class_count), key=lambda number: digest(name, number + 1))
+    """Return the class of an unassigned name by rendezvous hashing: the one with the highest digest."""
+    return max(range(class_count), key=lambda class_number: digest(name, class_number + 1))
 
 
-def next_assignment(table: Mapping[str, int], names: Iterable[str], class_count: int) -> dict[str, int]:
-    """Return the table that follows for these names.
+def next_assignment(assignment: Mapping[str, int], names: Iterable[str], class_count: int) -> dict[str, int]:
+    """Return the assignment that follows another one for the current names.
 
-    Those who are gone leave their places; those who are new take a place in the smallest class; then names
-    move, one at a time, from the largest class to the smallest, until the two differ by one at most.
+    Names that are no longer present are removed and each new name joins the smallest class.  Then names move
+    one at a time from the largest class to the smallest, until the sizes differ by at most one.
+
+    Args:
+        assignment: Previous class number by name.
+        names: Current names, in any order.
+        class_count: Number of classes.
     """
-    wanted = sorted(set(names))
-    assigned = {name: table[name] for name in wanted if name in table and table[name] < class_count}
+    sorted_names = sorted(set(names))
+    assigned = {
+        name: assignment[name]
+        for name in sorted_names
+        if name in assignment and assignment[name] < class_count
+    }
     sizes = [0] * class_count
-    for number in assigned.values():
-        sizes[number] += 1
-    for name in wanted:
+    for class_number in assigned.values():
+        sizes[class_number] += 1
+    for name in sorted_names:
         if name not in assigned:
             smallest = _smallest_class_for(name, sizes)
             assigned[name] = smallest
             sizes[smallest] += 1
-    while _move_one(assigned, sizes):
+    while _move_one_name(assigned, sizes):
         pass
     return assigned
 
 
 def _smallest_class_for(name: str, sizes: list[int]) -> int:
-    return min(range(len(sizes)), key=lambda number: (sizes[number], -digest(name, number + 1)))
+    return min(
+        range(len(sizes)),
+        key=lambda class_number: (sizes[class_number], -digest(name, class_number + 1)),
+    )
 
 
-def _move_one(assigned: dict[str, int], sizes: list[int]) -> bool:
-    """Move a name from the largest class to the smallest; False where they differ by one at most."""
-    smallest = min(range(len(sizes)), key=lambda number: (sizes[number], number))
-    largest = max(range(len(sizes)), key=lambda number: (sizes[number], -number))
+def _move_one_name(assigned: dict[str, int], sizes: list[int]) -> bool:
+    """Move a name from the largest class to the smallest; return False if they differ by at most one."""
+    smallest = min(range(len(sizes)), key=lambda class_number: (sizes[class_number], class_number))
+    largest = max(range(len(sizes)), key=lambda class_number: (sizes[class_number], -class_number))
     if sizes[largest] - sizes[smallest] <= 1:
         return False
-    candidates = (name for name, number in assigned.items() if number == largest)
-    mover = min(candidates, key=lambda name: digest(name, smallest + 1))
-    assigned[mover] = smallest
+    candidates = (name for name, class_number in assigned.items() if class_number == largest)
+    moved_name = min(candidates, key=lambda name: digest(name, smallest + 1))
+    assigned[moved_name] = smallest
     sizes[largest] -= 1
     sizes[smallest] += 1
     return True
@@ -78,20 +90,27 @@
 _decoder = msgspec.msgpack.Decoder(dict[int, int])
 
 
-def encode_bucket(table: Mapping[str, int], bucket: int) -> bytes:
-    """Return one bucket of a table: classes by the short digests of the names."""
-    names = sorted(name for name in table if bucket_of(name) == bucket)
-    return _encoder.encode({short_digest(name): table[name] for name in names})
+def encode_bucket(assignment: Mapping[str, int], bucket: int) -> bytes:
+    """Encode one bucket of an assignment as MessagePack: class numbers by short digest of the name."""
+    names = sorted(name for name in assignment if bucket_index(name) == bucket)
+    return _encoder.encode({short_digest(name): assignment[name] for name in names})
 
 
 def short_digest(name: str) -> int:
-    """Return the low half of a name's digest: two of a bucket that share it stand in one class, no worse."""
+    """Return the low 32 bits of a name's digest.
+
+    Two names of a bucket with the same short digest share an entry, and thus a class, which does no harm.
+    """
     return digest(name) & SHORT_DIGEST_MASK
 
 
 def read_bucket(data: bytes, class_count: int) -> dict[int, int]:
-    """Read a bucket; ``MalformedMessageError`` for what is no bucket of a table of so many classes."""
-    bucket = unpack(_decoder, data, "part of a table")
-    if any(not 0 <= number < class_count for number in bucket.values()):
-        raise MalformedMessageError("a table with a class that there is not")
+    """Decode and validate a bucket; return class numbers by short digest.
+
+    Raises:
+        MalformedMessageError: The data is not a bucket, or refers to a class that does not exist.
+    """
+    bucket = unpack(_decoder, data, "bucket of an assignment")
+    if any(not 0 <= class_number < class_count for class_number in bucket.values()):
+        raise MalformedMessageError("bucket of an assignment has an unknown class")
     return bucket
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -22,7 +22,7 @@
 from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered_time, position_of
 from saltcart.subsetting.subset_assignment import (
     BUCKET_COUNT,
-    bucket_of,
+    bucket_index,
     encode_bucket,
     next_assignment,
     read_bucket,
@@ -123,7 +123,7 @@
 
     def class_of(self, topic: str, name: str) -> int:
         """Return a name's class by the table, or by the name alone where it is not there yet."""
-        found = self.tables[topic].get(bucket_of(name), {}).get(short_digest(name))
+        found = self.tables[topic].get(bucket_index(name), {}).get(short_digest(name))
         if found is None or found >= self.class_count:
             return rendezvous_class(name, self.class_count)
         return found
@@ -164,7 +164,7 @@
     def _follow(self, topic: str, names: Sequence[str]) -> None:
         """Write the buckets of a table that change."""
         table = self.tables[topic]
-        listed = [name for name in names if short_digest(name) in table.get(bucket_of(name), {})]
+        listed = [name for name in names if short_digest(name) in table.get(bucket_index(name), {})]
         assigned = {name: self.class_of(topic, name) for name in listed}
         following = next_assignment(assigned, names, self.class_count)
         for bucket in range(BUCKET_COUNT):
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -26,7 +26,7 @@
 )
 from saltcart.subsetting.subset_assignment import (
     BUCKET_COUNT,
-    bucket_of,
+    bucket_index,
     encode_bucket,
     next_assignment,
     read_bucket,
@@ -82,12 +82,12 @@
 def test_a_table_comes_over_in_its_parts(names: list[str], classes: int) -> None:
     table = next_assignment({}, names, classes)
     parts = [read_bucket(encode_bucket(table, part), classes) for part in range(BUCKET_COUNT)]
-    assert all(parts[bucket_of(n)][short_digest(n)] == c for n, c in table.items())
-    assert sum(len(p) for p in parts) == len({(bucket_of(n), short_digest(n)) for n in names})
+    assert all(parts[bucket_index(n)][short_digest(n)] == c for n, c in table.items())
+    assert sum(len(p) for p in parts) == len({(bucket_index(n), short_digest(n)) for n in names})
 
 
 def test_what_is_no_part_is_malformed_and_two_thousand_names_fit() -> None:
-    for wrong in (b"\xc1", encode_bucket({"a": 5}, bucket_of("a"))):
+    for wrong in (b"\xc1", encode_bucket({"a": 5}, bucket_index("a"))):
         with pytest.raises(MalformedMessageError):
             read_bucket(wrong, 2)
     table = next_assignment({}, [f"instance-{n}" for n in range(2000)], 25)
