--- a/saltcart/net/subset_driver.py
+++ b/saltcart/net/subset_driver.py
@@ -1,4 +1,4 @@
-"""Ties the choices that must add up to membership, the upstream's connections and the clock."""
+"""Connects deterministic subsetting to membership, the upstream's connections and the clock."""
 
 from __future__ import annotations
 
@@ -16,21 +16,32 @@
 
 
 class SubsetDriver(RegisterListener):
-    """The chooser of one upstream whose members are shared out among the instances."""
+    """Chooses the members that one upstream's requests go to, by deterministic subsetting.
+
+    It registers with the membership driver and as the upstream's chooser.
+
+    Args:
+        settings: Settings of subsetting.
+        upstream: The upstream's members with their capacity.
+        driver: Driver of the fleet's membership.
+        ajp_upstream: Connections to the upstream's members.
+        seed: Seed of the random numbers.
+        log: Event log.
+    """
 
     def __init__(
         self,
         settings: FleetSettings,
         upstream: UpstreamConf,
         driver: MembershipDriver,
-        runs: AjpUpstream,
+        ajp_upstream: AjpUpstream,
         seed: int,
         log: Log,
     ) -> None:
         super().__init__(driver, log)
-        self.runs = runs
-        self.names = list[str]()
-        self.names_version = -1  # of the view from which they were found
+        self.ajp_upstream = ajp_upstream
+        self.present_names = list[str]()
+        self.present_version = -1  # version of the membership view that the names were determined from
         self.balancer = SubsetBalancer(
             settings,
             {member.host: member.capacity for member in upstream.members},
@@ -40,44 +51,47 @@
             self._load,
             self.loop.time(),
         )
-        runs.chooser = self
+        ajp_upstream.chooser = self
 
     def tick(self, now: float) -> None:
-        """Report what is due."""
+        """Send the reports that are due."""
         self.balancer.tick(now)
 
-    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
-        """Take a newer bucket or demand."""
+    def handle_register_value(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
+        """Process a newer bucket of an assignment or a newer demand of a class."""
         self.balancer.on_register_changed(now, topic, data)
 
     def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
-        """Take an instance's report."""
+        """Process an instance's load report."""
         self.balancer.on_direct_message(now, sender, topic, data)
 
     def _load(self, host: str) -> float:
-        return self.runs.by_host[host].open + 1.0  # weights are for upstreams that are not shared out
+        # Members' weights are for upstreams without subsetting.
+        return self.ajp_upstream.by_host[host].open + 1.0
 
     def present(self) -> Sequence[str]:
-        """Return the names of those present, sorted."""
+        """Return the sorted names of the present instances."""
         view = self.member.view
-        if self.names_version != view.version:
-            self.names_version = view.version
-            self.names = sorted(record.name for record in view if record.is_present)
-        return self.names
+        if self.present_version != view.version:
+            self.present_version = view.version
+            self.present_names = sorted(record.name for record in view if record.is_present)
+        return self.present_names
 
-    # ---- the upstream's chooser ---------------------------------------------------------------
+    # ---- choice of members for the upstream ---------------------------------------------------
 
-    def arrived(self, klass: str) -> bool:
-        """Whether a request fits into this instance's share."""
+    def arrived(self, class_name: str) -> bool:
+        """Count a request; return False to reject it, as it exceeds this instance's share of the limit."""
         return self.balancer.admit(self.loop.time())
 
-    def choose(self, klass: str, tried: set[str], safe: bool) -> str | None:
-        """Return the member that a request goes to."""
-        return self.balancer.choose(self.loop.time(), tried)
+    def choose(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
+        """Return the member that an attempt goes to; None if all members were tried."""
+        return self.balancer.choose(self.loop.time(), attempted_hosts)
+
+    def ended(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
+        """Count the outcome of an attempt that lasted ``seconds``."""
+        self.balancer.record_outcome(self.loop.time(), host, good, connection_refused)
 
-    def ended(self, host: str, good: bool, took: float, refused: bool) -> None:
-        """Count a request that is over."""
-        self.balancer.record_outcome(self.loop.time(), host, good, refused)
+    # ---- administration API -------------------------------------------------------------------
 
     def state(self) -> dict[str, object]:
         """Return what the administration API shows."""
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -186,7 +186,7 @@
         )
         if len(self.instances) > 1:  # what it missed comes with the next comparison
             other = next(i for n, i in self.instances.items() if n != name)
-            self.instances[name].tables = {k: dict(v) for k, v in other.tables.items()}
+            self.instances[name].assignments = {k: dict(v) for k, v in other.assignments.items()}
             self.instances[name]._update_subset()
 
     def run(self, seconds: float, demand: float = 0.0) -> None:
@@ -293,15 +293,15 @@
     for i in town.instances.values():
         i.record_outcome(town.now, "h0", False, True)
         assert all(i.choose(town.now, set()) != "h0" for _ in range(60))
-        waits.append(i.resting_until["h0"] - town.now)
+        waits.append(i.backoff_until["h0"] - town.now)
         assert any(i.choose(town.now + waits[-1], set()) == "h0" for _ in range(60))
     assert len({round(w, 2) for w in waits}) == 4 and max(waits) <= 1.0  # not two at the same moment
     one = town.instances["i00"]
     for _ in range(4):
         one.record_outcome(town.now, "h0", False, True)
-    assert one.resting_until["h0"] - town.now > 2.0
+    assert one.backoff_until["h0"] - town.now > 2.0
     one.record_outcome(town.now, "h0", True, False)
-    assert "h0" not in one.resting_until
+    assert "h0" not in one.backoff_until
 
 
 def test_who_knows_no_table_still_has_a_class() -> None:
