--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Choices that add up: classes of equal size with few moves, shares of a limit, turns, and all together."""
+"""Deterministic subsetting: class assignment, shared rate limit, staggering, simulation and balancers."""
 
 from __future__ import annotations
 
@@ -39,144 +39,163 @@
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=6), max_size=40, unique=True)
 
 
-# ---- classes ----------------------------------------------------------------------------------
+# ---- assignment to classes --------------------------------------------------------------------
 
 
 @given(NAMES, NAMES, st.integers(1, 6))
-def test_classes_are_of_equal_size(before: list[str], after: list[str], classes: int) -> None:
-    table = next_assignment(next_assignment({}, before, classes), after, classes)
-    sizes = Counter(table.values())
-    assert set(table) == set(after) and all(0 <= c < classes for c in table.values())
-    assert max(sizes.values(), default=0) - min((sizes[c] for c in range(classes)), default=0) <= 1
+def test_class_sizes_differ_by_at_most_one(before: list[str], after: list[str], class_count: int) -> None:
+    assignment = next_assignment(next_assignment({}, before, class_count), after, class_count)
+    sizes = Counter(assignment.values())
+    assert set(assignment) == set(after) and all(0 <= number < class_count for number in assignment.values())
+    assert (
+        max(sizes.values(), default=0) - min((sizes[number] for number in range(class_count)), default=0) <= 1
+    )
 
 
 @given(NAMES, st.text("xyz", min_size=1, max_size=3), st.integers(1, 6))
-def test_a_join_moves_nobody_and_a_leave_one_at_most(names: list[str], new: str, classes: int) -> None:
-    table = next_assignment({}, names, classes)
-    joined = next_assignment(table, [*names, new], classes)
-    assert {n: joined[n] for n in names} == table
-    left = next_assignment(joined, names, classes)
-    assert sum(left[n] != joined[n] for n in names) <= 1
+def test_a_join_moves_no_other_name_and_a_leave_at_most_one(
+    names: list[str], new_name: str, class_count: int
+) -> None:
+    assignment = next_assignment({}, names, class_count)
+    after_join = next_assignment(assignment, [*names, new_name], class_count)
+    assert {name: after_join[name] for name in names} == assignment
+    after_leave = next_assignment(after_join, names, class_count)
+    assert sum(after_leave[name] != after_join[name] for name in names) <= 1
 
 
 @given(NAMES, NAMES, st.integers(1, 6))
-def test_no_more_names_move_than_must(before: list[str], after: list[str], classes: int) -> None:
-    """What is over in the classes once those gone have left and those new have taken what is free."""
-    table = next_assignment({}, before, classes)
-    moved = sum(next_assignment(table, after, classes)[n] != table[n] for n in after if n in table)
-    kept = Counter(table[n] for n in after if n in table)
-    whole, rest = divmod(len(set(after)), classes)
-    tops = sorted((kept[c] for c in range(classes)), reverse=True)
-    must = sum(max(0, size - (whole + (n < rest))) for n, size in enumerate(tops))
-    assert moved == must
+def test_the_number_of_moves_is_minimal(before: list[str], after: list[str], class_count: int) -> None:
+    """The minimum is the surplus of the remaining names over the final class sizes.
+
+    When the sizes differ by one, the classes with the most remaining names get the larger size.
+    """
+    assignment = next_assignment({}, before, class_count)
+    moved = sum(
+        next_assignment(assignment, after, class_count)[name] != assignment[name]
+        for name in after
+        if name in assignment
+    )
+    remaining = Counter(assignment[name] for name in after if name in assignment)
+    quotient, remainder = divmod(len(set(after)), class_count)
+    sizes = sorted((remaining[number] for number in range(class_count)), reverse=True)
+    surplus = sum(max(0, size - (quotient + (n < remainder))) for n, size in enumerate(sizes))
+    assert moved == surplus
 
 
 @given(NAMES, st.integers(1, 6), st.randoms(use_true_random=False))
-def test_the_same_follows_in_whatever_order(names: list[str], classes: int, luck: random.Random) -> None:
+def test_the_assignment_does_not_depend_on_the_order_of_names(
+    names: list[str], class_count: int, rng: random.Random
+) -> None:
     shuffled = list(names)
-    luck.shuffle(shuffled)
-    assert next_assignment({}, names, classes) == next_assignment({}, shuffled, classes)
+    rng.shuffle(shuffled)
+    assert next_assignment({}, names, class_count) == next_assignment({}, shuffled, class_count)
 
 
 @given(NAMES, st.integers(1, 6))
-def test_a_table_comes_over_in_its_parts(names: list[str], classes: int) -> None:
-    table = next_assignment({}, names, classes)
-    parts = [read_bucket(encode_bucket(table, part), classes) for part in range(BUCKET_COUNT)]
-    assert all(parts[bucket_index(n)][short_digest(n)] == c for n, c in table.items())
-    assert sum(len(p) for p in parts) == len({(bucket_index(n), short_digest(n)) for n in names})
+def test_an_assignment_survives_encoding_in_buckets(names: list[str], class_count: int) -> None:
+    assignment = next_assignment({}, names, class_count)
+    buckets = [read_bucket(encode_bucket(assignment, bucket), class_count) for bucket in range(BUCKET_COUNT)]
+    assert all(
+        buckets[bucket_index(name)][short_digest(name)] == number for name, number in assignment.items()
+    )
+    assert sum(len(bucket) for bucket in buckets) == len(
+        {(bucket_index(name), short_digest(name)) for name in names}
+    )
 
 
-def test_what_is_no_part_is_malformed_and_two_thousand_names_fit() -> None:
-    for wrong in (b"\xc1", encode_bucket({"a": 5}, bucket_index("a"))):
+def test_invalid_buckets_are_malformed_and_buckets_of_two_thousand_names_fit_into_registers() -> None:
+    for invalid in (b"\xc1", encode_bucket({"a": 5}, bucket_index("a"))):
         with pytest.raises(MalformedMessageError):
-            read_bucket(wrong, 2)
-    table = next_assignment({}, [f"instance-{n}" for n in range(2000)], 25)
-    assert max(len(encode_bucket(table, part)) for part in range(BUCKET_COUNT)) <= 900
+            read_bucket(invalid, 2)
+    assignment = next_assignment({}, [f"instance-{n}" for n in range(2000)], 25)
+    assert max(len(encode_bucket(assignment, bucket)) for bucket in range(BUCKET_COUNT)) <= 900
 
 
-# ---- shares -----------------------------------------------------------------------------------
+# ---- shared rate limit ------------------------------------------------------------------------
 
 
-def test_parts_add_up_to_the_whole_and_who_is_not_counted_has_an_equal_one() -> None:
-    demands, shares = [5.0, 20.0, 75.0], [SharedRateLimit(100.0) for _ in range(3)]
-    for share, demand in zip(shares, demands):
-        share.confirm(10.0, demand, sum(demands), 3)
-    rates = [share.rate(10.0, 3) for share in shares]
+def test_shares_add_up_to_the_limit_and_an_uncounted_instance_has_an_equal_share() -> None:
+    demands, rate_limits = [5.0, 20.0, 75.0], [SharedRateLimit(100.0) for _ in range(3)]
+    for rate_limit, demand in zip(rate_limits, demands):
+        rate_limit.confirm(10.0, demand, sum(demands), 3)
+    rates = [rate_limit.rate(10.0, 3) for rate_limit in rate_limits]
     assert sum(rates) == pytest.approx(100.0) and rates == sorted(rates) and rates[0] > 5.0
     assert SharedRateLimit(90.0).rate(10.0, 3) == pytest.approx(30.0)
-    assert shares[2].rate(40.0, 3) == pytest.approx(100 / 3, rel=0.01)  # nobody has confirmed it for long
+    assert rate_limits[2].rate(40.0, 3) == pytest.approx(100 / 3, rel=0.01)  # unconfirmed for 15 half-lives
 
 
-def test_a_shared_limit_is_not_overshot_and_is_used() -> None:
-    over, used = subsets.limits(True, 5, True)
-    alone, _ = subsets.limits(True, 5, False)
-    assert over <= 0.05 and used >= 0.85 and alone > 0.2
+def test_a_shared_limit_is_not_exceeded_and_is_used() -> None:
+    overshoot, used_share = subsets.limits(True, 5, True)
+    overshoot_unshared, _ = subsets.limits(True, 5, False)
+    assert overshoot <= 0.05 and used_share >= 0.85 and overshoot_unshared > 0.2
 
 
-# ---- turns ------------------------------------------------------------------------------------
+# ---- staggering -------------------------------------------------------------------------------
 
 
 @given(st.integers(1, 3000))
-def test_no_tick_has_more_than_its_part_of_the_turns(count: int) -> None:
-    ticks = Counter(int(phase(n) * 100) for n in range(count))
-    assert max(ticks.values()) <= count / 100 + 3  # an even sequence is off by little more than one
+def test_staggered_instances_are_evenly_spread_over_the_ticks_of_a_period(count: int) -> None:
+    ticks = Counter(int(phase(position) * 100) for position in range(count))
+    assert (
+        max(ticks.values()) <= count / 100 + 3
+    )  # the golden ratio's multiples deviate by little more than one
 
 
-def test_a_turn_comes_once_a_period() -> None:
-    at, turns = 100.0, list[float]()
+def test_a_staggered_time_comes_once_a_period() -> None:
+    time, times = 100.0, list[float]()
     for _ in range(5):
-        at = next_staggered_time(at, 2.0, 7)
-        turns.append(at)
-    assert [b - a for a, b in pairwise(turns)] == pytest.approx([2.0] * 4)
-    assert turns[0] % 2.0 == pytest.approx(2.0 * (7 * GOLDEN_RATIO % 1.0))
+        time = next_staggered_time(time, 2.0, 7)
+        times.append(time)
+    assert [later - earlier for earlier, later in pairwise(times)] == pytest.approx([2.0] * 4)
+    assert times[0] % 2.0 == pytest.approx(2.0 * (7 * GOLDEN_RATIO % 1.0))
 
 
-def test_retries_wait_longer_each_time_and_not_together() -> None:
-    moments = [StaggeredBackoff(0.5, 8.0).record_failure(100.0, n) for n in range(400)]
-    assert all(100.25 <= m <= 101.01 for m in moments)
-    assert max(Counter(int(m * 100) for m in moments).values()) / 400 <= 0.05
-    retry, waits = StaggeredBackoff(0.5, 8.0), list[float]()
+def test_retries_back_off_exponentially_and_are_spread_over_the_instances() -> None:
+    times = [StaggeredBackoff(0.5, 8.0).record_failure(100.0, position) for position in range(400)]
+    assert all(100.25 <= time <= 101.01 for time in times)
+    assert max(Counter(int(time * 100) for time in times).values()) / 400 <= 0.05
+    backoff, delays = StaggeredBackoff(0.5, 8.0), list[float]()
     for _ in range(8):
-        waits.append(retry.record_failure(100.0, 3) - 100.0)
-    assert waits[-1] <= 12.0 and max(waits) > 4.0
-    retry.record_success()
-    assert retry.record_failure(100.0, 3) - 100.0 == waits[0]
+        delays.append(backoff.record_failure(100.0, 3) - 100.0)
+    assert delays[-1] <= 12.0 and max(delays) > 4.0
+    backoff.record_success()
+    assert backoff.record_failure(100.0, 3) - 100.0 == delays[0]
 
 
-def test_a_place_is_that_among_the_sorted_names() -> None:
-    assert [position_of(n, ["a", "c", "e"]) for n in ("a", "c", "d")] == [0, 1, 2]
+def test_a_position_is_that_among_the_sorted_names() -> None:
+    assert [position_of(name, ["a", "c", "e"]) for name in ("a", "c", "d")] == [0, 1, 2]
 
 
-# ---- the model --------------------------------------------------------------------------------
+# ---- simulation -------------------------------------------------------------------------------
 
 
-def test_kept_tables_are_even_with_few_moves_where_the_others_are_one_or_the_other() -> None:
-    luck = random.Random(2)
-    for name, states in subsets.steps(True, luck):
-        classes = 2 if name == "grow and shrink" else 6
-        spread, churn, _ = subsets.play(subsets.Kept(classes, 1), states)
+def test_stored_assignments_are_even_with_few_moves_and_the_alternatives_are_not_both() -> None:
+    rng = random.Random(2)
+    for name, states in subsets.steps(True, rng):
+        class_count = 2 if name == "grow and shrink" else 6
+        spread, churn, _ = subsets.play(subsets.Kept(class_count, 1), states)
         assert spread <= 1.2 and churn <= 1.5, name
     grow = subsets.steps(True, random.Random(2))[0][1]
     assert subsets.play(subsets.Random(2, 1), grow)[0] > 1.5
     assert subsets.play(subsets.Rounds(2, 1), grow)[1] > 3
 
 
-# ---- instances that speak ---------------------------------------------------------------------
+# ---- instances that exchange messages ---------------------------------------------------------
 
 
-class Town:
-    """Instances whose posts arrive at once."""
+class SimulatedFleet:
+    """Instances whose register writes and direct messages arrive at once."""
 
-    def __init__(self, count: int, hosts: int, capacity: float = 0.0, **more: Any) -> None:
-        self.now, self.conf = 100.0, FleetSettings(upstream="u", **more)
-        self.hosts = {f"h{n}": capacity for n in range(hosts)}
+    def __init__(self, count: int, host_count: int, capacity: float = 0.0, **settings: Any) -> None:
+        self.now, self.settings = 100.0, FleetSettings(upstream="u", **settings)
+        self.hosts = {f"h{n}": capacity for n in range(host_count)}
         self.instances = dict[str, SubsetBalancer]()
         for n in range(count):
             self.join(f"i{n:02}")
 
     def join(self, name: str) -> None:
         self.instances[name] = SubsetBalancer(
-            self.conf,
+            self.settings,
             self.hosts,
             name,
             random.Random(name),
@@ -184,34 +203,38 @@
             lambda host: 1.0,
             self.now,
         )
-        if len(self.instances) > 1:  # what it missed comes with the next comparison
-            other = next(i for n, i in self.instances.items() if n != name)
-            self.instances[name].assignments = {k: dict(v) for k, v in other.assignments.items()}
+        if len(self.instances) > 1:  # anti-entropy brings the registers that were written before
+            other = next(instance for other_name, instance in self.instances.items() if other_name != name)
+            self.instances[name].assignments = {
+                topic: dict(buckets) for topic, buckets in other.assignments.items()
+            }
             self.instances[name]._update_subset()
 
     def run(self, seconds: float, demand: float = 0.0) -> None:
-        luck = random.Random(3)
+        """Let time pass; each instance gets ``demand`` requests per second."""
+        rng = random.Random(3)
         for _ in range(int(seconds * 20)):
             self.now += 0.05
-            for i in list(self.instances.values()):
-                if luck.random() < demand * 0.05:
-                    i.admit(self.now)
-                i.tick(self.now)
+            for instance in list(self.instances.values()):
+                if rng.random() < demand * 0.05:
+                    instance.admit(self.now)
+                instance.tick(self.now)
 
-    def clients(self) -> Counter[str]:
-        return Counter(h for i in self.instances.values() for h in i.subset)
+    def client_counts(self) -> Counter[str]:
+        """Return the number of instances that connect to each member."""
+        return Counter(host for instance in self.instances.values() for host in instance.subset)
 
 
 class SimulatedMembership:
-    def __init__(self, town: Town, name: str) -> None:
-        self.fleet, self.name = town, name
+    def __init__(self, fleet: SimulatedFleet, name: str) -> None:
+        self.fleet, self.name = fleet, name
 
     def present(self) -> Sequence[str]:
         return sorted(self.fleet.instances)
 
     def write_register(self, topic: str, data: bytes) -> None:
-        for i in self.fleet.instances.values():
-            i.on_register_changed(self.fleet.now, topic, data)
+        for instance in self.fleet.instances.values():
+            instance.on_register_changed(self.fleet.now, topic, data)
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
         if name in self.fleet.instances:
@@ -220,98 +243,101 @@
             )
 
 
-def test_all_members_get_the_same_number_of_clients_as_instances_come_and_go() -> None:
-    town = Town(10, 8)
-    town.run(3.0)
-    assert set(town.clients().values()) == {5} and len(town.clients()) == 8
-    before = {n: i.subset for n, i in town.instances.items()}
-    town.join("i99")
-    town.run(3.0)
-    assert all(town.instances[n].subset == s for n, s in before.items())  # nobody else moves
-    del town.instances["i00"]  # the one that follows the tables: the next does
-    del town.instances["i02"]
-    town.run(4.0)
-    assert max(town.clients().values()) - min(town.clients().values()) <= 1
-
-
-def test_parts_of_a_limit_follow_what_is_asked() -> None:
-    town = Town(4, 4, capacity=20.0, classes=1)
-    town.run(3.0)
-    busy = town.instances["i01"]
+def test_all_members_have_the_same_number_of_clients_as_instances_join_and_leave() -> None:
+    fleet = SimulatedFleet(10, 8)
+    fleet.run(3.0)
+    assert set(fleet.client_counts().values()) == {5} and len(fleet.client_counts()) == 8
+    before = {name: instance.subset for name, instance in fleet.instances.items()}
+    fleet.join("i99")
+    fleet.run(3.0)
+    assert all(fleet.instances[name].subset == subset for name, subset in before.items())  # no other moves
+    del fleet.instances["i00"]  # the leader; the next instance by name takes over
+    del fleet.instances["i02"]
+    fleet.run(4.0)
+    assert max(fleet.client_counts().values()) - min(fleet.client_counts().values()) <= 1
+
+
+def test_shares_of_a_limit_follow_demand() -> None:
+    fleet = SimulatedFleet(4, 4, capacity=20.0, classes=1)
+    fleet.run(3.0)
+    busy_instance = fleet.instances["i01"]
     for _ in range(400):
-        town.now += 0.02
-        busy.admit(town.now)
-        for i in town.instances.values():
-            i.tick(town.now)
-    rates = {n: i.rate_limit.rate(town.now, i.client_count()) for n, i in town.instances.items()}
+        fleet.now += 0.02
+        busy_instance.admit(fleet.now)
+        for instance in fleet.instances.values():
+            instance.tick(fleet.now)
+    rates = {
+        name: instance.rate_limit.rate(fleet.now, instance.client_count())
+        for name, instance in fleet.instances.items()
+    }
     assert rates["i01"] > 0.8 * 80 and sum(rates.values()) <= 1.05 * 80
-    assert busy.rejected_count < 20
+    assert busy_instance.rejected_count < 20
 
 
-def test_what_is_past_the_limit_is_refused_at_once() -> None:
-    town = Town(2, 2, capacity=5.0, classes=1)
-    town.run(3.0)
-    before = {n: i.rejected_count for n, i in town.instances.items()}
-    let_in = 0
+def test_requests_above_the_limit_are_rejected_at_once() -> None:
+    fleet = SimulatedFleet(2, 2, capacity=5.0, classes=1)
+    fleet.run(3.0)
+    before = {name: instance.rejected_count for name, instance in fleet.instances.items()}
+    admitted = 0
     for _ in range(1000):
-        town.now += 0.01
-        for i in town.instances.values():
-            let_in += i.admit(town.now)
-            i.tick(town.now)
-    assert let_in <= 10 * 10 * 1.05 + 6 and all(
-        i.rejected_count > before[n] for n, i in town.instances.items()
+        fleet.now += 0.01
+        for instance in fleet.instances.values():
+            admitted += instance.admit(fleet.now)
+            instance.tick(fleet.now)
+    assert admitted <= 10 * 10 * 1.05 + 6 and all(
+        instance.rejected_count > before[name] for name, instance in fleet.instances.items()
     )
 
 
-def test_further_tries_leave_the_subset_only_when_it_is_used_up() -> None:
-    town = Town(2, 4)
-    town.run(3.0)
-    one = town.instances["i00"]
-    mine = set(one.subset)
-    assert {one.choose(town.now, set()) for _ in range(50)} <= mine
-    assert one.choose(town.now, mine) in set(town.hosts) - mine
-    assert one.choose(town.now, set(town.hosts)) is None
-
-
-def test_the_choice_goes_by_what_the_whole_class_has_under_way() -> None:
-    town = Town(3, 4, classes=1)
-    for i in town.instances.values():
-        i.load = lambda host: 30.0 if host == "h0" else 1.0  # two others keep it busy, too
-    town.run(4.0)
-    one = town.instances["i00"]
-    one.load = lambda host: 1.0  # of its own it has nothing there
-    drawn = Counter(one.choose(town.now, set()) for _ in range(400))
-    assert drawn["h0"] < 60  # only where both draws are the busy one
-    one.subset_loads = {}
-    assert Counter(one.choose(town.now, set()) for _ in range(400))["h0"] > 60
-
-
-def test_a_member_that_refused_is_left_alone_until_the_own_turn_and_longer_each_time() -> None:
-    town = Town(4, 4, classes=1)
-    town.run(3.0)
-    waits = []
-    for i in town.instances.values():
-        i.record_outcome(town.now, "h0", False, True)
-        assert all(i.choose(town.now, set()) != "h0" for _ in range(60))
-        waits.append(i.backoff_until["h0"] - town.now)
-        assert any(i.choose(town.now + waits[-1], set()) == "h0" for _ in range(60))
-    assert len({round(w, 2) for w in waits}) == 4 and max(waits) <= 1.0  # not two at the same moment
-    one = town.instances["i00"]
+def test_attempts_leave_the_subset_only_when_all_of_it_was_tried() -> None:
+    fleet = SimulatedFleet(2, 4)
+    fleet.run(3.0)
+    instance = fleet.instances["i00"]
+    subset = set(instance.subset)
+    assert {instance.choose(fleet.now, set()) for _ in range(50)} <= subset
+    assert instance.choose(fleet.now, subset) in set(fleet.hosts) - subset
+    assert instance.choose(fleet.now, set(fleet.hosts)) is None
+
+
+def test_the_choice_of_a_member_includes_the_load_of_the_whole_class() -> None:
+    fleet = SimulatedFleet(3, 4, classes=1)
+    for instance in fleet.instances.values():
+        instance.load = lambda host: 30.0 if host == "h0" else 1.0
+    fleet.run(4.0)
+    idle_instance = fleet.instances["i00"]
+    idle_instance.load = lambda host: 1.0  # only the other two instances still load h0
+    chosen = Counter(idle_instance.choose(fleet.now, set()) for _ in range(400))
+    assert chosen["h0"] < 60  # only when both draws are h0
+    idle_instance.subset_loads = {}
+    assert Counter(idle_instance.choose(fleet.now, set()) for _ in range(400))["h0"] > 60
+
+
+def test_a_member_that_refused_a_connection_is_in_staggered_exponential_backoff() -> None:
+    fleet = SimulatedFleet(4, 4, classes=1)
+    fleet.run(3.0)
+    delays = []
+    for instance in fleet.instances.values():
+        instance.record_outcome(fleet.now, "h0", False, True)
+        assert all(instance.choose(fleet.now, set()) != "h0" for _ in range(60))
+        delays.append(instance.backoff_until["h0"] - fleet.now)
+        assert any(instance.choose(fleet.now + delays[-1], set()) == "h0" for _ in range(60))
+    assert len({round(delay, 2) for delay in delays}) == 4 and max(delays) <= 1.0  # no two at the same time
+    one_instance = fleet.instances["i00"]
     for _ in range(4):
-        one.record_outcome(town.now, "h0", False, True)
-    assert one.backoff_until["h0"] - town.now > 2.0
-    one.record_outcome(town.now, "h0", True, False)
-    assert "h0" not in one.backoff_until
+        one_instance.record_outcome(fleet.now, "h0", False, True)
+    assert one_instance.backoff_until["h0"] - fleet.now > 2.0
+    one_instance.record_outcome(fleet.now, "h0", True, False)
+    assert "h0" not in one_instance.backoff_until
 
 
-def test_who_knows_no_table_still_has_a_class() -> None:
-    town = Town(1, 6)
-    one = town.instances["i00"]
-    assert one.own_class == rendezvous_class("i00", 2) and one.subset
+def test_an_instance_without_an_assignment_has_a_class_and_malformed_values_are_reported() -> None:
+    fleet = SimulatedFleet(1, 6)
+    instance = fleet.instances["i00"]
+    assert instance.own_class == rendezvous_class("i00", 2) and instance.subset
     for topic in (f"{MEMBERS_TOPIC}0", f"{INSTANCES_TOPIC}3", f"{DEMAND_TOPIC}1"):
         with pytest.raises(MalformedMessageError):
-            one.on_register_changed(1.0, topic, b"\xc1")
-    one.on_register_changed(1.0, "fleet/members/x", b"\xc1")  # no topic of ours
+            instance.on_register_changed(1.0, topic, b"\xc1")
+    instance.on_register_changed(1.0, "fleet/members/x", b"\xc1")  # not a bucket's topic
 
 
 @pytest.mark.parametrize(
@@ -322,6 +348,6 @@
         ({"upstream": "u", "klasses": 2}, "klasses"),
     ],
 )
-def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
+def test_an_invalid_setting_is_reported_with_its_field(raw: dict[str, object], reason: str) -> None:
     with pytest.raises(InvalidFieldError, match=reason):
         read_fleet(raw)
