--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -127,9 +127,8 @@
         # By topic: class numbers by bucket and short digest of the name.
         self.assignments: dict[str, dict[int, dict[int, int]]] = {MEMBERS_TOPIC: {}, INSTANCES_TOPIC: {}}
         self.subset_demands: dict[int, tuple[float, SubsetDemand]] = {}  # time received and sum, by class
-        self.reports: dict[
-            str, tuple[float, InstanceLoadReport]
-        ] = {}  # time received and report, by instance
+        # Time received and report, by instance; used by the class's leader.
+        self.reports: dict[str, tuple[float, InstanceLoadReport]] = {}
         self.positions = {host: position for position, host in enumerate(sorted(members))}
         self.subset_loads: dict[int, int] = {}  # the class's published requests in flight, by position
         self.backoffs: dict[str, StaggeredBackoff] = {}  # by member that refused the connection
@@ -297,7 +296,7 @@
         return max(0, round(self.load(host)) - 1)
 
     def _estimated_load(self, host: str) -> float:
-        """Return this instance's current load of a member plus the whole class's published one."""
+        """Return this instance's current load on a member plus the whole class's published one."""
         return self.load(host) + self.subset_loads.get(self.positions[host], 0)
 
     def choose(self, now: float, attempted_hosts: set[str]) -> str | None:
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -94,7 +94,7 @@
 @given(NAMES, st.integers(1, 6))
 def test_an_assignment_survives_encoding_in_buckets(names: list[str], class_count: int) -> None:
     assignment = next_assignment({}, names, class_count)
-    buckets = [read_bucket(encode_bucket(assignment, bucket), class_count) for bucket in range(BUCKET_COUNT)]
+    buckets = [read_bucket(encode_bucket(assignment, index), class_count) for index in range(BUCKET_COUNT)]
     assert all(
         buckets[bucket_index(name)][short_digest(name)] == number for name, number in assignment.items()
     )
