--- a/saltcart/decision/__init__.py
+++ b/saltcart/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision about requests: which are admitted, in which order they run, which are rejected."""
+"""All decisions about requests: which ones to admit, the order in which they run and which ones to reject."""
--- a/saltcart/decision/actions.py
+++ b/saltcart/decision/actions.py
@@ -1,7 +1,7 @@
-"""Actions that a controller asks its host to carry out.  Times are seconds.
+"""Actions that a host carries out for its controller.  Times are in seconds.
 
-They are plain classes, not tuples: a ``StartRun`` and a ``FailRequest`` of the same request must not compare
-equal.
+The types are dataclasses rather than named tuples, because a ``StartRun`` and a ``FailRequest`` of the same
+request must not compare equal.
 """
 
 from __future__ import annotations
@@ -11,37 +11,37 @@
 
 @dataclass(slots=True)
 class StartRun:
-    """Start a held request."""
+    """Start the run of a held request."""
 
     id: int
 
 
 @dataclass(slots=True)
 class StopRun:
-    """Stop running work, as far as preemption allows."""
+    """Stop a running request, as far as preemption allows."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: refused, never ran."""
+    """Send the final answer that the request is rejected and never ran."""
 
     id: int
-    is_final: bool = False  # asks that no other server is tried
+    is_final: bool = False  # the caller should not try another server
     retry_after: float = 0.0
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: an error that does not say whether the request ran."""
+    """Send a final error answer that leaves open whether the request ran."""
 
     id: int
 
 
 @dataclass(slots=True)
 class StartCall:
-    """Make the call that a request waits for."""
+    """Start the call for which a request waits."""
 
     id: int
     timeout: float
@@ -49,22 +49,22 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Go on without the call."""
+    """Resume a request without its call."""
 
     id: int
 
 
 @dataclass(slots=True)
 class ReserveKey:
-    """Enter a request's idempotency key in the table of keys for so many seconds."""
+    """Add a request's idempotency key to the table of keys."""
 
     id: int
-    seconds: float
+    seconds: float  # how long the key is remembered
 
 
 @dataclass(slots=True)
 class ReleaseKey:
-    """Take a request's idempotency key out of the table of keys."""
+    """Remove a request's idempotency key from the table of keys."""
 
     id: int
 
@@ -78,29 +78,29 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    """What health checks are answered, and whether that answer may be cached."""
+    """Set the answer to health checks."""
 
     is_healthy: bool
-    answer_from_cache: bool
+    answer_from_cache: bool  # health checks may be answered from a cache
 
 
 @dataclass(slots=True)
 class AdvertiseLevel:
-    """The level that clients are sent; its meaning is the settings' ``LoadSignal``."""
+    """Send clients a new load level; ``LoadSignal`` in the settings defines its meaning."""
 
     level: float
 
 
 @dataclass(slots=True)
 class SetIdleTimeout:
-    """Close connections that were idle for so many seconds; 0 for the deployment's own limit."""
+    """Set how long connections may be idle before they are closed."""
 
-    seconds: float
+    seconds: float  # 0 for the limit of the deployment
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` at this time."""
+    """Schedule a ``TimerFired`` event."""
 
     at: float
     token: int
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/saltcart/decision/connection_admission.py
+++ b/saltcart/decision/connection_admission.py
@@ -1,4 +1,4 @@
-"""What may become of a new connection before anything is read from it."""
+"""Admission of connections whose request has not been read yet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionAdmission(enum.Enum):
-    """What becomes of a connection that brings a request."""
+    """Decision about a connection on which a request has arrived."""
 
     REFUSE = "not read"
     READ = "read"
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -194,7 +194,7 @@
         self._finish(request)
 
     def _record_run(self, now: float, request: Request, outcome: Outcome) -> None:
-        seconds = now - request.started_at - request.seconds_at_calls
+        seconds = now - request.started_at - request.off_core_seconds
         succeeded = outcome is Outcome.SUCCEEDED
         self.run_times.record_run(request.class_index, seconds, succeeded)
         # What never ran tells nothing of the cores.
@@ -281,7 +281,7 @@
         """Put a run back on the cores after its call."""
         self.table.move(request, RUNNING)
         seconds = now - request.left_cores_at
-        request.seconds_at_calls += seconds
+        request.off_core_seconds += seconds
         if self.settings.classes[request.class_index].skipped_call_weight_share == 0:
             self.run_times.record_call_wait(seconds)
 
--- a/saltcart/decision/decisions.py
+++ b/saltcart/decision/decisions.py
@@ -1,4 +1,4 @@
-"""What the policies decide of a request; the controller carries it out."""
+"""Decisions of the policies about a request, which the controller carries out."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class RunDecision(enum.Enum):
-    """What becomes of the held request whose turn it is."""
+    """Decision about the held request that is next to run."""
 
     START = "start its run"
     REJECT = "reject it, since it can't end in time"
 
 
 class CallDecision(enum.Enum):
-    """What becomes of a request that is off the cores for a call."""
+    """Decision about a request that is off the cores for a call."""
 
     START = "make the call"
     SKIP = "go on without the call"
@@ -22,7 +22,7 @@
 
 
 class DueDecision(enum.Enum):
-    """What becomes of a request when it is looked at again."""
+    """Decision about a request whose scheduled check is due."""
 
     WATCH = "look at it again later"
     REJECT = "reject it, since it can't end in time"
--- a/saltcart/decision/events.py
+++ b/saltcart/decision/events.py
@@ -1,4 +1,4 @@
-"""Events that the host of a controller feeds to it.  Times are seconds, sizes are kilobytes."""
+"""Events that a host passes to its controller.  Times are in seconds, sizes in kilobytes."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class Started(NamedTuple):
-    """The server is up; the first event of every controller."""
+    """The server has started; the first event of every controller."""
 
 
 class RequestArrived(NamedTuple):
-    """A request has been read; one final answer is owed."""
+    """A request has been read and needs exactly one final answer."""
 
     id: int
     class_index: int  # into ``Settings.classes``
     size_kb: float
-    priority_rank: float  # 0 to 1, the least valuable first, each class an equal part
-    unread_seconds: float = 0.0  # between its arrival at the server and its reading
-    time_to_deadline: float | None = None  # how long its caller will still wait
+    priority_rank: float  # 0 (lowest priority) to 1; each class has an equal part of the range
+    unread_seconds: float = 0.0  # time between its arrival at the server and the read
+    time_to_deadline: float | None = None  # how much longer its caller waits
     tenant_index: int | None = None  # into ``Settings.tenants``
     cost_hint: float | None = None
     resource_key: str | None = None
     is_retry: bool = False
     is_write: bool = False
     balancer: int = 0
-    repeat_of: int | None = None  # an earlier attempt of the same request, or a read with the same answer
-    has_reservation: bool = False  # its caller was told to come back now: not shed with its class
+    repeat_of: int | None = None  # an earlier attempt of this request, or a read with the same answer
+    has_reservation: bool = False  # a retry at its reserved time: exempt from the early shedding of its class
 
 
 class RunFinished(NamedTuple):
-    """A run, or the run whose answer a joined attempt shares, is over."""
+    """A run has ended: that of the request, or that of the attempt which it joined."""
 
     id: int
     outcome: Outcome
@@ -40,19 +40,19 @@
 
 
 class RequestAbandoned(NamedTuple):
-    """The caller no longer waits for this request."""
+    """The caller has stopped waiting for this request."""
 
     id: int
 
 
 class CallRequested(NamedTuple):
-    """A running request has left the cores and waits for a call to its dependency to be admitted."""
+    """A running request has left the cores and waits for admission of a call to its dependency."""
 
     id: int
 
 
 class CallFinished(NamedTuple):
-    """A call to a dependency is over."""
+    """A call to a dependency has ended."""
 
     id: int
     outcome: Outcome
@@ -60,34 +60,34 @@
 
 
 class DrainStarted(NamedTuple):
-    """The server drains and will be stopped after ``stop_in`` seconds."""
+    """The server has started to drain and will be stopped in ``stop_in`` seconds."""
 
     stop_in: float
 
 
 class TenantsChanged(NamedTuple):
-    """The tenants from now on."""
+    """The list of tenants has been replaced."""
 
     tenants: tuple[TenantSpec, ...]
 
 
 class WorkersRestarted(NamedTuple):
-    """The workers were started anew ``age`` seconds ago; the host reports what ran there as finished."""
+    """The workers were restarted ``age`` seconds ago; the host reports each interrupted run as finished."""
 
     starts_cold: bool
     age: float
 
 
 class PredecessorLoad(NamedTuple):
-    """What the process from which this one takes over still has on the same cores and in the same memory."""
+    """Load that the predecessor of this process still has on the same cores and in the same memory."""
 
-    running: int = 0
-    calling: int = 0
+    running: int = 0  # requests on the cores
+    calling: int = 0  # requests with a call in flight
     memory_kb: float = 0.0
 
 
 class TimerFired(NamedTuple):
-    """A timer is due; the gauges have the names of the settings and may be absent."""
+    """A timer is due.  Gauges are named as in the platform's settings; one without a reading is ``None``."""
 
     token: int
     cpu_busy: float | None = None
--- a/saltcart/decision/outcome.py
+++ b/saltcart/decision/outcome.py
@@ -1,4 +1,4 @@
-"""How a run or a call ended."""
+"""Outcomes of runs and of calls to a dependency."""
 
 from __future__ import annotations
 
--- a/saltcart/decision/request.py
+++ b/saltcart/decision/request.py
@@ -9,16 +9,16 @@
 
 
 class RequestState(enum.IntEnum):
-    """Where a request stands between its arrival and its end."""
+    """The state of a live request."""
 
     HELD = 0  # waits for a run slot
     RUNNING = 1  # on the cores
     AWAITING_CALL = 2  # off the cores; its call is not admitted yet
-    CALLING = 3  # off the cores; its call is under way
+    CALLING = 3  # off the cores; its call is in flight
     JOINED = 4  # waits for the result of the attempt that it repeats
 
 
-# Read through the class a member costs a tenth of a microsecond, which each event would pay several times.
+# Aliases: looking up a member in its class takes 0.1 microseconds, and each event needs several members.
 HELD = RequestState.HELD
 RUNNING = RequestState.RUNNING
 AWAITING_CALL = RequestState.AWAITING_CALL
@@ -27,7 +27,7 @@
 
 
 class Request:
-    """One request that is held or under way.  Times are seconds by the controller's clock."""
+    """A live request.  Times are in seconds on the controller's clock."""
 
     __slots__ = (
         "answered",
@@ -39,8 +39,8 @@
         "id",
         "left_cores_at",
         "objective_at",
+        "off_core_seconds",
         "read_at",
-        "seconds_at_calls",
         "size_kb",
         "started_at",
         "state",
@@ -55,7 +55,15 @@
         objective_at: float,
         tenant: TenantSpec | None,
     ) -> None:
-        """``due_at``: its answer is owed by then; ``objective_at``: until then it earns its full weight."""
+        """Create the record of a request that has been read and is held.
+
+        Args:
+            event: The arrival of the request.
+            now: Current time.
+            due_at: Time by which its final answer must be sent.
+            objective_at: Time until which an answer earns the full priority weight.
+            tenant: Its tenant, if known.
+        """
         self.id = event.id
         self.class_index = event.class_index
         self.size_kb = event.size_kb
@@ -64,10 +72,10 @@
         self.tenant = tenant
         self.state = HELD
         self.has_run = False
-        self.answered = False  # or its caller is gone: no answer is owed any more
+        self.answered = False  # also True once its caller has gone: no final answer is due
         self.arrived_at = now - event.unread_seconds
         self.read_at = now
         self.started_at = now
         self.left_cores_at = 0.0
-        self.seconds_at_calls = 0.0
+        self.off_core_seconds = 0.0
         self.broken_calls = 0
--- a/saltcart/decision/settings.py
+++ b/saltcart/decision/settings.py
@@ -1,6 +1,6 @@
 """Settings of the decision module.
 
-Times are seconds, memory sizes are kilobytes.  A setting that may be absent is ``None`` then.
+Times are in seconds and memory sizes in kilobytes.  An absent optional setting is ``None``.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Effect(enum.Enum):
-    """What running a request twice would do."""
+    """Whether a request of a class may run more than once."""
 
     SAFE = "safe to repeat"
     IDEMPOTENT_BY_KEY = "runs once in its key's window"
@@ -18,7 +18,7 @@
 
 
 class Preemption(enum.Enum):
-    """What the host can do to work that is running."""
+    """How the host can interrupt a running request."""
 
     NONE = "nothing"
     DROP = "stop it, losing what was done"
@@ -26,7 +26,7 @@
 
 
 class LoadSignal(enum.Enum):
-    """What clients make of the level that this server advertises."""
+    """How clients interpret the load level that this server advertises."""
 
     NONE = "unused"
     LEVEL = "no request of a lower priority rank is sent here"
@@ -35,7 +35,7 @@
 
 
 class DependencyKind(enum.Enum):
-    """What requests call while they run."""
+    """The dependency that running requests call."""
 
     NONE = "nothing"
     SHARED = "one dependency shared by all servers"
@@ -44,36 +44,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """One class of requests."""
+    """A class of requests with the same latency objective and priority weight."""
 
     name: str
     effect: Effect
-    latency_objective: float  # an answer within this earns the full weight
-    deadline: float  # how long a client waits in all
+    latency_objective: float  # an answer within this time earns the full priority weight
+    deadline: float  # the total time for which a client waits
     priority_weight: float
-    late_weight_share: float = 0.0  # of the weight, earned by an answer after the objective
-    key_window: float = 0.0  # with keys: a retry may come for this long after the arrival
+    late_weight_share: float = 0.0  # share of the weight that an answer after the objective earns
+    key_window: float = 0.0  # how long after the first attempt a retry with its idempotency key may arrive
     calls_dependency: bool = False
-    skipped_call_weight_share: float = 0.0  # of the weight, earned when a call is skipped
+    skipped_call_weight_share: float = 0.0  # share of the weight that an answer without the call earns
 
     @property
     def requires_call(self) -> bool:
-        """Whether its runs call the dependency and are worth nothing without the reply."""
+        """Whether runs of this class call the dependency and earn nothing without its reply."""
         return self.calls_dependency and self.skipped_call_weight_share == 0
 
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """One tenant and its quota, in requests a second over the whole fleet."""
+    """A tenant and its quota."""
 
     name: str
-    quota: float
+    quota: float  # requests per second, over the whole fleet
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveWeights:
-    """Weights of the parts of the objective by which the deployment is judged."""
+    """Weights of the terms of the objective by which the deployment is evaluated."""
 
     overall: float = 1.0
     worst_window: float = 0.0
@@ -83,40 +83,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a controller is told when its server starts."""
+    """Settings that a controller receives when its server starts."""
 
     classes: tuple[ClassSpec, ...]
     cores: int
     memory_kb: float
-    answer_slack: float  # a final answer may be this late
-    drain_grace: float  # what arrives later than this after the drain began must not run
+    answer_slack: float  # how long after its deadline a final answer may still be sent
+    drain_grace: float  # requests that arrive later than this after the start of a drain must not run
     max_running_per_core: float  # requests that a warm server survives, as a mean over max_running_window
     max_running_window: float
-    cold_speed_share: float = 1.0  # of its speed, that a cold server starts with
+    cold_speed_share: float = 1.0  # share of its warm speed at which a cold server starts
     warm_up_seconds: float = 0.0
     starts_cold: bool = False
     tenants: tuple[TenantSpec, ...] = ()
-    over_quota_weight_share: float = 1.0  # of the weight, that requests beyond a tenant's quota earn
+    over_quota_weight_share: float = 1.0  # share of the weight that requests over a tenant's quota earn
     objective: ObjectiveWeights = ObjectiveWeights()
     preemption: Preemption = Preemption.NONE
     signal: LoadSignal = LoadSignal.NONE
     dependency: DependencyKind = DependencyKind.NONE
-    dependency_call_share: float | None = None  # calls in the shared dependency, as a mean
+    # Concurrent calls of this server at the shared dependency, as a mean over dependency_call_window.
+    dependency_call_share: float | None = None
     dependency_call_window: float = 0.0
-    abandoned_call_seconds: float = 0.0  # an abandoned call may occupy the dependency for this long
-    run_memory_factor: float = 1.0  # memory of a running request over that of a held one
+    abandoned_call_seconds: float = 0.0  # how long an abandoned call may occupy the dependency
+    run_memory_factor: float = 1.0  # memory of a running request divided by that of a held one
     key_entry_kb: float = 0.0  # memory of one remembered idempotency key
-    read_freshness_seconds: float = 0.0  # how long a read's answer may serve others
-    signal_lifetime: float = 0.0  # how long clients follow an advertised level
-    max_retry_after: float = 0.0  # longest Retry-After that is passed on; 0 if none is
+    read_freshness_seconds: float = 0.0  # how long the answer to a read may be reused for other requests
+    signal_lifetime: float = 0.0  # how long clients apply an advertised level
+    max_retry_after: float = 0.0  # upper bound of Retry-After; 0 where clients are not sent one
     client_idle_timeout: float = 0.0  # clients close connections that were idle for this long
     replica_count: int = 1
     client_count: int = 1
     batch_interval: float = 0.001  # shortest time between two batches of events
-    tier: int = 0  # 0 for clients' requests; calls of the tier before arrive at the others
+    tier: int = 0  # 0 serves the requests of clients, each further tier the calls of the previous one
 
     def speed_share(self, age: float) -> float:
-        """Return the share of its warm speed that a server has, so many seconds after its start."""
+        """Return the share of its warm speed that a server has at an age in seconds."""
         if not self.starts_cold or age >= self.warm_up_seconds:
             return 1.0
         return self.cold_speed_share + (1 - self.cold_speed_share) * age / self.warm_up_seconds
