--- a/saltcart/decision/admission.py
+++ b/saltcart/decision/admission.py
@@ -59,7 +59,7 @@
         """Whether a new request is better rejected at once."""
         class_index = request.class_index
         if now < request.objective_at < now + self.run_times.expected(class_index):
-            self.run_times.fade(class_index)
+            self.run_times.decay(class_index)
             return True
         drain = self.drain
         if now >= min(drain.answer_by, request.objective_at) or request.arrived_at > drain.accept_until:
@@ -100,8 +100,8 @@
     def _is_over_quota(self, now: float, request: Request) -> bool:
         if request.tenant is None:
             return False
-        allowed = QUOTA_SPAN * self.objective * self.usage.rate(request.tenant)
-        return self.usage.ahead(now, request.tenant) > allowed
+        allowed = QUOTA_SPAN * self.objective * self.usage.quota_rate(request.tenant)
+        return self.usage.bucket_level(now, request.tenant) > allowed
 
     def has_run_memory(self, request: Request, other: PredecessorLoad) -> bool:
         """Whether the memory holds a run of this held request."""
--- a/saltcart/decision/call_admission.py
+++ b/saltcart/decision/call_admission.py
@@ -34,7 +34,7 @@
         share = settings.dependency_call_share if settings.dependency is DependencyKind.SHARED else None
         self.max_limit = float(settings.cores) if share is None else max(1e-3, SURVIVED_SHARE * share)
         self.limit = self.max_limit
-        self.times = CallTimeEstimator()
+        self.call_times = CallTimeEstimator()
         self.closed_until = 0.0  # no call is made before this
         self.next_backoff_at = 0.0
         self.waiting: list[deque[Request]] = [deque() for _ in settings.classes]
@@ -46,12 +46,12 @@
     def record(self, now: float, outcome: Outcome, seconds: float) -> None:
         """Adapt the limit to a call that is over."""
         if outcome is Outcome.SUCCEEDED:
-            self.times.record(seconds)
+            self.call_times.record(seconds)
         elif outcome is Outcome.TIMED_OUT:
             self.closed_until = now + self.settings.abandoned_call_seconds  # it may linger there
         # A call that broke off tells of a link, not of a crowd.
         failed = outcome not in (Outcome.SUCCEEDED, Outcome.BROKEN_OFF)
-        if not failed and self.times.seconds <= SWOLLEN * self.times.baseline_seconds:
+        if not failed and self.call_times.mean_seconds <= SWOLLEN * self.call_times.baseline_seconds:
             step = min(1 / self.limit, self.limit / 4)
             self.limit = min(self.max_limit, self.limit + step)
         elif now > self.next_backoff_at:
@@ -108,4 +108,4 @@
         if request.answered or request.broken_calls > MAX_BROKEN_CALLS:
             return False
         rest_of_run = self.run_times.run_seconds[request.class_index] / 2
-        return now + self.times.seconds + rest_of_run < request.objective_at
+        return now + self.call_times.mean_seconds + rest_of_run < request.objective_at
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -96,7 +96,7 @@
     def _on_started(self, now: float, _: events.Started) -> None:
         self.workers_started_at = now
         self.last_completion_at = now
-        self.scheduler.limiter.period_began_at = now
+        self.scheduler.limiter.period_started_at = now
         self.wheel.start(now)
         self.actions.append(actions.SetHealth(is_healthy=True, answer_from_cache=True))
         self.actions.append(actions.SetTimer(now + self.sweep_interval, 0))
@@ -117,7 +117,7 @@
         # What was learned of warm cores must not crowd cold ones.
         self.settings = replace(self.settings, starts_cold=event.starts_cold)
         self.scheduler.limiter = ConcurrencyLimiter(self.settings)
-        self.scheduler.limiter.period_began_at = now
+        self.scheduler.limiter.period_started_at = now
         self.workers_started_at = now - event.age
         self.last_completion_at = now
 
@@ -164,7 +164,7 @@
         if not self.admission.may_join(now, first_id):
             self._finish(request)
             return
-        self.table.move(request, JOINED)
+        self.table.change_state(request, JOINED)
         self.actions.append(actions.JoinAttempt(request.id))
         self._watch(now, request)
 
@@ -239,7 +239,7 @@
         request = self.table.get(event.id)
         if request is None or request.state not in (RUNNING, CALLING):
             return
-        self.table.move(request, AWAITING_CALL)
+        self.table.change_state(request, AWAITING_CALL)
         request.left_cores_at = now
         if not request.answered:
             self.calls.wait(request)
@@ -253,7 +253,7 @@
         if event.outcome is Outcome.SUCCEEDED:
             self._resume(now, request)
         else:
-            self.table.move(request, AWAITING_CALL)
+            self.table.change_state(request, AWAITING_CALL)
             request.broken_calls += event.outcome is Outcome.BROKEN_OFF
             decision = self.calls.decide_after_failure(now, request, event.outcome)
             self._apply_call_decision(now, request, decision)
@@ -266,7 +266,7 @@
     def _apply_call_decision(self, now: float, request: Request, decision: CallDecision) -> None:
         match decision:
             case CallDecision.START:
-                self.table.move(request, CALLING)
+                self.table.change_state(request, CALLING)
                 timeout = max(self.sweep_interval, request.objective_at - now)
                 self.actions.append(actions.StartCall(request.id, timeout))
             case CallDecision.SKIP:
@@ -279,7 +279,7 @@
 
     def _resume(self, now: float, request: Request) -> None:
         """Put a run back on the cores after its call."""
-        self.table.move(request, RUNNING)
+        self.table.change_state(request, RUNNING)
         seconds = now - request.left_cores_at
         request.off_core_seconds += seconds
         if self.settings.classes[request.class_index].skipped_call_weight_share == 0:
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -48,7 +48,7 @@
         if counts[RUNNING] + other.running >= slots or not counts[HELD]:
             return
         # One a core never falls, whatever is survived: below that nothing would run at all.
-        survivable = max(self.settings.cores, SURVIVABLE_SHARE * self.limiter.survivable(age))
+        survivable = max(self.settings.cores, SURVIVABLE_SHARE * self.limiter.survivable_requests(age))
         most = survivable - (other.running + other.calling)
         is_stuck = counts[AWAITING_CALL] + counts[CALLING] >= slots
         barred = self.run_times.requires_call if is_stuck else self.none_barred
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -16,7 +16,7 @@
         limiter.update(1 + n * 0.3, 99.0, 0.4, 5, 9.0)
         limiter.update(1 + n * 0.3 + 0.1, 99.0, 0.4, 5, 9.0)  # the gauge has not moved yet
     assert limiter.slots == 5
-    limiter.period_began_at = 1.0
+    limiter.period_started_at = 1.0
     for n in range(2, 8):
         limiter.completions = 10
         limiter.update(float(n), 99.0, 1.0, 5, 1.0)
@@ -28,5 +28,5 @@
 
 def test_cold_server_bears_a_smaller_crowd() -> None:
     limiter = ConcurrencyLimiter(replace(BASE, starts_cold=True, cold_speed_share=0.25, warm_up_seconds=10.0))
-    assert limiter.survivable(0.0) == pytest.approx(2 * 2.0)
-    assert limiter.survivable(10.0) == pytest.approx(2 * 5.0)
+    assert limiter.survivable_requests(0.0) == pytest.approx(2 * 2.0)
+    assert limiter.survivable_requests(10.0) == pytest.approx(2 * 5.0)
