--- a/saltcart/decision/advertisement.py
+++ b/saltcart/decision/advertisement.py
@@ -1,53 +1,76 @@
-"""The level of load that clients are told."""
+"""Advertisement: the load level that this server sends to its clients."""
 
 from __future__ import annotations
 
 from saltcart.decision.actions import Action, AdvertiseLevel
 from saltcart.decision.settings import LoadSignal, Settings
 
-LEVEL_STEP = 0.02  # a level that moved by less, or by less of what was said, is not said again
-FINAL_PRESSURE = 0.2  # from here on a rejected caller is asked to try no other server
+MIN_LEVEL_CHANGE = 0.02  # smaller changes are not sent; relative to the last level if that is above 1
+FINAL_PRESSURE = 0.2  # above which a rejected caller should not try another server
+# Smoothing of the pressure, in multiples of its range per latency objective.
+FALL_SPEED = 2
+RISE_SPEED = 4
+FULL_PRESSURE = 0.95  # from which the classes that are shed first count as shed in full
+WEIGHT_REDUCTION = 0.8  # of the weight, at a pressure of 1
+CREDIT_REDUCTION = 0.45  # of the credit, at a pressure of 1
+CREDITS_PER_SLOT = 3
 
 
 class Advertisement:
-    """The level follows the pressure, faster up than down."""
+    """Derives the level from the smoothed pressure, which rises faster than it falls."""
 
     def __init__(self, settings: Settings, sweep_interval: float, objective: float) -> None:
         self.settings = settings
-        self.step = sweep_interval / objective  # of the pressure's way, at one sweep
+        self.step = sweep_interval / objective
         self.pressure = 0.0  # smoothed
         self.last_level = -1.0
 
-    def asks_to_try_no_other(self) -> bool:
-        """Whether a rejected caller is asked to try no other server: likely they are as loaded."""
+    def rejections_are_final(self) -> bool:
+        """Whether a rejected caller should not try another server, since the others are likely as loaded."""
         return self.pressure > FINAL_PRESSURE
 
-    def update(self, pressure: float, shed_first: int, slots: int, is_leaving: bool) -> list[Action]:
-        """Return what clients are to be told now, at one sweep."""
-        pace = 2 if pressure < self.pressure else 4
-        self.pressure += min(1.0, pace * self.step) * (pressure - self.pressure)
+    def update(
+        self, pressure: float, first_shed_count: int, slots: int, is_withdrawing: bool
+    ) -> list[Action]:
+        """Update the level at a sweep and return the action that sends it, if it changed enough.
+
+        Args:
+            pressure: Pressure of the admission control.
+            first_shed_count: Number of classes of lowest weight that are shed first.
+            slots: Number of run slots.
+            is_withdrawing: Whether clients should send no more requests to this server.
+        """
+        speed = FALL_SPEED if pressure < self.pressure else RISE_SPEED
+        self.pressure += min(1.0, speed * self.step) * (pressure - self.pressure)
         level = 0.0
         if self.settings.signal is LoadSignal.LEVEL:
-            level = 1.0 if is_leaving else self._lowest_rank(shed_first)
-        elif not is_leaving:
+            level = 1.0 if is_withdrawing else self._lowest_rank(first_shed_count)
+        elif not is_withdrawing:
             level = self._weight_or_credit(slots)
-        return self._say_level(level)
+        return self._advertise(level)
 
-    def _lowest_rank(self, shed_first: int) -> float:
-        # Below 1, no more than is rejected here anyway, in the lowest class.
+    def _lowest_rank(self, first_shed_count: int) -> float:
+        # Below full pressure only the lowest class is turned away, at the share that is rejected here anyway.
         class_count = len(self.settings.classes)
-        if self.pressure < 0.95:
+        if self.pressure < FULL_PRESSURE:
             return self.pressure / class_count
-        return (shed_first + max(0.0, self.pressure - 1) * (class_count - shed_first)) / class_count
+        return (
+            first_shed_count + max(0.0, self.pressure - 1) * (class_count - first_shed_count)
+        ) / class_count
 
     def _weight_or_credit(self, slots: int) -> float:
         if self.settings.signal is LoadSignal.WEIGHT:
-            return 1 - 0.8 * min(1.0, self.pressure)
-        return 3 * slots * (1 - 0.45 * self.pressure) / max(1, self.settings.client_count)
+            return 1 - WEIGHT_REDUCTION * min(1.0, self.pressure)
+        return (
+            CREDITS_PER_SLOT
+            * slots
+            * (1 - CREDIT_REDUCTION * self.pressure)
+            / max(1, self.settings.client_count)
+        )
 
-    def _say_level(self, level: float) -> list[Action]:
-        least_change = LEVEL_STEP * max(1.0, self.last_level)
-        if self.settings.signal is LoadSignal.NONE or abs(level - self.last_level) <= least_change:
+    def _advertise(self, level: float) -> list[Action]:
+        min_change = MIN_LEVEL_CHANGE * max(1.0, self.last_level)
+        if self.settings.signal is LoadSignal.NONE or abs(level - self.last_level) <= min_change:
             return []
         self.last_level = level
         return [AdvertiseLevel(level)]
--- a/saltcart/decision/call_admission.py
+++ b/saltcart/decision/call_admission.py
@@ -83,8 +83,8 @@
         return is_live and request.state is AWAITING_CALL and not request.answered
 
     def _has_room(self, now: float) -> bool:
-        under_way = self.table.counts[CALLING]
-        return under_way + 1 <= max(1.0, self.limit) and now >= self.closed_until
+        in_flight = self.table.counts[CALLING]
+        return in_flight + 1 <= max(1.0, self.limit) and now >= self.closed_until
 
     def _should_skip(self, now: float, request: Request) -> bool:
         spec = self.settings.classes[request.class_index]
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -159,9 +159,9 @@
         tenant = tenants[index] if index is not None and index < len(tenants) else None
         return Request(event, now, due_at, objective_at, tenant)
 
-    def _join(self, now: float, request: Request, first_id: int) -> None:
+    def _join(self, now: float, request: Request, first_attempt_id: int) -> None:
         request.has_run = True
-        if not self.admission.may_join(now, first_id):
+        if not self.admission.may_join(now, first_attempt_id):
             self._finish(request)
             return
         self.table.change_state(request, JOINED)
@@ -216,7 +216,7 @@
         if not request.answered:
             request.answered = True
             if reject and not request.has_run:
-                is_final = self.advertisement.asks_to_try_no_other()
+                is_final = self.advertisement.rejections_are_final()
                 self.actions.append(actions.Reject(request.id, is_final, self.admission.retry_after()))
             else:
                 self.actions.append(actions.FailRequest(request.id))
@@ -312,8 +312,10 @@
         self.admission.update_pressure(slots, self.sweep_interval, stalled_seconds)
         self.drain.update(now)
         pressure = self.admission.pressure
-        shed_first = self.admission.shed_first
-        self.actions += self.advertisement.update(pressure, shed_first, slots, self.drain.is_leaving)
+        first_shed_count = self.admission.first_shed_count
+        self.actions += self.advertisement.update(
+            pressure, first_shed_count, slots, self.drain.is_withdrawing
+        )
         self.actions += self.idle_timeout.update(self.advertisement.pressure)
 
     def _watch(self, now: float, request: Request) -> None:
--- a/saltcart/decision/drain.py
+++ b/saltcart/decision/drain.py
@@ -1,33 +1,34 @@
-"""The drain: until when requests are run and answered, and when clients are asked to stay away."""
+"""Deadlines of a drain: for new requests, for final answers and for the withdrawal from the clients."""
 
 from __future__ import annotations
 
 from saltcart.decision.settings import Settings
 
-RUN_SHARE = 0.9  # of the grace: what arrives in it still runs
-ANSWER_SWEEPS = 3  # before the stop, by which all is answered
+ACCEPT_SHARE = 0.9  # share of the drain grace in which arriving requests still run
+FINAL_ANSWER_SWEEPS = 3  # number of sweeps before the stop by which every request is answered
 
 
 class Drain:
-    """The deadlines of a drain; infinite while the server serves on.
+    """The deadlines of a drain, which are infinite before it starts.
 
-    The cores of a draining server are warm and clients learn of the drain late: it serves on for nearly all
-    of the grace, and asks clients away only as long before that as half of them take to forget it.
+    A draining server has warm cores, and clients learn of the drain late.  So it accepts requests for most of
+    the drain grace.  It withdraws from its clients half the lifetime of an advertised level before that ends,
+    the time in which half of the clients drop the previous level.
     """
 
     def __init__(self, settings: Settings, objective: float) -> None:
         self.settings = settings
         self.objective = objective
-        self.accept_until = float("inf")  # nothing that arrives later runs
-        self.answer_by = float("inf")  # all is answered by then
-        self.is_leaving = False  # clients are asked to stay away for good
+        self.accept_until = float("inf")  # requests that arrive later do not run
+        self.answer_by = float("inf")  # every request is answered by then
+        self.is_withdrawing = False  # clients should send no more requests to this server
 
     def start(self, now: float, stop_in: float, sweep_interval: float) -> None:
-        """Set the deadlines for a process that is stopped in ``stop_in`` seconds."""
-        self.accept_until = now + RUN_SHARE * self.settings.drain_grace
-        self.answer_by = now + max(0.0, stop_in - ANSWER_SWEEPS * sweep_interval)
+        """Set the deadlines for a server that will be stopped in ``stop_in`` seconds."""
+        self.accept_until = now + ACCEPT_SHARE * self.settings.drain_grace
+        self.answer_by = now + max(0.0, stop_in - FINAL_ANSWER_SWEEPS * sweep_interval)
 
     def update(self, now: float) -> None:
-        """Decide whether clients are asked to stay away from now on."""
-        leave_at = min(self.accept_until, self.answer_by - self.objective)
-        self.is_leaving = now >= leave_at - self.settings.signal_lifetime / 2
+        """Decide whether the server withdraws from its clients."""
+        withdraw_at = min(self.accept_until, self.answer_by - self.objective)
+        self.is_withdrawing = now >= withdraw_at - self.settings.signal_lifetime / 2
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -1,4 +1,4 @@
-"""Run slots: which held request starts next, and which can no longer end in time."""
+"""Run scheduler: chooses the held request that runs next and rejects those that cannot end in time."""
 
 from __future__ import annotations
 
@@ -17,16 +17,24 @@
 from saltcart.decision.request_table import RequestTable
 from saltcart.decision.settings import Settings
 
-SURVIVABLE_SHARE = 0.8  # of the requests that the cores survive: no run is started beyond it
+SURVIVABLE_RUN_SHARE = 0.8  # share of the requests that the server survives, up to which runs are started
 
 
 class RunScheduler:
-    """Draws the class whose first request takes a free slot."""
+    """Assigns free run slots to held requests."""
 
     def __init__(
         self, settings: Settings, order: Sequence[int], table: RequestTable, admission: Admission, seed: int
     ) -> None:
-        """``order``: the classes, the highest weight first."""
+        """Create a scheduler with empty queues.
+
+        Args:
+            settings: Settings of the server.
+            order: Indexes of the classes, highest priority weight first.
+            table: The live requests.
+            admission: Checks the memory for a run.
+            seed: Seed of the random draws between classes.
+        """
         self.settings = settings
         self.order = order
         self.table = table
@@ -34,31 +42,44 @@
         self.run_times: RunTimeEstimator = admission.run_times
         self.queues = ClassQueues(order, table, random.Random(seed))
         self.limiter = ConcurrencyLimiter(settings)
-        # Waits to hold: what each class can afford.
+        # Target ratios of the waits: a class affords a longer wait with a longer latency objective or a lower
+        # priority weight.
         classes = [settings.classes[k] for k in order]
-        spare = [spec.latency_objective / max(spec.priority_weight, 1e-9) for spec in classes]
-        self.delay_ratios = DelayRatioController([higher / lower for higher, lower in pairwise(spare)])
+        affordable_waits = [spec.latency_objective / max(spec.priority_weight, 1e-9) for spec in classes]
+        self.delay_ratios = DelayRatioController(
+            [higher / lower for higher, lower in pairwise(affordable_waits)]
+        )
         self.waits = QueueWaits(len(order))
-        self.none_barred = [False] * len(order)
+        self.none_excluded = [False] * len(order)
+
+    def decide(
+        self, now: float, age: float, predecessor: PredecessorLoad
+    ) -> Iterator[tuple[Request, RunDecision]]:
+        """Yield held requests for the free slots.
+
+        The caller must carry out each decision before it takes the next one.
 
-    def decide(self, now: float, age: float, other: PredecessorLoad) -> Iterator[tuple[Request, RunDecision]]:
-        """Yield held requests for free slots while there are any; each decision is carried out at once."""
+        Args:
+            now: Current time.
+            age: Seconds since the workers started.
+            predecessor: Load that the predecessor process still has on the same cores and memory.
+        """
         counts = self.table.counts
         slots = self.limiter.slots
-        if counts[RUNNING] + other.running >= slots or not counts[HELD]:
+        if counts[RUNNING] + predecessor.running >= slots or not counts[HELD]:
             return
-        # One a core never falls, whatever is survived: below that nothing would run at all.
-        survivable = max(self.settings.cores, SURVIVABLE_SHARE * self.limiter.survivable_requests(age))
-        most = survivable - (other.running + other.calling)
-        is_stuck = counts[AWAITING_CALL] + counts[CALLING] >= slots
-        barred = self.run_times.requires_call if is_stuck else self.none_barred
-        while counts[RUNNING] + other.running < slots and counts[HELD]:
-            class_index = self.queues.draw(self.delay_ratios.shares, barred)
-            under_way = counts[RUNNING] + counts[CALLING]
-            if class_index is None or under_way + 1 > most:
+        # One request per core is always allowed: a lower bound could stop all runs.
+        survivable = max(self.settings.cores, SURVIVABLE_RUN_SHARE * self.limiter.survivable_requests(age))
+        max_in_flight = survivable - (predecessor.running + predecessor.calling)
+        slots_await_calls = counts[AWAITING_CALL] + counts[CALLING] >= slots
+        excluded = self.run_times.requires_call if slots_await_calls else self.none_excluded
+        while counts[RUNNING] + predecessor.running < slots and counts[HELD]:
+            class_index = self.queues.draw(self.delay_ratios.shares, excluded)
+            in_flight = counts[RUNNING] + counts[CALLING]
+            if class_index is None or in_flight + 1 > max_in_flight:
                 return
             request = self.queues.pop(class_index)
-            if not self.admission.has_run_memory(request, other):
+            if not self.admission.has_memory_for_run(request, predecessor):
                 self.queues.put_back(request)
                 return
             if now + self.run_times.expected(class_index) > request.objective_at:
@@ -68,7 +89,7 @@
                 yield request, RunDecision.START
 
     def end_period(self) -> None:
-        """Move the shares of the classes by the waits of the period."""
+        """Adjust the shares of the classes to the waits of the period."""
         self.delay_ratios.update([self.waits.mean(class_index) for class_index in self.order])
         self.waits.reset()
         self.queues.compact()
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -406,7 +406,7 @@
 
 def test_pressure_sheds_by_standing_and_spares_the_worthy_class() -> None:
     host = ControllerHost()
-    host.controller.admission.shed_first, host.controller.admission.pressure = 1, 0.5
+    host.controller.admission.first_shed_count, host.controller.admission.pressure = 1, 0.5
     assert isinstance(host.arrive(1, 0, priority_rank=0.1)[0], Reject)
     assert StartRun(2) in host.arrive(2, 0, priority_rank=0.4)
     assert StartRun(3) in host.arrive(3, 1, priority_rank=0.55)
