--- a/saltcart/decision/attempt_age.py
+++ b/saltcart/decision/attempt_age.py
@@ -1,41 +1,53 @@
-"""Estimates how long ago a request's first attempt was made."""
+"""Estimates how long before an attempt the first attempt of its request was made."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-FIRST_ATTEMPT_SHARE = 0.1  # of the recent attempts: a timeout shared by so many is one of first attempts
-MAX_REMEMBERED = 500  # attempts; beyond that half of what is remembered is forgotten
-GRAINS_PER_DEADLINE = 256  # finer than what the timeouts of retries spread over
+MIN_FIRST_ATTEMPT_SHARE = 0.1  # a timeout of at least this share of recent attempts is one of first attempts
+MAX_REMEMBERED_ATTEMPTS = 500  # above which the counts are halved
+BUCKETS_PER_DEADLINE = 256  # narrower than the range over which the timeouts of retries are spread
 
 
 class AttemptAgeEstimator:
-    """Tells an attempt's age from the time for which its caller still waits.
+    """Estimates the age of an attempt from its timeout, which is the time for which its caller still waits.
 
-    First attempts come with one of a few timeouts, so these are seen often.  A retry comes with what is left
-    of such a timeout, and the difference is its age.
+    First attempts have one of a few timeouts, so these are frequent.  A retry has the rest of such a timeout,
+    and the difference is its age.
     """
 
     def __init__(self, deadline: float) -> None:
-        """``deadline``: seconds for which a client of this class waits in all."""
+        """Create an estimator for one class.
+
+        Args:
+            deadline: Total time in seconds for which a client of this class waits.
+        """
         self.deadline = deadline
-        self.grain = deadline / GRAINS_PER_DEADLINE
+        self.bucket_seconds = deadline / BUCKETS_PER_DEADLINE
         self.counts = Counter[int]()
         self.total = 0
-        self.first_marks = set[int]()
+        self.first_attempt_buckets = set[int]()
 
-    def age(self, timeout: float) -> float:
-        """Record one attempt's timeout and return the attempt's age, both in seconds."""
-        mark = round(timeout / self.grain)
-        self.counts[mark] += 1
+    def estimate_age(self, timeout: float) -> float:
+        """Record the timeout of an attempt and return its estimated age, both in seconds."""
+        bucket = round(timeout / self.bucket_seconds)
+        self.counts[bucket] += 1
         self.total += 1
-        if self.total > MAX_REMEMBERED:
-            self._forget_half()
-        least = FIRST_ATTEMPT_SHARE * self.total
-        self.first_marks = {m for m in self.first_marks | {mark} if self.counts[m] >= least}
-        first = min((m for m in self.first_marks if m >= mark - 1), default=0)
-        return max(0.0, (first * self.grain if first else self.deadline) - timeout)
-
-    def _forget_half(self) -> None:
-        self.counts = Counter({mark: count // 2 for mark, count in self.counts.items() if count > 1})
+        if self.total > MAX_REMEMBERED_ATTEMPTS:
+            self._halve_counts()
+        min_count = MIN_FIRST_ATTEMPT_SHARE * self.total
+        self.first_attempt_buckets = {
+            candidate
+            for candidate in self.first_attempt_buckets | {bucket}
+            if self.counts[candidate] >= min_count
+        }
+        original_bucket = min(
+            (candidate for candidate in self.first_attempt_buckets if candidate >= bucket - 1), default=0
+        )
+        return max(
+            0.0, (original_bucket * self.bucket_seconds if original_bucket else self.deadline) - timeout
+        )
+
+    def _halve_counts(self) -> None:
+        self.counts = Counter({bucket: count // 2 for bucket, count in self.counts.items() if count > 1})
         self.total = sum(self.counts.values())
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -1,8 +1,8 @@
-"""The controller of one server: events in, actions out.
+"""The controller of a server, which turns events into actions.
 
-It keeps the books on requests and carries out what the policies decide: ``admission``, ``run_scheduler``,
+It tracks the requests and carries out the decisions of the policies: ``admission``, ``run_scheduler``,
 ``class_queues``, ``delay_ratio``, ``concurrency_limit``, ``call_admission``, ``due_policy``, ``drain`` and
-``advertisement``.  docs/design.md tells which mechanism they follow.
+``advertisement``.  docs/design.md describes their mechanisms.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from saltcart.decision.settings import ClassSpec, Effect, Preemption, Settings
 from saltcart.decision.timing_wheel import TimingWheel
 
-SWEEPS_PER_OBJECTIVE = 24  # fine enough that acting a sweep early costs little of an objective
-PERIODS_PER_OBJECTIVE = 3  # of the PI loop: some completions, and well inside a surge
+SWEEPS_PER_OBJECTIVE = 24  # acting one sweep early costs only a small part of the latency objective
+PERIODS_PER_OBJECTIVE = 3  # control periods: long enough for some completions, short compared with a surge
 
 
 class Controller:
-    """Decides for one server what it runs, holds, rejects or fails.  Times are seconds."""
+    """Decides which requests of a server run, are held, rejected or failed.  Times are in seconds."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         objective = min(spec.latency_objective for spec in settings.classes)
-        order = by_weight(settings.classes)
-        # The sweep is the only timer.
+        order = order_by_weight(settings.classes)
+        # The periodic sweep is the only timer.
         self.sweep_interval = max(2 * settings.batch_interval, objective / SWEEPS_PER_OBJECTIVE)
         self.period = objective / PERIODS_PER_OBJECTIVE
         self.next_period_at = 0.0
@@ -74,24 +74,24 @@
         }
 
     def handle(self, now: float, event: events.Event) -> list[actions.Action]:
-        """Take one event and return what the host is to do, in this order."""
+        """Handle an event and return the actions for the host, in the order in which to carry them out."""
         self.actions = []
         self.handlers[type(event)](now, event)
         self._fill_slots(now)
         return self.actions
 
     def load(self) -> events.PredecessorLoad:
-        """Return what this server has on its cores and in its memory, for a process that takes over."""
+        """Return the load on the cores and the memory, for a successor that takes over from this process."""
         counts = self.table.counts
         running = counts[RUNNING]
         calling = counts[CALLING]
         return events.PredecessorLoad(running, calling, self.table.memory_kb)
 
     def held_count(self) -> int:
-        """Return how many requests wait for a run slot."""
+        """Return the number of requests that wait for a run slot."""
         return self.table.counts[HELD]
 
-    # ---- the life of the server ---------------------------------------------------------------
+    # ---- server lifecycle ---------------------------------------------------------------------
 
     def _on_started(self, now: float, _: events.Started) -> None:
         self.workers_started_at = now
@@ -114,7 +114,7 @@
         self.predecessor = event
 
     def _on_workers_restarted(self, now: float, event: events.WorkersRestarted) -> None:
-        # What was learned of warm cores must not crowd cold ones.
+        # A limit that was learned on warm cores would overload cold ones.
         self.settings = replace(self.settings, starts_cold=event.starts_cold)
         self.scheduler.limiter = ConcurrencyLimiter(self.settings)
         self.scheduler.limiter.period_started_at = now
@@ -140,7 +140,7 @@
             self.table.reserve_key(request.id)
             self.wheel.schedule_after(now + seconds, request.id)
         self.scheduler.queues.append(request)
-        self._watch(now, request)
+        self._schedule_check(now, request)
 
     def _new_request(self, now: float, event: events.RequestArrived, spec: ClassSpec) -> Request:
         arrived_at = now - event.unread_seconds
@@ -148,10 +148,11 @@
         due_at = max(now, arrived_at + spec.deadline)
         if event.time_to_deadline is not None:
             due_at = now + event.time_to_deadline
-            # A call's timeout is what its caller's objective has left, never alike: it tells no age.
+            # The timeout of a call from another tier is the rest of its caller's objective, which varies from
+            # call to call, so no age can be derived from it.
             if self.settings.tier == 0:
                 timeout = event.time_to_deadline + event.unread_seconds
-                attempt_age = self.attempt_ages[event.class_index].age(timeout)
+                attempt_age = self.attempt_ages[event.class_index].estimate_age(timeout)
         due_at = min(due_at, max(now, self.drain.answer_by))
         objective_at = min(due_at, arrived_at - attempt_age + spec.latency_objective)
         tenants = self.settings.tenants
@@ -166,7 +167,7 @@
             return
         self.table.change_state(request, JOINED)
         self.actions.append(actions.JoinAttempt(request.id))
-        self._watch(now, request)
+        self._schedule_check(now, request)
 
     # ---- runs ---------------------------------------------------------------------------------
 
@@ -197,7 +198,7 @@
         seconds = now - request.started_at - request.off_core_seconds
         succeeded = outcome is Outcome.SUCCEEDED
         self.run_times.record_run(request.class_index, seconds, succeeded)
-        # What never ran tells nothing of the cores.
+        # A request that never ran says nothing about the throughput of the cores.
         if request.state is RUNNING and outcome is not Outcome.NOT_STARTED:
             self.scheduler.limiter.completions += 1
             self.last_completion_at = now
@@ -207,12 +208,15 @@
         if request is None:
             return
         request.answered = True
-        # A run with a key goes on while a retry may still share its answer in time.
+        # A run with an idempotency key continues while a retry can still share its result in time.
         effect = self.settings.classes[request.class_index].effect
         self._close(request, stop=effect is not Effect.IDEMPOTENT_BY_KEY or now > request.objective_at)
 
     def _finish(self, request: Request, *, reject: bool = False) -> None:
-        """Send the final answer, in this one place; what has run is never rejected."""
+        """Send the final answer, if it is still due, and close the request.
+
+        All final answers of the controller are sent here.  A request that has run is failed, never rejected.
+        """
         if not request.answered:
             request.answered = True
             if reject and not request.has_run:
@@ -223,7 +227,10 @@
         self._close(request, stop=True)
 
     def _close(self, request: Request, *, stop: bool) -> None:
-        """Book off a request that is owed nothing more; what still runs stays on the books."""
+        """Remove a request that needs no answer any more.
+
+        A request with a run stays in the table until its run ends; ``stop`` stops that run where possible.
+        """
         if request.state in (HELD, JOINED):
             if not request.has_run and self.table.release_key(request.id):
                 self.actions.append(actions.ReleaseKey(request.id))
@@ -242,7 +249,7 @@
         self.table.change_state(request, AWAITING_CALL)
         request.left_cores_at = now
         if not request.answered:
-            self.calls.wait(request)
+            self.calls.enqueue(request)
         self._admit_calls(now)
 
     def _on_call_finished(self, now: float, event: events.CallFinished) -> None:
@@ -273,12 +280,12 @@
                 self.actions.append(actions.SkipCall(request.id))
                 self._resume(now, request)
             case CallDecision.WAIT:
-                self.calls.wait(request)
+                self.calls.enqueue(request)
             case CallDecision.FAIL:
                 self._finish(request)
 
     def _resume(self, now: float, request: Request) -> None:
-        """Put a run back on the cores after its call."""
+        """Return a request to the cores after its call."""
         self.table.change_state(request, RUNNING)
         seconds = now - request.left_cores_at
         request.off_core_seconds += seconds
@@ -289,7 +296,7 @@
 
     def _on_timer_fired(self, now: float, event: events.TimerFired) -> None:
         self.actions.append(actions.SetTimer(now + self.sweep_interval, 0))
-        self._look_at_due(now)
+        self._run_due_checks(now)
         if now >= self.drain.answer_by:
             for request in list(self.table.requests.values()):
                 self._finish(request, reject=True)
@@ -307,7 +314,7 @@
         running = self.table.counts[RUNNING] + self.predecessor.running
         if running < slots:
             self.last_completion_at = now
-        # With all slots taken and nothing ending the server is slow or hangs, whatever the cause.
+        # If all slots are in use and no run ends, the server is slow or hangs, whatever the cause.
         stalled_seconds = now - self.last_completion_at
         self.admission.update_pressure(slots, self.sweep_interval, stalled_seconds)
         self.drain.update(now)
@@ -318,27 +325,27 @@
         )
         self.actions += self.idle_timeout.update(self.advertisement.pressure)
 
-    def _watch(self, now: float, request: Request) -> None:
-        self.wheel.schedule(self.due_policy.next_look(now, request), request)
+    def _schedule_check(self, now: float, request: Request) -> None:
+        self.wheel.schedule(self.due_policy.next_check(now, request), request)
 
-    def _look_at_due(self, now: float) -> None:
+    def _run_due_checks(self, now: float) -> None:
         for item in self.wheel.advance(now):
             if isinstance(item, int):
                 self.table.release_key(item)
             elif item.id in self.table and not item.answered:
-                self._look_at(now, item)
+                self._check_request(now, item)
 
-    def _look_at(self, now: float, request: Request) -> None:
+    def _check_request(self, now: float, request: Request) -> None:
         decision = self.due_policy.decide(now, request)
         if decision is DueDecision.WATCH:
-            self._watch(now, request)
+            self._schedule_check(now, request)
         else:
             self._finish(request, reject=decision is DueDecision.REJECT)
 
 
-def by_weight(classes: tuple[ClassSpec, ...]) -> list[int]:
-    """Return the indexes of the classes, the highest weight first; of two alike, the shorter objective."""
+def order_by_weight(classes: tuple[ClassSpec, ...]) -> list[int]:
+    """Return the indexes of the classes, highest priority weight first, then shortest latency objective."""
     return sorted(
         range(len(classes)),
-        key=lambda k: (-classes[k].priority_weight, classes[k].latency_objective, k),
+        key=lambda index: (-classes[index].priority_weight, classes[index].latency_objective, index),
     )
--- a/saltcart/decision/due_policy.py
+++ b/saltcart/decision/due_policy.py
@@ -1,4 +1,4 @@
-"""When a request is looked at again, and what becomes of it then."""
+"""Due policy: schedules checks of unanswered requests and decides when they are rejected or failed."""
 
 from __future__ import annotations
 
@@ -7,33 +7,38 @@
 from saltcart.decision.request import HELD, Request
 from saltcart.decision.settings import Preemption, Settings
 
-WATCH_SWEEPS = 2  # before its answer is due, in which a request is looked at again
-FAIL_SWEEPS = 3  # before its answer is due, in which a request is failed
+# Numbers of sweeps before the answer of a request is due.
+CHECK_SWEEPS = 2  # at which it is checked
+FAIL_SWEEPS = 3  # within which it is failed
 
 
 class DuePolicy:
-    """A held request is rejected once it can't end in time; any is failed before its answer is due."""
+    """Rejects held requests that cannot end in time, and fails any other before its answer is due."""
 
     def __init__(self, settings: Settings, run_times: RunTimeEstimator, sweep_interval: float) -> None:
         self.settings = settings
         self.run_times = run_times
         self.sweep_interval = sweep_interval
 
-    def next_look(self, now: float, request: Request) -> float:
-        """Return when the request can no longer be started, or must be answered."""
-        at = request.due_at - WATCH_SWEEPS * self.sweep_interval
+    def next_check(self, now: float, request: Request) -> float:
+        """Return the time of the next check of a request.
+
+        A held request is checked when it can no longer end within its latency objective, any other at that
+        objective, and each at the latest shortly before its answer is due.
+        """
+        check_at = request.due_at - CHECK_SWEEPS * self.sweep_interval
         if request.state is HELD:
-            return min(at, request.objective_at - self.run_times.expected(request.class_index))
-        return min(at, request.objective_at) if now < request.objective_at else at
+            return min(check_at, request.objective_at - self.run_times.expected(request.class_index))
+        return min(check_at, request.objective_at) if now < request.objective_at else check_at
 
     def decide(self, now: float, request: Request) -> DueDecision:
-        """Decide what becomes of a request that is owed its answer."""
+        """Decide what to do with a request that has not been answered."""
         next_sweep = now + self.sweep_interval
         expected = self.run_times.expected(request.class_index)
         if request.state is HELD and next_sweep + expected >= request.objective_at:
             return DueDecision.REJECT
-        is_past_use = next_sweep >= request.objective_at and self._is_worthless_late(request)
-        if is_past_use or now + FAIL_SWEEPS * self.sweep_interval >= request.due_at:
+        is_worthless = next_sweep >= request.objective_at and self._is_worthless_late(request)
+        if is_worthless or now + FAIL_SWEEPS * self.sweep_interval >= request.due_at:
             return DueDecision.FAIL
         return DueDecision.WATCH
 
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -44,7 +44,7 @@
         self.limiter = ConcurrencyLimiter(settings)
         # Target ratios of the waits: a class affords a longer wait with a longer latency objective or a lower
         # priority weight.
-        classes = [settings.classes[k] for k in order]
+        classes = [settings.classes[index] for index in order]
         affordable_waits = [spec.latency_objective / max(spec.priority_weight, 1e-9) for spec in classes]
         self.delay_ratios = DelayRatioController(
             [higher / lower for higher, lower in pairwise(affordable_waits)]
