--- a/saltcart/decision/timing_wheel.py
+++ b/saltcart/decision/timing_wheel.py
@@ -21,11 +21,11 @@
         self.position = int(now / self.tick_seconds)
 
     def schedule(self, at: float, item: Item) -> None:
-        """Schedule an item for the tick that contains ``at``, or for the next tick if that one has passed."""
+        """Schedule an item for the tick of ``at``, or for the next tick if that has passed."""
         self.slots.setdefault(max(self.position + 1, int(at / self.tick_seconds)), []).append(item)
 
     def schedule_after(self, at: float, item: Item) -> None:
-        """Schedule an item for the tick after the one that contains ``at``, so that it is never early."""
+        """Schedule an item for the tick after that of ``at``, so that it is never removed early."""
         self.slots.setdefault(int(at / self.tick_seconds) + 1, []).append(item)
 
     def advance(self, now: float) -> Iterator[Item]:
--- a/saltcart/simulator_adapter.py
+++ b/saltcart/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Adapter: the simulator's wire on standard input and output, one controller for each instance.
+"""Adapter for the simulator: JSON lines on standard input and output, with a controller for each instance.
 
-It translates and nothing else; every decision is in ``saltcart.decision``.
+It only translates messages; all decisions are made in ``saltcart.decision``.
 """
 
 from __future__ import annotations
@@ -26,28 +26,43 @@
     114: Outcome.NOT_STARTED,
     125: Outcome.CANCELLED,
 }
-GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")  # those that the decision module knows
-# Bits of an arrival's flags.
+KNOWN_GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")  # gauges that the decision module uses
+# Bits of the flags of an arrival.
 HINT_IS_VALID = 1
 IS_RETRY = 2
 IS_WRITE = 4
 
 
 class SimulatedInstance:
-    """One controller and the names that it was told at its start."""
+    """A simulated server: its controller and the class, tenant and gauge names of its settings."""
 
     def __init__(self, fields: FieldReader) -> None:
-        """``fields``: of the instance's first message."""
+        """Create the controller of an instance.
+
+        Args:
+            fields: Fields of the ``boot`` message.
+
+        Raises:
+            InvalidFieldError: If the settings or the seed are malformed.
+        """
         settings_fields = fields.section("settings")
         settings = read_settings(settings_fields)
         self.class_indexes = {spec.name: index for index, spec in enumerate(settings.classes)}
         self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         gauges = settings_fields.section("extra").array("gauges", [])
-        self.gauges = [gauge if gauge in GAUGES else None for gauge in gauges]
+        self.gauges = [gauge if gauge in KNOWN_GAUGES else None for gauge in gauges]
         self.controller = Controller(settings, fields.integer("initSeed"))
 
     def read_event(self, verb: str, fields: FieldReader) -> events.Event:
-        """Read one message of the wire; ``InvalidFieldError`` names what is wrong with it."""
+        """Convert a message to an event.
+
+        Args:
+            verb: Type of the message.
+            fields: Fields of the message.
+
+        Raises:
+            InvalidFieldError: If the type is unknown or a field is malformed.
+        """
         match verb:
             case "arrival":
                 return self._read_arrival(fields)
@@ -65,12 +80,12 @@
                 return events.RunFinished(request_id, *read_outcome(fields))
             case "depReply":
                 return events.CallFinished(request_id, *read_outcome(fields))
-        raise InvalidFieldError(f"{verb}: no such message")
+        raise InvalidFieldError(f"{verb}: unknown message type")
 
     def _read_arrival(self, fields: FieldReader) -> events.RequestArrived:
         class_name = fields.text("priority")
         if class_name not in self.class_indexes:
-            raise InvalidFieldError(f"{fields.where}: field priority names no class: {class_name}")
+            raise InvalidFieldError(f"{fields.where}: field priority is not a known class: {class_name}")
         tenant_index = self._read_tenant(fields)
         flags = fields.integer("flags", 0)
         cost_hint = fields.number("sizeHint", None)
@@ -91,12 +106,12 @@
         )
 
     def _read_tenant(self, fields: FieldReader) -> int | None:
-        account = fields.raw.get("account")
-        if account in (None, 0):
+        tenant_name = fields.raw.get("account")
+        if tenant_name in (None, 0):
             return None
-        if not isinstance(account, str) or account not in self.tenant_indexes:
-            raise InvalidFieldError(f"{fields.where}: field account names no tenant: {account}")
-        return self.tenant_indexes[account]
+        if not isinstance(tenant_name, str) or tenant_name not in self.tenant_indexes:
+            raise InvalidFieldError(f"{fields.where}: field account is not a known tenant: {tenant_name}")
+        return self.tenant_indexes[tenant_name]
 
     def _read_gauges(self, fields: FieldReader) -> dict[str, float]:
         values: dict[str, float] = {}
@@ -109,31 +124,35 @@
 
 
 def read_outcome(fields: FieldReader) -> tuple[Outcome, float]:
-    """Read how a run or a call ended, and after how many seconds."""
+    """Return the outcome of a run or a call and its duration in seconds.
+
+    Raises:
+        InvalidFieldError: If the outcome is unknown or a field is malformed.
+    """
     code = fields.integer("how")
     if code not in OUTCOMES:
-        raise InvalidFieldError(f"{fields.where}: field how has no such value: {code}")
+        raise InvalidFieldError(f"{fields.where}: field how is not a known outcome: {code}")
     return OUTCOMES[code], fields.number("delaySeen", 0.0)
 
 
-def encode(message: dict[str, Any]) -> str:
-    """Return a message as a line of the wire, without its end."""
+def encode_message(message: dict[str, Any]) -> str:
+    """Return a message as a line of JSON without a line break."""
     return json.dumps(message, separators=(",", ":"))
 
 
-def render(instance: int, action: actions.Action) -> str:
-    """Return one action as a line of the wire."""
-    return encode({**_message(action), "worker": instance})
+def encode_action(instance_number: int, action: actions.Action) -> str:
+    """Return an action of an instance as a line of JSON without a line break."""
+    return encode_message({**_action_message(action), "worker": instance_number})
 
 
-def _message(action: actions.Action) -> dict[str, Any]:
+def _action_message(action: actions.Action) -> dict[str, Any]:
     match action:
         case actions.StartRun(request_id):
             return {"verb": "process", "msgId": request_id}
         case actions.StopRun(request_id):
             return {"verb": "abortWork", "msgId": request_id}
         case actions.Reject():
-            return _rejection(action)
+            return _reject_message(action)
         case actions.FailRequest(request_id):
             return {"verb": "finishError", "msgId": request_id}
         case actions.StartCall(request_id, timeout):
@@ -158,7 +177,7 @@
             return {"verb": "record", "noteText": text}
 
 
-def _rejection(action: actions.Reject) -> dict[str, Any]:
+def _reject_message(action: actions.Reject) -> dict[str, Any]:
     message: dict[str, Any] = {"verb": "busy", "msgId": action.id}
     if action.is_final:
         message["terminal"] = True
@@ -168,18 +187,22 @@
 
 
 class BatchServer:
-    """Answers the simulator's batches, one line after the other."""
+    """Processes the simulator's batches of events line by line and writes a reply to each batch."""
 
     def __init__(self, sink: TextIO) -> None:
         self.sink = sink
         self.instances: dict[int, SimulatedInstance] = {}
-        self.now: float | None = None  # the batch's time; None between two batches
+        self.now: float | None = None  # time of the current batch; None between batches
         self.last_time = -math.inf
-        self.serial = 0
+        self.batch_serial = 0
         self.reply: list[str] = []
 
-    def feed(self, line: str) -> None:
-        """Take one line of the input; ``InvalidFieldError`` where it is malformed."""
+    def handle_line(self, line: str) -> None:
+        """Process a line of the input.
+
+        Raises:
+            InvalidFieldError: If the line is malformed.
+        """
         try:
             raw = json.loads(line)
         except ValueError:
@@ -193,62 +216,74 @@
         elif verb == "commit":
             self._end_batch()
         else:
-            self._handle(self.now, verb, fields)
+            self._handle_event(self.now, verb, fields)
+
+    def end_input(self) -> None:
+        """Check that the input ended between two batches.
 
-    def end(self) -> None:
-        """The input has ended; ``InvalidFieldError`` where that is within a batch."""
+        Raises:
+            InvalidFieldError: If the last batch is incomplete.
+        """
         if self.now is not None:
-            raise InvalidFieldError("commit: missing at the end of the input")
+            raise InvalidFieldError("commit: missing at the end of input")
 
     def _begin_batch(self, fields: FieldReader) -> None:
         if self.now is not None:
-            raise InvalidFieldError("sync: the batch before it has no commit")
+            raise InvalidFieldError("sync: the previous batch has no commit")
         now = float(fields.number("simTime", low=-math.inf))
-        self.serial = fields.integer("serial")
+        self.batch_serial = fields.integer("serial")
         if now < self.last_time:
-            raise InvalidFieldError(f"sync: field simTime goes back: {now}")
+            raise InvalidFieldError(f"sync: field simTime is before that of the previous batch: {now}")
         self.now = self.last_time = now
         self.reply = []
 
     def _end_batch(self) -> None:
-        self.reply.append(encode({"verb": "finished", "serial": self.serial}))
+        self.reply.append(encode_message({"verb": "finished", "serial": self.batch_serial}))
         self.sink.write("\n".join(self.reply) + "\n")
         self.sink.flush()
         self.now = None
 
-    def _handle(self, now: float, verb: str, fields: FieldReader) -> None:
-        number = fields.integer("worker")
+    def _handle_event(self, now: float, verb: str, fields: FieldReader) -> None:
+        instance_number = fields.integer("worker")
         event: events.Event
         if verb == "boot":
-            self.instances[number] = SimulatedInstance(fields)
+            self.instances[instance_number] = SimulatedInstance(fields)
             event = events.Started()
-        elif number not in self.instances:
-            raise InvalidFieldError(f"{verb}: field worker names one that never booted: {number}")
+        elif instance_number not in self.instances:
+            raise InvalidFieldError(f"{verb}: field worker is not a booted instance: {instance_number}")
         elif verb == "teardown":
-            del self.instances[number]
+            del self.instances[instance_number]
             return
         else:
-            event = self.instances[number].read_event(verb, fields)
+            event = self.instances[instance_number].read_event(verb, fields)
         try:
-            decided = self.instances[number].controller.handle(now, event)
-        except Exception as error:  # the wire wants a failure of the module said, not hidden
+            resulting_actions = self.instances[instance_number].controller.handle(now, event)
+        except Exception as error:  # the protocol reports a failure of the module instead of hiding it
             text = f"{type(error).__name__}: {error}"
-            self.reply.append(json.dumps({"verb": "fault", "worker": number, "noteText": text}))
+            self.reply.append(json.dumps({"verb": "fault", "worker": instance_number, "noteText": text}))
             return
-        self.reply += [render(number, action) for action in decided]
+        self.reply += [encode_action(instance_number, action) for action in resulting_actions]
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
+    """Process batches until the input ends.
+
+    Raises:
+        InvalidFieldError: If the input is malformed.
+    """
     server = BatchServer(sink)
     for line in source:
         if line.strip():
-            server.feed(line)
-    server.end()
+            server.handle_line(line)
+    server.end_input()
 
 
 def main() -> int:
-    """Serve standard input; return 0 at its end, 1 with one plain line when it is malformed."""
+    """Serve standard input.
+
+    Returns:
+        The exit status: 0 at the end of the input, 1 if it is malformed, after one line on standard error.
+    """
     try:
         sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
         serve(sys.stdin, sys.stdout)
