--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller: its mechanism, the rules by example, and each failure found."""
+"""Tests of the controller: scheduling, service rules and regressions."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 class ControllerHost:
-    """Feeds one controller and remembers what it said."""
+    """Sends events to a controller and records its actions and timers."""
 
     def __init__(self, settings: Settings = BASE, seed: int = 1) -> None:
         self.controller = Controller(settings, seed)
@@ -83,32 +83,32 @@
         return actions
 
     def arrive(
-        self, ident: int, class_index: int = 0, priority_rank: float = 0.99, **more: object
+        self, request_id: int, class_index: int = 0, priority_rank: float = 0.99, **fields: object
     ) -> list[Action]:
-        return self.send(RequestArrived(ident, class_index, 10.0, priority_rank, **more))  # type: ignore[arg-type]
+        return self.send(RequestArrived(request_id, class_index, 10.0, priority_rank, **fields))  # type: ignore[arg-type]
 
-    def run_until(self, then: float, busy: float = 1.0) -> list[Action]:
-        before = len(self.actions)
-        while self.timers and min(self.timers) <= then:
+    def run_until(self, until: float, cpu_busy: float = 1.0) -> list[Action]:
+        previous_count = len(self.actions)
+        while self.timers and min(self.timers) <= until:
             self.now = min(self.timers)
             self.timers.remove(self.now)
-            self.send(TimerFired(0, busy))
-        self.now = then
-        return self.actions[before:]
+            self.send(TimerFired(0, cpu_busy))
+        self.now = until
+        return self.actions[previous_count:]
 
-    def finish(self, ident: int, how: Outcome = Outcome.SUCCEEDED) -> list[Action]:
-        return self.send(RunFinished(ident, how, 0.1))
+    def finish(self, request_id: int, outcome: Outcome = Outcome.SUCCEEDED) -> list[Action]:
+        return self.send(RunFinished(request_id, outcome, 0.1))
 
 
-# ---- the mechanism ---------------------------------------------------------------------------
+# ---- scheduling ------------------------------------------------------------------------------
 
 
-def test_one_class_has_no_pair() -> None:
+def test_single_class_needs_no_delay_ratio() -> None:
     host = ControllerHost(replace(BASE, classes=(LOW,)))
     assert StartRun(1) in host.arrive(1)
 
 
-def test_draw_frequencies_follow_the_shares_and_an_empty_queue_yields() -> None:
+def test_draw_follows_the_shares_and_skips_an_empty_queue() -> None:
     host = ControllerHost()
     scheduler, table = host.controller.scheduler, host.controller.table
     scheduler.delay_ratios.shares = [1.0, 0.25]  # the class of the higher weight first
@@ -123,7 +123,7 @@
     assert draw() == 0
 
 
-def test_slots_start_at_the_cores_and_the_rest_waits_in_order() -> None:
+def test_initial_slots_equal_the_cores_and_held_requests_run_in_order() -> None:
     host = ControllerHost()
     for n in range(1, 6):
         host.arrive(n)
@@ -131,19 +131,20 @@
     assert StartRun(3) in host.finish(1)
 
 
-def test_a_call_is_not_taken_for_an_old_try() -> None:
-    # Calls carry what their caller's aim has left; from no two alike, an age of nearly the deadline was read.
-    for tier, served in ((1, 30), (0, 0)):
+def test_timeout_of_a_call_is_not_read_as_the_age_of_a_retry() -> None:
+    # The timeout of a call is the rest of its caller's latency objective.  Timeouts that all differ were read
+    # as attempts that are nearly as old as the deadline.
+    for tier, min_starts in ((1, 30), (0, 0)):
         host = ControllerHost(replace(BASE, tier=tier))
         for n in range(1, 61):
             host.arrive(n, time_to_deadline=0.5 + n / 200)
             host.finish(n)
             host.now += 0.1
-        late = [a for a in host.actions if isinstance(a, StartRun) and a.id > 30]
-        assert len(late) >= served if served else len(late) < 30
+        late_starts = [a for a in host.actions if isinstance(a, StartRun) and a.id > 30]
+        assert len(late_starts) >= min_starts if min_starts else len(late_starts) < 30
 
 
-def test_a_tenant_past_its_quota_spends_no_other_tenants_under_pressure() -> None:
+def test_only_the_tenant_over_its_quota_is_rejected_under_pressure() -> None:
     tenants = (TenantSpec("greedy", 2.0, 0.5), TenantSpec("modest", 2.0, 0.5))
     host = ControllerHost(replace(BASE, tenants=tenants, over_quota_weight_share=0.0))
     for n in range(1, 40):
@@ -152,15 +153,14 @@
     host.controller.admission.pressure = 0.5
     assert any(isinstance(a, Reject) for a in host.arrive(50, tenant_index=0))
     assert StartRun(51) in host.arrive(51, tenant_index=1)
-    host.send(
-        TenantsChanged((tenants[1], replace(tenants[0], quota=900.0)))
-    )  # the indexes are other ones now
+    # The new list has the tenants at other indexes.
+    host.send(TenantsChanged((tenants[1], replace(tenants[0], quota=900.0))))
     host.now += 0.05
     assert not any(isinstance(a, Reject) for a in host.arrive(52, tenant_index=1))
 
 
-def test_what_the_process_before_still_runs_shares_cores_and_memory() -> None:
-    """Two processes on the same cores and in the same memory: both at their own limit would break a rule."""
+def test_load_of_the_predecessor_counts_against_cores_and_memory() -> None:
+    """A predecessor and its successor share cores and memory, so they must not both use the full limits."""
     host = ControllerHost()
     host.send(PredecessorLoad(running=1, memory_kb=0.0))
     assert StartRun(1) in host.arrive(1)
@@ -168,39 +168,39 @@
     assert StartRun(2) in host.send(PredecessorLoad())
     host.send(PredecessorLoad(memory_kb=9_500.0))
     assert Reject(3, False, 0.0) in host.arrive(3)
-    assert host.controller.load() == PredecessorLoad(2, 0, 80.0)  # as it tells the one after it
+    assert host.controller.load() == PredecessorLoad(2, 0, 80.0)  # the load that its own successor gets
 
 
-def test_same_events_give_the_same_actions() -> None:
-    def play() -> list[Action]:
+def test_same_events_and_seed_give_the_same_actions() -> None:
+    def record_actions() -> list[Action]:
         host = ControllerHost(seed=7)
         for n in range(1, 40):
             host.arrive(n, n % 2)
             host.run_until(10 + n * 0.01)
         return host.actions
 
-    assert play() == play()
+    assert record_actions() == record_actions()
 
 
-# ---- the rules -------------------------------------------------------------------------------
+# ---- service rules ---------------------------------------------------------------------------
 
 
-def test_hung_work_is_answered_before_its_due_time() -> None:
+def test_hung_run_is_answered_before_its_answer_is_due() -> None:
     host = ControllerHost(
         replace(BASE, preemption=Preemption.NONE, classes=(replace(LOW, late_weight_share=0.2), TOP))
     )
     host.arrive(1)
-    said = host.run_until(15.0)
-    assert FailRequest(1) in said and StopRun(1) not in said
+    actions = host.run_until(15.0)
+    assert FailRequest(1) in actions and StopRun(1) not in actions
 
 
-def test_due_time_counts_the_time_unread() -> None:
+def test_due_time_includes_the_unread_time() -> None:
     host = ControllerHost(replace(BASE, preemption=Preemption.NONE))
     host.arrive(1, unread_seconds=0.8)
     assert FailRequest(1) in host.run_until(10 + 4.0 - 0.8 + 0.05)
 
 
-def test_keyed_repeat_shares_and_a_failed_run_is_never_run_again() -> None:
+def test_keyed_retry_joins_the_first_attempt_and_a_failed_run_is_not_repeated() -> None:
     host = ControllerHost()
     assert StartRun(1) in host.arrive(1, 1)
     assert JoinAttempt(2) in host.arrive(2, 1, repeat_of=1)
@@ -209,45 +209,47 @@
     assert host.arrive(3, 1, repeat_of=1) == [FailRequest(3)]
 
 
-def test_window_counts_from_reaching_the_server() -> None:
-    keep = next(a for a in ControllerHost().arrive(1, 1, unread_seconds=0.5) if isinstance(a, ReserveKey))
-    assert 7.5 <= keep.seconds <= 7.6
+def test_key_window_starts_at_the_arrival() -> None:
+    reservation = next(
+        a for a in ControllerHost().arrive(1, 1, unread_seconds=0.5) if isinstance(a, ReserveKey)
+    )
+    assert 7.5 <= reservation.seconds <= 7.6
 
 
-def test_running_keyed_work_is_failed_not_refused_at_the_end_of_a_drain() -> None:
+def test_running_keyed_request_is_failed_not_rejected_at_the_end_of_a_drain() -> None:
     host = ControllerHost()
     host.arrive(1, 1)
     host.send(DrainStarted(0.6))
-    said = host.run_until(10.6)
-    assert FailRequest(1) in said and not any(isinstance(a, Reject) for a in said)
+    actions = host.run_until(10.6)
+    assert FailRequest(1) in actions and not any(isinstance(a, Reject) for a in actions)
 
 
-def test_drain_serves_on_and_runs_nothing_that_arrives_after_the_grace() -> None:
-    """Callers learn of it late: refusals at the notice would leave its work to others before they can."""
+def test_drain_runs_requests_that_arrive_within_the_grace_and_no_others() -> None:
+    """Clients learn of a drain late: early rejections would move load before others can take it."""
     host = ControllerHost(replace(BASE, max_retry_after=9.0))
-    said = host.send(DrainStarted(6.0))
-    assert SetHealth(False, True) in said and AdvertiseLevel(1.0) not in said
+    actions = host.send(DrainStarted(6.0))
+    assert SetHealth(False, True) in actions and AdvertiseLevel(1.0) not in actions
     assert AdvertiseLevel(1.0) not in host.run_until(11.0)
     assert StartRun(1) in host.arrive(1)
-    assert AdvertiseLevel(1.0) in host.run_until(
-        11.6
-    )  # before it takes nothing more, and callers forget it in 1 s
+    # Clients apply an advertised level for 1 s, so it is sent before the server stops accepting requests.
+    assert AdvertiseLevel(1.0) in host.run_until(11.6)
     host.run_until(11.9)
     assert Reject(2, False, 1.0) in host.arrive(2)
 
 
 @pytest.mark.parametrize(
-    ("cores", "crowd", "cold"), [(1, 1.0, False), (1, 1.2, False), (1, 2.0, True), (2, 1.0, True)]
+    ("cores", "max_running_per_core", "starts_cold"),
+    [(1, 1.0, False), (1, 1.2, False), (1, 2.0, True), (2, 1.0, True)],
 )
-def test_a_customer_whose_servers_survive_no_crowd_runs_one_request_a_core(
-    cores: int, crowd: float, cold: bool
+def test_servers_that_survive_little_concurrency_run_one_request_per_core(
+    cores: int, max_running_per_core: float, starts_cold: bool
 ) -> None:
     host = ControllerHost(
         replace(
             BASE,
             cores=cores,
-            max_running_per_core=crowd,
-            starts_cold=cold,
+            max_running_per_core=max_running_per_core,
+            starts_cold=starts_cold,
             cold_speed_share=0.24,
             warm_up_seconds=10.0,
         )
@@ -257,14 +259,14 @@
     assert sum(isinstance(a, StartRun) for a in host.actions) == cores
 
 
-def test_a_request_that_never_fits_the_memory_is_turned_away_and_holds_up_nobody() -> None:
+def test_request_that_can_never_fit_the_memory_is_rejected_and_blocks_no_other() -> None:
     host = ControllerHost(replace(BASE, memory_kb=1000.0))
-    big = host.send(RequestArrived(1, 0, 400.0, 0.99))  # it could be held, and would need 1,600 KB to run
-    assert [type(a) for a in big] == [Reject]
+    actions = host.send(RequestArrived(1, 0, 400.0, 0.99))  # could be held, but needs 1,600 KB to run
+    assert [type(a) for a in actions] == [Reject]
     assert StartRun(2) in host.arrive(2)
 
 
-def test_memory_bounds_the_hold() -> None:
+def test_memory_limits_the_held_requests() -> None:
     host = ControllerHost(replace(BASE, memory_kb=200.0))
     for n in range(1, 60):
         host.arrive(n, 1)
@@ -284,25 +286,25 @@
 )
 
 
-def test_calls_keep_to_the_share_and_skip_where_that_still_earns() -> None:
+def test_calls_respect_the_limit_and_are_skipped_where_the_answer_still_earns() -> None:
     host = ControllerHost(CALLS)
     host.arrive(1, 1)
     host.arrive(2, 0)
     assert any(isinstance(a, StartCall) for a in host.send(CallRequested(1)))
-    assert SkipCall(2) not in host.send(CallRequested(2))  # the call before it may end soon
+    assert SkipCall(2) not in host.send(CallRequested(2))  # the call in flight may end soon
     assert SkipCall(2) in host.run_until(10.2)
 
 
-def test_a_call_is_repeated_only_on_proof() -> None:
+def test_call_is_repeated_only_if_it_provably_never_ran() -> None:
     host = ControllerHost(CALLS)
     host.arrive(1, 1)
     host.send(CallRequested(1))
-    again = host.send(CallFinished(1, Outcome.REJECTED, 0.01)) + host.run_until(10.1)
-    assert any(isinstance(a, StartCall) for a in again)
+    actions = host.send(CallFinished(1, Outcome.REJECTED, 0.01)) + host.run_until(10.1)
+    assert any(isinstance(a, StartCall) for a in actions)
     assert FailRequest(1) in host.send(CallFinished(1, Outcome.BROKEN_OFF, 0.01))
 
 
-def test_request_at_a_call_leaves_its_slot() -> None:
+def test_request_at_a_call_frees_its_run_slot() -> None:
     host = ControllerHost(CALLS)
     for n in (1, 2, 3):
         host.arrive(n, 1)
@@ -310,7 +312,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "overrides",
     [
         {"classes": (replace(LOW, priority_weight=0.0), replace(TOP, priority_weight=0.0))},
         {"classes": (replace(LOW, latency_objective=0.002, deadline=0.004),)},
@@ -325,8 +327,8 @@
         {"key_entry_kb": 0.0, "run_memory_factor": 1.0, "max_retry_after": 0.0, "signal_lifetime": 0.0},
     ],
 )
-def test_odd_but_legal_settings_do_no_harm(odd: dict[str, object]) -> None:
-    host = ControllerHost(replace(BASE, **odd))  # type: ignore[arg-type]
+def test_unusual_valid_settings_leave_no_request_unanswered(overrides: dict[str, object]) -> None:
+    host = ControllerHost(replace(BASE, **overrides))  # type: ignore[arg-type]
     for n in range(1, 30):
         host.arrive(n, n % len(host.controller.settings.classes))
         if n == 1 and host.controller.settings.dependency is DependencyKind.SHARED:
@@ -334,25 +336,25 @@
             host.send(CallFinished(1, Outcome.SUCCEEDED, 0.1))
         host.run_until(10 + n * 0.1)
     host.run_until(30.0)
-    ends = {a.id for a in host.actions if isinstance(a, (Reject, FailRequest))}
-    assert ends == set(range(1, 30))  # nothing ever completed here, so each one was answered
+    answered = {a.id for a in host.actions if isinstance(a, (Reject, FailRequest))}
+    assert answered == set(range(1, 30))  # no run ended, so each request got a rejection or an error
 
 
-# ---- failures found --------------------------------------------------------------------------
+# ---- regressions -----------------------------------------------------------------------------
 
 
-def test_key_memory_is_given_back_when_an_unrun_key_is_released() -> None:
+def test_releasing_the_key_of_a_request_that_never_ran_frees_its_memory() -> None:
     host = ControllerHost()
     for n in (1, 2, 3):
         host.arrive(n, 1)
-    before = host.controller.table.memory_kb
+    memory_before = host.controller.table.memory_kb
     host.send(RequestAbandoned(3))
-    assert host.controller.table.memory_kb == pytest.approx(before - 10.0 - 10.0)
+    assert host.controller.table.memory_kb == pytest.approx(memory_before - 10.0 - 10.0)
     host.run_until(30.0)
     assert host.controller.table.memory_kb >= 0
 
 
-def test_last_tries_with_more_patience_do_not_make_first_tries_look_old() -> None:
+def test_rare_longer_timeouts_do_not_make_first_attempts_look_old() -> None:
     host = ControllerHost()
     for n in range(1, 9):
         host.arrive(n, time_to_deadline=2.0)
@@ -361,30 +363,30 @@
     host.finish(20)
     assert StartRun(21) in host.arrive(21, time_to_deadline=2.0)
     host.finish(21)
-    assert isinstance(host.arrive(22, time_to_deadline=0.9)[0], Reject)  # 1.1 s gone, past the aim
+    assert isinstance(host.arrive(22, time_to_deadline=0.9)[0], Reject)  # 1.1 s old, past its objective
 
 
-def test_a_few_first_try_patiences_are_told_apart_and_others_are_ages() -> None:
+def test_several_first_attempt_timeouts_are_distinguished_from_those_of_retries() -> None:
     host = ControllerHost()
     for n in range(1, 17):
         host.arrive(n, time_to_deadline=3.5 if n % 2 else 1.5, balancer=n)
         host.finish(n)
     assert StartRun(20) in host.arrive(20, time_to_deadline=1.5, balancer=20)
     host.finish(20)
-    # 1.7 of 3.5 s are gone
+    # 1.7 s of its 3.5 s have passed.
     assert isinstance(host.arrive(21, time_to_deadline=1.8, balancer=21)[0], Reject)
 
 
-def test_run_time_estimate_fades_instead_of_shutting_a_class_out() -> None:
+def test_run_time_estimate_decays_so_that_it_cannot_reject_a_class_for_ever() -> None:
     host = ControllerHost()
     host.controller.run_times.run_seconds[1] = 5.0
-    host.run_until(25.0)  # nothing asked for: as on a server that sees little, silence is no evidence
+    host.run_until(25.0)  # time without requests is no evidence
     assert host.controller.run_times.run_seconds[1] == 5.0
     assert isinstance(host.arrive(1, 1)[0], Reject)
     assert any(StartRun(n) in host.arrive(n, 1) for n in range(2, 70))
 
 
-def test_old_tries_do_not_fade_the_estimate() -> None:
+def test_requests_past_their_objective_do_not_decay_the_estimate() -> None:
     host = ControllerHost()
     host.controller.run_times.run_seconds[0] = 0.4
     for n in range(1, 30):
@@ -392,19 +394,19 @@
     assert host.controller.run_times.run_seconds[0] == 0.4
 
 
-def test_unread_time_raises_advice_though_the_hold_is_empty() -> None:
+def test_unread_time_raises_the_advertised_level_without_held_requests() -> None:
     host = ControllerHost()
     for n in range(1, 40):
         host.arrive(n, unread_seconds=0.5)
         host.finish(n)
         host.run_until(10 + n * 0.05)
-    raised = host.controller.advertisement.last_level
-    assert raised > 0.2
+    raised_level = host.controller.advertisement.last_level
+    assert raised_level > 0.2
     host.run_until(20.0)
-    assert host.controller.advertisement.last_level < raised / 4
+    assert host.controller.advertisement.last_level < raised_level / 4
 
 
-def test_pressure_sheds_by_standing_and_spares_the_worthy_class() -> None:
+def test_pressure_sheds_by_priority_rank_and_spares_the_class_of_higher_weight() -> None:
     host = ControllerHost()
     host.controller.admission.first_shed_count, host.controller.admission.pressure = 1, 0.5
     assert isinstance(host.arrive(1, 0, priority_rank=0.1)[0], Reject)
@@ -412,48 +414,48 @@
     assert StartRun(3) in host.arrive(3, 1, priority_rank=0.55)
 
 
-def test_a_share_below_one_call_is_kept_as_a_mean() -> None:
-    long = replace(TOP, calls_dependency=True, latency_objective=20.0, deadline=40.0)
-    host = ControllerHost(replace(CALLS, dependency_call_share=0.5, classes=(LOW, long)))
+def test_call_share_below_one_is_kept_as_a_mean() -> None:
+    slow_class = replace(TOP, calls_dependency=True, latency_objective=20.0, deadline=40.0)
+    host = ControllerHost(replace(CALLS, dependency_call_share=0.5, classes=(LOW, slow_class)))
     for n in range(1, 9):
         host.arrive(n, 1)
-    waiting, out, busy = set[int](), None, 0.0
+    started_ids, call_in_flight, busy_steps = set[int](), None, 0.0
     for step in range(4000):
         host.now += 0.001
-        busy += out is not None
-        said = host.run_until(host.now)
-        for run in [a for a in host.actions if isinstance(a, StartRun) and a.id not in waiting]:
-            waiting.add(run.id)
-            said += host.send(CallRequested(run.id))
-        if out is not None and step - out[1] >= 20:
-            said += host.send(CallFinished(out[0], Outcome.SUCCEEDED, 0.02)) + host.send(
-                CallRequested(out[0])
+        busy_steps += call_in_flight is not None
+        actions = host.run_until(host.now)
+        for run in [a for a in host.actions if isinstance(a, StartRun) and a.id not in started_ids]:
+            started_ids.add(run.id)
+            actions += host.send(CallRequested(run.id))
+        if call_in_flight is not None and step - call_in_flight[1] >= 20:
+            actions += host.send(CallFinished(call_in_flight[0], Outcome.SUCCEEDED, 0.02)) + host.send(
+                CallRequested(call_in_flight[0])
             )
-            out = None
-        for a in said:
+            call_in_flight = None
+        for a in actions:
             if isinstance(a, StartCall):
-                assert out is None
-                out = (a.id, step)
-    assert 0.1 < busy / 4000 < 0.42  # the dependency dies at the sum of the shares
-
-
-def test_idle_connections_are_closed_early_only_under_many_callers_and_low_pressure() -> None:
-    few = ControllerHost(replace(BASE, client_idle_timeout=30.0, client_count=10))
-    few.run_until(12.0)
-    assert not any(isinstance(a, SetIdleTimeout) for a in few.actions)
-    many = ControllerHost(replace(BASE, client_idle_timeout=30.0, client_count=1000))
-    many.run_until(12.0)
-    assert [a.seconds for a in many.actions if isinstance(a, SetIdleTimeout)] == [pytest.approx(0.6)]
+                assert call_in_flight is None
+                call_in_flight = (a.id, step)
+    assert 0.1 < busy_steps / 4000 < 0.42  # the dependency fails if the servers exceed their shares together
+
+
+def test_idle_connections_are_closed_early_only_with_many_clients_and_low_pressure() -> None:
+    few_clients = ControllerHost(replace(BASE, client_idle_timeout=30.0, client_count=10))
+    few_clients.run_until(12.0)
+    assert not any(isinstance(a, SetIdleTimeout) for a in few_clients.actions)
+    many_clients = ControllerHost(replace(BASE, client_idle_timeout=30.0, client_count=1000))
+    many_clients.run_until(12.0)
+    assert [a.seconds for a in many_clients.actions if isinstance(a, SetIdleTimeout)] == [pytest.approx(0.6)]
     for n in range(1, 80):
-        many.arrive(n)
-    later = [a.seconds for a in many.run_until(13.5) if isinstance(a, SetIdleTimeout)]
-    assert later and max(later) > 10.0
+        many_clients.arrive(n)
+    later_timeouts = [a.seconds for a in many_clients.run_until(13.5) if isinstance(a, SetIdleTimeout)]
+    assert later_timeouts and max(later_timeouts) > 10.0
 
 
-# ---- little evidence: hundreds of small servers, a thousand callers ----------------------------
+# ---- sparse traffic: hundreds of small servers, a thousand clients ------------------------------
 
 
-def test_one_start_a_period_leaves_the_pairs_and_the_slots_at_rest() -> None:
+def test_one_run_per_period_leaves_delay_ratios_and_slots_unchanged() -> None:
     host = ControllerHost()
     for n in range(1, 40):
         host.run_until(10 + n * host.controller.period)
@@ -466,7 +468,7 @@
     assert not any(isinstance(a, Reject) for a in host.actions)
 
 
-def test_a_new_caller_with_every_request_is_served_and_leaves_nothing_behind() -> None:
+def test_requests_that_each_have_a_new_client_are_served_and_leave_no_state() -> None:
     host = ControllerHost(
         replace(
             BASE, client_count=1000, client_idle_timeout=30.0, classes=(LOW, replace(TOP, key_window=0.5))
@@ -477,32 +479,38 @@
         assert StartRun(n) in host.arrive(n, n % 2, time_to_deadline=3.0, balancer=n)
         host.finish(n)
     host.run_until(120.0)
-    c = host.controller
+    controller = host.controller
     assert (
-        not c.table.requests and not c.table.key_results and c.table.memory_kb == pytest.approx(0.0, abs=1e-6)
+        not controller.table.requests
+        and not controller.table.key_results
+        and controller.table.memory_kb == pytest.approx(0.0, abs=1e-6)
+    )
+    assert len(controller.wheel.slots) <= 5 and all(
+        len(estimator.counts) <= 500 for estimator in controller.attempt_ages
     )
-    assert len(c.wheel.slots) <= 5 and all(len(p.counts) <= 500 for p in c.attempt_ages)
 
 
-def test_a_burst_after_long_silence_is_held_and_shed_as_if_nothing_was_learned_wrong() -> None:
+def test_burst_after_a_long_idle_time_is_held_and_raises_the_pressure_only_later() -> None:
     host = ControllerHost()
     for n in range(1, 6):
         host.arrive(n)
         host.finish(n)
-    learned = list(host.controller.run_times.run_seconds)
+    learned_seconds = list(host.controller.run_times.run_seconds)
     host.run_until(600.0)
-    assert host.controller.run_times.run_seconds == learned and host.controller.admission.pressure == 0.0
+    assert (
+        host.controller.run_times.run_seconds == learned_seconds and host.controller.admission.pressure == 0.0
+    )
     for n in range(100, 130):
         host.arrive(n, priority_rank=0.99)
     assert (
         host.controller.table.counts[RequestState.RUNNING] == BASE.cores and host.controller.held_count() > 0
-    )  # held, not refused by stale pressure
+    )  # held, not rejected by stale pressure
     host.run_until(600.2)
     assert host.controller.admission.pressure > 0
 
 
 @pytest.mark.parametrize("share", [0.0, 1e-6, 0.3, 0.999, 1.0, 40.0])
-def test_any_share_of_calls_lets_each_request_end(share: float) -> None:
+def test_every_request_ends_with_any_call_share(share: float) -> None:
     host = ControllerHost(replace(CALLS, dependency_call_share=share, client_count=1200))
     for n in range(1, 20):
         host.arrive(n, n % 2, balancer=10**9 + n, cost_hint=0.0, tenant_index=7)
@@ -516,11 +524,11 @@
     assert answered == set(range(1, 20))
 
 
-def test_ended_requests_of_a_class_that_is_never_drawn_are_let_go() -> None:
+def test_ended_requests_of_a_class_that_is_never_drawn_are_removed() -> None:
     host = ControllerHost()
     for n in range(1, 400):
         host.arrive(n)
-        if n > 2:  # the first two keep the cores
+        if n > 2:  # the first two occupy the cores
             host.send(RequestAbandoned(n))
         if n % 100 == 0:
             host.run_until(host.now + 0.05)
@@ -529,8 +537,8 @@
     assert sum(len(queue) for queue in host.controller.scheduler.queues.queues) < 100
 
 
-def test_what_never_ran_does_not_pass_for_work_done() -> None:
-    """Requests that the pool does not know must not hide cores on which nothing ends."""
+def test_request_that_never_ran_does_not_count_as_a_completion() -> None:
+    """Requests that are unknown to the worker pool must not hide a stall of the cores."""
     host = ControllerHost()
     for n in range(1, 300):
         host.arrive(n)
@@ -539,7 +547,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "cut"),
+    ("outcome", "lowers_limit"),
     [
         (Outcome.REJECTED, True),
         (Outcome.TIMED_OUT, True),
@@ -547,10 +555,10 @@
         (Outcome.BROKEN_OFF, False),
     ],
 )
-def test_only_signs_of_a_crowd_cut_the_calls(outcome: Outcome, cut: bool) -> None:
-    """A link that broke must not keep the calls from a tier that serves."""
+def test_only_signs_of_overload_lower_the_call_limit(outcome: Outcome, lowers_limit: bool) -> None:
+    """A broken connection must not reduce the calls to a healthy tier."""
     host = ControllerHost(replace(CALLS, dependency=DependencyKind.TIER))
     host.arrive(1)
     host.send(CallRequested(1))
     host.send(CallFinished(1, outcome, 0.1))
-    assert (host.controller.calls.limit < host.controller.calls.max_limit) is cut
+    assert (host.controller.calls.limit < host.controller.calls.max_limit) is lowers_limit
