--- a/tests/test_attempt_age.py
+++ b/tests/test_attempt_age.py
@@ -1,4 +1,4 @@
-"""The estimate of an attempt's age."""
+"""Tests of the estimator of attempt ages."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from saltcart.decision.attempt_age import AttemptAgeEstimator
 
 
-def test_the_remembered_attempts_are_bounded_and_forgotten() -> None:
-    ages = AttemptAgeEstimator(4.0)
+def test_remembered_timeouts_are_bounded_and_old_ones_are_forgotten() -> None:
+    estimator = AttemptAgeEstimator(4.0)
     for n in range(3000):
-        ages.estimate_age(4.0 * (n * 0.618 % 1))
-    assert len(ages.counts) <= 260 and len(ages.first_attempt_buckets) <= 10
+        estimator.estimate_age(4.0 * (n * 0.618 % 1))
+    assert len(estimator.counts) <= 260 and len(estimator.first_attempt_buckets) <= 10
     for _ in range(600):
-        first = ages.estimate_age(2.5)
-    assert first < 0.02 and ages.estimate_age(2.0) == pytest.approx(0.5, abs=0.02)
+        first_age = estimator.estimate_age(2.5)
+    assert first_age < 0.02 and estimator.estimate_age(2.0) == pytest.approx(0.5, abs=0.02)
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The climbing run slots."""
+"""Tests of the number of run slots."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     limiter = ConcurrencyLimiter(BASE)
     for n in range(3):
         limiter.update(1 + n * 0.3, 99.0, 0.4, 5, 9.0)
-        limiter.update(1 + n * 0.3 + 0.1, 99.0, 0.4, 5, 9.0)  # the gauge has not moved yet
+        limiter.update(1 + n * 0.3 + 0.1, 99.0, 0.4, 5, 9.0)  # too early for another slot
     assert limiter.slots == 5
     limiter.period_started_at = 1.0
     for n in range(2, 8):
         limiter.completions = 10
         limiter.update(float(n), 99.0, 1.0, 5, 1.0)
     assert limiter.slots == 2
-    limiter.completions = 40  # a rise far beyond counting noise
+    limiter.completions = 40  # a rise well beyond counting noise
     limiter.update(9.0, 99.0, 1.0, 5, 1.0)
     assert limiter.slots == 3
 
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -1,4 +1,4 @@
-"""Property test: any legal history, under varied settings, keeps the four rules."""
+"""Property test: the four service rules hold for random valid event histories under varied settings."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from hypothesis import given, settings
+from hypothesis import given
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from saltcart.decision.actions import (
@@ -64,21 +65,21 @@
 )
 
 
-class Host:
-    """The least of a server that turns random choices into a legal history and keeps account."""
+class RandomHost:
+    """A minimal server that sends random valid events to a controller and checks the resulting actions."""
 
-    def __init__(self, s: Settings, seed: int) -> None:
-        self.settings, self.rng, self.now = s, random.Random(seed), 100.0
-        self.controller = Controller(s, seed)
-        self.states: dict[int, str] = {}  # held, run, stopped, wait, call, join
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.settings, self.rng, self.now = settings, random.Random(seed), 100.0
+        self.controller = Controller(settings, seed)
+        self.states: dict[int, str] = {}  # by request id: held, run, stopped, wait, call or join
         self.due_at: dict[int, float] = {}
         self.class_indexes: dict[int, int] = {}
         self.sizes_kb: dict[int, float] = {}
         self.arrived_at: dict[int, float] = {}
         self.run_started_at: dict[int, float] = {}
-        self.effects: dict[int, int] = {}  # which effect a try carries
-        self.done_effects: dict[int, list[float]] = {}
-        self.reserved_keys: dict[int, tuple[int, float]] = {}  # effect: holder, until
+        self.effects: dict[int, int] = {}  # by request id: its effect, which retries share
+        self.done_effects: dict[int, list[float]] = {}  # by effect: arrival times of its runs
+        self.reserved_keys: dict[int, tuple[int, float]] = {}  # by effect: request id, end of the window
         self.timers: list[tuple[float, int]] = []
         self.drain_started_at: float | None = None
         self.stop_at = 0.0
@@ -86,17 +87,17 @@
         self.send(Started())
 
     def send(self, event: Event) -> None:
-        for a in self.controller.handle(self.now, event):
-            self.apply(a)
+        for action in self.controller.handle(self.now, event):
+            self.apply(action)
         memory = sum(
-            self.sizes_kb[r] * (1 if how in ("held", "join") else self.settings.run_memory_factor)
-            for r, how in self.states.items()
+            self.sizes_kb[request_id] * (1 if state in ("held", "join") else self.settings.run_memory_factor)
+            for request_id, state in self.states.items()
         )
         memory += self.settings.key_entry_kb * sum(
             until > self.now for _, until in self.reserved_keys.values()
         )
         assert memory <= self.settings.memory_kb
-        on_core = sum(how == "run" for how in self.states.values())
+        on_core = sum(state == "run" for state in self.states.values())
         share = 1.0
         if self.settings.starts_cold and self.now < 100 + self.settings.warm_up_seconds:
             share = (
@@ -105,135 +106,160 @@
             )
         assert on_core <= self.settings.cores * (1 + (self.settings.max_running_per_core - 1) * share)
 
-    def answer(self, r: int) -> None:
-        assert r in self.due_at, "second answer"
-        assert self.now <= self.due_at.pop(r) + self.settings.answer_slack + 1e-9, "late answer"
+    def answer(self, request_id: int) -> None:
+        assert request_id in self.due_at, "answered twice"
+        assert self.now <= self.due_at.pop(request_id) + self.settings.answer_slack + 1e-9, (
+            "answered too late"
+        )
 
-    def apply(self, a: Action) -> None:
-        match a:
+    def apply(self, action: Action) -> None:
+        match action:
             case SetTimer(at, token):
                 assert at > self.now
                 self.timers.append((at, token))
-            case StartRun(r):
-                assert self.states[r] == "held" and r not in self.run_started_at
+            case StartRun(request_id):
+                assert self.states[request_id] == "held" and request_id not in self.run_started_at
                 if self.drain_started_at is not None:
-                    assert self.arrived_at[r] <= self.drain_started_at + self.settings.drain_grace
-                if CLASSES[self.class_indexes[r]].effect is Effect.IDEMPOTENT_BY_KEY:
-                    for t in self.done_effects.get(self.effects[r], []):
-                        assert self.arrived_at[r] > t + CLASSES[self.class_indexes[r]].key_window, (
-                            "effect twice"
-                        )
-                    self.done_effects.setdefault(self.effects[r], []).append(self.arrived_at[r])
-                self.states[r], self.run_started_at[r] = "run", self.now
-            case StopRun(r):
+                    assert self.arrived_at[request_id] <= self.drain_started_at + self.settings.drain_grace
+                if CLASSES[self.class_indexes[request_id]].effect is Effect.IDEMPOTENT_BY_KEY:
+                    for previous_arrival in self.done_effects.get(self.effects[request_id], []):
+                        assert (
+                            self.arrived_at[request_id]
+                            > previous_arrival + CLASSES[self.class_indexes[request_id]].key_window
+                        ), "effect happened twice"
+                    self.done_effects.setdefault(self.effects[request_id], []).append(
+                        self.arrived_at[request_id]
+                    )
+                self.states[request_id], self.run_started_at[request_id] = "run", self.now
+            case StopRun(request_id):
                 assert self.settings.preemption is not Preemption.NONE
-                if self.states.get(r) == "run":
-                    self.states[r] = "stopped"
-            case Reject(r):
-                assert r not in self.run_started_at or CLASSES[self.class_indexes[r]].effect is Effect.SAFE
-                assert self.states[r] == "held"
-                self.answer(r)
-                del self.states[r]
-            case FailRequest(r):
-                self.answer(r)
-                if self.states.get(r) in ("held", "join"):
-                    del self.states[r]
-            case StartCall(r, limit):
-                assert self.states[r] == "wait" and limit > 0
-                self.states[r] = "call"
-            case SkipCall(r):
+                if self.states.get(request_id) == "run":
+                    self.states[request_id] = "stopped"
+            case Reject(request_id):
+                assert (
+                    request_id not in self.run_started_at
+                    or CLASSES[self.class_indexes[request_id]].effect is Effect.SAFE
+                )
+                assert self.states[request_id] == "held"
+                self.answer(request_id)
+                del self.states[request_id]
+            case FailRequest(request_id):
+                self.answer(request_id)
+                if self.states.get(request_id) in ("held", "join"):
+                    del self.states[request_id]
+            case StartCall(request_id, timeout):
+                assert self.states[request_id] == "wait" and timeout > 0
+                self.states[request_id] = "call"
+            case SkipCall(request_id):
                 assert (
-                    self.states[r] == "wait" and CLASSES[self.class_indexes[r]].skipped_call_weight_share > 0
+                    self.states[request_id] == "wait"
+                    and CLASSES[self.class_indexes[request_id]].skipped_call_weight_share > 0
                 )
-                self.states[r] = "run"
-            case ReserveKey(r, span):
-                self.reserved_keys[self.effects[r]] = (r, self.now + span)
-            case ReleaseKey(r):
-                if self.reserved_keys.get(self.effects[r], (0, 0.0))[0] == r:
-                    del self.reserved_keys[self.effects[r]]
-            case JoinAttempt(r):
-                self.states[r] = "join"
-            case AdvertiseLevel(value):
-                assert self.settings.signal is not LoadSignal.NONE and value >= 0
+                self.states[request_id] = "run"
+            case ReserveKey(request_id, seconds):
+                self.reserved_keys[self.effects[request_id]] = (request_id, self.now + seconds)
+            case ReleaseKey(request_id):
+                if self.reserved_keys.get(self.effects[request_id], (0, 0.0))[0] == request_id:
+                    del self.reserved_keys[self.effects[request_id]]
+            case JoinAttempt(request_id):
+                self.states[request_id] = "join"
+            case AdvertiseLevel(level):
+                assert self.settings.signal is not LoadSignal.NONE and level >= 0
 
     def arrive(self) -> None:
-        r, k = self.next_id, self.rng.randrange(3)
+        request_id, class_index = self.next_id, self.rng.randrange(3)
         self.next_id += 1
         unread = self.rng.choice([0.0, 0.01, 0.4])
-        patience = self.rng.choice([None, 0.05, 0.5, 2.0]) if self.rng.random() < 0.5 else None
-        self.class_indexes[r], self.sizes_kb[r], self.arrived_at[r] = (
-            k,
+        time_to_deadline = self.rng.choice([None, 0.05, 0.5, 2.0]) if self.rng.random() < 0.5 else None
+        self.class_indexes[request_id], self.sizes_kb[request_id], self.arrived_at[request_id] = (
+            class_index,
             self.rng.uniform(5, 40),
             self.now - unread,
         )
-        self.effects[r] = self.rng.randrange(12) if k == 1 else -r
-        due = self.now + patience if patience else max(self.now, self.arrived_at[r] + CLASSES[k].deadline)
-        holder, until = self.reserved_keys.get(self.effects[r], (0, 0.0))
-        same = holder if holder and self.arrived_at[r] <= until else None
-        self.due_at[r], self.states[r] = due, "held"
+        self.effects[request_id] = self.rng.randrange(12) if class_index == 1 else -request_id
+        due = (
+            self.now + time_to_deadline
+            if time_to_deadline
+            else max(self.now, self.arrived_at[request_id] + CLASSES[class_index].deadline)
+        )
+        holder, until = self.reserved_keys.get(self.effects[request_id], (0, 0.0))
+        repeat_of = holder if holder and self.arrived_at[request_id] <= until else None
+        self.due_at[request_id], self.states[request_id] = due, "held"
         self.send(
             RequestArrived(
-                r,
-                k,
-                self.sizes_kb[r],
+                request_id,
+                class_index,
+                self.sizes_kb[request_id],
                 self.rng.random(),
                 unread,
-                patience,
-                repeat_of=same,
+                time_to_deadline,
+                repeat_of=repeat_of,
                 balancer=self.rng.randrange(3),
             )
         )
 
-    def finish(self, r: int, outcome: Outcome) -> None:
-        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED) and r in self.due_at:
-            self.answer(r)
-        del self.states[r]
-        self.send(RunFinished(r, outcome, self.now - self.run_started_at.get(r, self.now)))
+    def finish(self, request_id: int, outcome: Outcome) -> None:
+        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED) and request_id in self.due_at:
+            self.answer(request_id)
+        del self.states[request_id]
+        self.send(RunFinished(request_id, outcome, self.now - self.run_started_at.get(request_id, self.now)))
 
-    def one(self, kinds: tuple[str, ...]) -> int | None:
-        able = [r for r, s in self.states.items() if s in kinds]
-        return self.rng.choice(able) if able else None
+    def pick_request(self, states: tuple[str, ...]) -> int | None:
+        candidates = [request_id for request_id, state in self.states.items() if state in states]
+        return self.rng.choice(candidates) if candidates else None
 
-    def act(self, hang: bool) -> None:
-        what = self.rng.random()
-        if what < 0.4:
+    def send_random_event(self, hang: bool) -> None:
+        choice = self.rng.random()
+        if choice < 0.4:
             self.arrive()
         elif (
-            what < 0.46 and (r := self.one(("held", "run", "join", "wait"))) is not None and r in self.due_at
+            choice < 0.46
+            and (request_id := self.pick_request(("held", "run", "join", "wait"))) is not None
+            and request_id in self.due_at
+        ):
+            del self.due_at[request_id]
+            if self.states[request_id] in ("held", "join"):
+                del self.states[request_id]
+            self.send(RequestAbandoned(request_id))
+        elif (
+            choice < 0.56
+            and (request_id := self.pick_request(("run",))) is not None
+            and request_id in self.due_at
         ):
-            del self.due_at[r]
-            if self.states[r] in ("held", "join"):
-                del self.states[r]
-            self.send(RequestAbandoned(r))
-        elif what < 0.56 and (r := self.one(("run",))) is not None and r in self.due_at:
             if (
-                CLASSES[self.class_indexes[r]].calls_dependency
+                CLASSES[self.class_indexes[request_id]].calls_dependency
                 and self.settings.dependency is not DependencyKind.NONE
             ):
-                self.states[r] = "wait"
-                self.send(CallRequested(r))
-        elif what < 0.66 and (r := self.one(("call",))) is not None and not hang:
-            how = self.rng.choice(
+                self.states[request_id] = "wait"
+                self.send(CallRequested(request_id))
+        elif choice < 0.66 and (request_id := self.pick_request(("call",))) is not None and not hang:
+            outcome = self.rng.choice(
                 list(Outcome)[:1] * 4
                 + [Outcome.FAILED, Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.BROKEN_OFF]
             )
-            self.states[r] = "run" if how is Outcome.SUCCEEDED else "wait"
-            self.send(CallFinished(r, how, 0.05))
-        elif (r := self.one(("run", "stopped", "join", "wait", "call"))) is not None:
-            if self.states[r] == "stopped" or (self.states[r] in ("wait", "call") and r not in self.due_at):
-                self.finish(r, Outcome.CANCELLED)
-            elif self.states[r] in ("run", "join") and not hang:
-                self.finish(r, self.rng.choice([Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.FAILED]))
+            self.states[request_id] = "run" if outcome is Outcome.SUCCEEDED else "wait"
+            self.send(CallFinished(request_id, outcome, 0.05))
+        elif (request_id := self.pick_request(("run", "stopped", "join", "wait", "call"))) is not None:
+            if self.states[request_id] == "stopped" or (
+                self.states[request_id] in ("wait", "call") and request_id not in self.due_at
+            ):
+                self.finish(request_id, Outcome.CANCELLED)
+            elif self.states[request_id] in ("run", "join") and not hang:
+                self.finish(
+                    request_id, self.rng.choice([Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.FAILED])
+                )
 
-    def advance(self, by: float) -> None:
-        end = self.now + by
+    def advance(self, seconds: float) -> None:
+        end = self.now + seconds
         while self.timers and min(self.timers)[0] <= end:
             at, token = min(self.timers)
             self.timers.remove((at, token))
             self.now = max(self.now, at)
             self.send(TimerFired(token, self.rng.random()))
         self.now = end
-        assert all(due + self.settings.answer_slack >= self.now for due in self.due_at.values()), "lost"
+        assert all(due + self.settings.answer_slack >= self.now for due in self.due_at.values()), (
+            "not answered in time"
+        )
 
 
 OPTIONS: dict[str, Any] = {
@@ -247,18 +273,18 @@
 }
 
 
-@settings(max_examples=60, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.fixed_dictionaries(OPTIONS), st.integers(0, 10**6), st.booleans())
-def test_rules_hold_on_any_history(options: dict[str, Any], seed: int, hang: bool) -> None:
-    host = Host(replace(BASE, **options), seed)
+def test_service_rules_hold_for_any_valid_history(options: dict[str, Any], seed: int, hang: bool) -> None:
+    host = RandomHost(replace(BASE, **options), seed)
     for n in range(250):
-        host.act(hang and 80 < n < 160)
+        host.send_random_event(hang and 80 < n < 160)
         if n % 2:
             host.advance(host.rng.choice([0.0, 0.005, 0.03, 0.12]))
         if n == 200:
             host.drain_started_at, host.stop_at = host.now, host.now + 3.0
             host.send(DrainStarted(3.0))
     while host.now < host.stop_at:
-        host.act(False)
+        host.send_random_event(False)
         host.advance(0.05)
     assert not host.due_at
