--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -10,11 +10,11 @@
 from tests.test_controller import BASE
 
 
-def test_slots_grow_fast_while_cores_idle_and_fall_back_without_proof() -> None:
+def test_slots_grow_fast_while_cores_idle_and_shrink_without_higher_throughput() -> None:
     limiter = ConcurrencyLimiter(BASE)
     for n in range(3):
         limiter.update(1 + n * 0.3, 99.0, 0.4, 5, 9.0)
-        limiter.update(1 + n * 0.3 + 0.1, 99.0, 0.4, 5, 9.0)  # too early for another slot
+        limiter.update(1 + n * 0.3 + 0.1, 99.0, 0.4, 5, 9.0)  # the gauge is not updated that fast
     assert limiter.slots == 5
     limiter.period_started_at = 1.0
     for n in range(2, 8):
@@ -26,7 +26,7 @@
     assert limiter.slots == 3
 
 
-def test_cold_server_bears_a_smaller_crowd() -> None:
+def test_cold_server_survives_fewer_requests() -> None:
     limiter = ConcurrencyLimiter(replace(BASE, starts_cold=True, cold_speed_share=0.25, warm_up_seconds=10.0))
     assert limiter.survivable_requests(0.0) == pytest.approx(2 * 2.0)
     assert limiter.survivable_requests(10.0) == pytest.approx(2 * 5.0)
--- a/tests/test_delay_ratio.py
+++ b/tests/test_delay_ratio.py
@@ -7,7 +7,7 @@
 from saltcart.decision.delay_ratio import DelayRatioController
 
 
-def test_pi_increment_follows_the_paper() -> None:
+def test_pi_increment_matches_the_equation_of_the_paper() -> None:
     controller = DelayRatioController([0.5])
     controller.update([0.3, 1.0])  # error 0.2
     assert controller.ratios[0] == pytest.approx(1 + 0.42 * 0.2)
@@ -16,7 +16,7 @@
     assert controller.shares[1] / controller.shares[0] == pytest.approx(controller.ratios[0])
 
 
-def test_periods_without_evidence_are_skipped_and_x_stays_positive() -> None:
+def test_pairs_without_waits_are_skipped_and_ratios_stay_positive() -> None:
     controller = DelayRatioController([0.5, 1.0])
     controller.update([0.0, 1.0, 1.0])
     # The first pair has a class without waits, the second has no error.
