--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, through the command that the deploy file names."""
+"""Tests of the simulator adapter, run with the command in the deployment file."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     "unheardOf": {"x": 1},
 }
 BOOT = {"verb": "boot", "worker": 4, "initSeed": 9, "settings": SETTINGS}
-ASK = {
+ARRIVAL = {
     "verb": "arrival",
     "worker": 4,
     "msgId": 77,
@@ -58,12 +58,12 @@
 
 
 def command() -> str:
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    sim: str = deploy["sim"]
-    return sim.replace(".venv/bin/python", sys.executable)
+    deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    sim_command: str = deployment["sim"]
+    return sim_command.replace(".venv/bin/python", sys.executable)
 
 
-def talk(*batches: list[Any], tail: str = "") -> subprocess.CompletedProcess[str]:
+def run_adapter(*batches: list[Any], tail: str = "") -> subprocess.CompletedProcess[str]:
     lines = []
     for n, batch in enumerate(batches):
         lines.append(json.dumps({"verb": "sync", "simTime": 5.0 + n * 0.1, "serial": n}))
@@ -81,63 +81,67 @@
     )
 
 
-def test_a_conversation() -> None:
-    done = {"verb": "done", "worker": 4, "msgId": 77, "how": 0, "delaySeen": 0.1}
-    ring = {"verb": "ring", "worker": 4, "label": 0, "serverStats": [0.5, 3]}
-    result = talk([BOOT], [ASK], [done, ring], [{"verb": "teardown", "worker": 4}, BOOT], [])
+def test_batches_are_answered_in_order() -> None:
+    run_finished = {"verb": "done", "worker": 4, "msgId": 77, "how": 0, "delaySeen": 0.1}
+    timer_fired = {"verb": "ring", "worker": 4, "label": 0, "serverStats": [0.5, 3]}
+    result = run_adapter(
+        [BOOT], [ARRIVAL], [run_finished, timer_fired], [{"verb": "teardown", "worker": 4}, BOOT], []
+    )
     assert result.returncode == 0 and result.stderr == ""
-    said = [json.loads(line) for line in result.stdout.splitlines()]
-    assert [m["serial"] for m in said if m["verb"] == "finished"] == [0, 1, 2, 3, 4]
-    assert {"verb": "process", "msgId": 77, "worker": 4} in said
-    assert any(m["verb"] == "remember" and m["msgId"] == 77 for m in said)
-    assert sum(m["verb"] == "setHealth" for m in said) == 2
+    messages = [json.loads(line) for line in result.stdout.splitlines()]
+    assert [message["serial"] for message in messages if message["verb"] == "finished"] == [0, 1, 2, 3, 4]
+    assert {"verb": "process", "msgId": 77, "worker": 4} in messages
+    assert any(message["verb"] == "remember" and message["msgId"] == 77 for message in messages)
+    assert sum(message["verb"] == "setHealth" for message in messages) == 2
 
 
-def test_end_of_input_is_a_clean_end() -> None:
-    assert talk().returncode == 0
+def test_empty_input_exits_with_status_zero() -> None:
+    assert run_adapter().returncode == 0
 
 
-def broken(where: list[str | int], value: Any) -> dict[str, Any]:
+def boot_with(path: list[str | int], value: Any) -> dict[str, Any]:
     boot = copy.deepcopy(BOOT)
-    spot: Any = boot
-    for step in where[:-1]:
-        spot = spot[step]
-    spot[where[-1]] = value
+    target: Any = boot
+    for key in path[:-1]:
+        target = target[key]
+    target[path[-1]] = value
     return boot
 
 
 @pytest.mark.parametrize(
-    ("batches", "named"),
+    ("batches", "expected_words"),
     [
         ([["{nonsense"]], ["JSON"]),
         ([[{"verb": "dance", "worker": 4}]], ["dance", "worker"]),
         ([[BOOT], [{"verb": "dance", "worker": 4, "msgId": 1}]], ["dance"]),
-        ([[BOOT], [{**ASK, "sizeKb": "big"}]], ["arrival", "sizeKb"]),
-        ([[BOOT], [{k: v for k, v in ASK.items() if k != "msgId"}]], ["arrival", "msgId"]),
-        ([[BOOT], [{**ASK, "priority": "gold"}]], ["arrival", "priority"]),
-        ([[BOOT], [{**ASK, "worker": 5}]], ["arrival", "worker"]),
+        ([[BOOT], [{**ARRIVAL, "sizeKb": "big"}]], ["arrival", "sizeKb"]),
+        ([[BOOT], [{k: v for k, v in ARRIVAL.items() if k != "msgId"}]], ["arrival", "msgId"]),
+        ([[BOOT], [{**ARRIVAL, "priority": "gold"}]], ["arrival", "priority"]),
+        ([[BOOT], [{**ARRIVAL, "worker": 5}]], ["arrival", "worker"]),
         ([[BOOT], [{"verb": "done", "worker": 4, "msgId": 1, "how": 6}]], ["done", "how"]),
-        ([[broken(["settings", "extra", "cores"], 0)]], ["boot", "cores"]),
-        ([[broken(["settings", "services", 0, "effect"], "magic")]], ["boot", "effect"]),
-        ([[broken(["settings", "services", 0, "onTime"], True)]], ["boot", "onTime"]),
-        ([[broken(["settings", "services"], [])]], ["boot", "services"]),
+        ([[boot_with(["settings", "extra", "cores"], 0)]], ["boot", "cores"]),
+        ([[boot_with(["settings", "services", 0, "effect"], "magic")]], ["boot", "effect"]),
+        ([[boot_with(["settings", "services", 0, "onTime"], True)]], ["boot", "onTime"]),
+        ([[boot_with(["settings", "services"], [])]], ["boot", "services"]),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(batches: list[list[Any]], named: list[str]) -> None:
-    result = talk(*batches)
+def test_malformed_input_fails_with_a_one_line_error(
+    batches: list[list[Any]], expected_words: list[str]
+) -> None:
+    result = run_adapter(*batches)
     assert result.returncode != 0
     lines = result.stderr.splitlines()
     assert len(lines) == 1 and "Traceback" not in result.stderr
-    assert all(word in lines[0] for word in named)
+    assert all(expected_word in lines[0] for expected_word in expected_words)
 
 
-def test_input_cut_within_a_batch_is_malformed() -> None:
-    result = talk([BOOT], tail='{"verb":"sync","simTime":6,"serial":1}\n')
+def test_input_that_ends_within_a_batch_is_malformed() -> None:
+    result = run_adapter([BOOT], tail='{"verb":"sync","simTime":6,"serial":1}\n')
     assert result.returncode != 0 and "commit" in result.stderr
 
 
-def test_seeds_and_ids_may_be_as_large_as_the_wire_has_them() -> None:
-    result = talk([{**BOOT, "initSeed": 2**64 - 1}], [{**ASK, "msgId": 2**52 - 1}])
+def test_largest_seeds_and_ids_of_the_protocol_are_accepted() -> None:
+    result = run_adapter([{**BOOT, "initSeed": 2**64 - 1}], [{**ARRIVAL, "msgId": 2**52 - 1}])
     assert result.returncode == 0 and result.stderr == ""
-    said = map(json.loads, result.stdout.splitlines())
-    assert {"verb": "process", "msgId": 2**52 - 1, "worker": 4} in said
+    messages = map(json.loads, result.stdout.splitlines())
+    assert {"verb": "process", "msgId": 2**52 - 1, "worker": 4} in messages
