--- a/saltcart/decision/admission.py
+++ b/saltcart/decision/admission.py
@@ -16,10 +16,12 @@
 ADMIT_MEMORY_SHARE = 0.9  # up to which new requests are held
 RUN_MEMORY_SHARE = 0.95  # up to which runs are started
 JOIN_MEMORY_SHARE = 0.97  # up to which a retry may wait for the result of an earlier attempt
+
 RETRY_AFTER_SHARE = 0.05  # Retry-After, as a share of the latency objective
 QUOTA_BURST_OBJECTIVES = 2.0  # burst over a tenant's quota, as its runs in this many latency objectives
 UNREAD_SMOOTHING = 0.1  # weight of a new unread time in its exponentially weighted moving average
 ARRIVALS_DECAY = 0.9  # factor of the arrival counts in each period
+
 # Expected waits, as multiples of the latency objective.
 FIRST_SHED_START = 0.06  # above which the classes to shed first are shed in part
 FIRST_SHED_RANGE = 0.22  # from there until they are shed in full
@@ -140,9 +142,9 @@
         run_seconds = self.run_times.run_seconds
         total_seconds = sum(count * seconds for count, seconds in zip(self.arrivals, run_seconds))
         mean_run_seconds = max(total_seconds / max(1e-9, sum(self.arrivals)), stalled_seconds)
-        # The wait before the read counts as well: on a slow server runs starve the reading, and shedding
-        # requests after the read relieves nothing.  It decays, because an advertised level that stops all
-        # arrivals would otherwise never fall.
+        # The wait before the read counts as well: on a slow server, runs delay the reading of requests, and
+        # shedding them after the read relieves nothing.  It decays, because otherwise an advertised level
+        # that stops all arrivals would never fall.
         self.unread_seconds -= self.unread_seconds * sweep_interval / self.objective
         expected_wait = self.table.counts[HELD] * mean_run_seconds / slots + self.unread_seconds
         first_pressure = (expected_wait / self.objective - FIRST_SHED_START) / FIRST_SHED_RANGE
--- a/saltcart/decision/advertisement.py
+++ b/saltcart/decision/advertisement.py
@@ -7,9 +7,11 @@
 
 MIN_LEVEL_CHANGE = 0.02  # smaller changes are not sent; relative to the last level if that is above 1
 FINAL_PRESSURE = 0.2  # above which a rejected caller should not try another server
+
 # Smoothing of the pressure, in multiples of its range per latency objective.
 FALL_SPEED = 2
 RISE_SPEED = 4
+
 FULL_PRESSURE = 0.95  # from which the classes that are shed first count as shed in full
 WEIGHT_REDUCTION = 0.8  # of the weight, at a pressure of 1
 CREDIT_REDUCTION = 0.45  # of the credit, at a pressure of 1
@@ -50,7 +52,7 @@
         return self._advertise(level)
 
     def _lowest_rank(self, first_shed_count: int) -> float:
-        # Below full pressure only the lowest class is turned away, at the share that is rejected here anyway.
+        # Below full pressure the level covers only the part of the lowest class that is rejected here anyway.
         class_count = len(self.settings.classes)
         if self.pressure < FULL_PRESSURE:
             return self.pressure / class_count
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -37,6 +37,12 @@
     """Decides which requests of a server run, are held, rejected or failed.  Times are in seconds."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Create the controller of a server that has not started yet.
+
+        Args:
+            settings: Settings of the server.
+            seed: Seed of the random draws between classes.
+        """
         self.settings = settings
         objective = min(spec.latency_objective for spec in settings.classes)
         order = order_by_weight(settings.classes)
@@ -198,7 +204,7 @@
         seconds = now - request.started_at - request.off_core_seconds
         succeeded = outcome is Outcome.SUCCEEDED
         self.run_times.record_run(request.class_index, seconds, succeeded)
-        # A request that never ran says nothing about the throughput of the cores.
+        # A request that never ran is no evidence of the throughput of the cores.
         if request.state is RUNNING and outcome is not Outcome.NOT_STARTED:
             self.scheduler.limiter.completions += 1
             self.last_completion_at = now
--- a/saltcart/decision/estimators.py
+++ b/saltcart/decision/estimators.py
@@ -97,9 +97,8 @@
 
     def __init__(self, replica_count: int) -> None:
         self.replica_count = replica_count
-        self.bucket_levels: dict[
-            str, tuple[float, float]
-        ] = {}  # by tenant name: level in runs, time of update
+        # By tenant name: the level in runs and the time of its last update.
+        self.bucket_levels: dict[str, tuple[float, float]] = {}
 
     def quota_rate(self, tenant: TenantSpec) -> float:
         """Return this server's part of a tenant's quota in runs per second."""
--- a/saltcart/decision/idle_timeout.py
+++ b/saltcart/decision/idle_timeout.py
@@ -28,7 +28,7 @@
         """Return the action that sets a new timeout, if it changed enough.
 
         Args:
-            pressure: Smoothed pressure, from 0.
+            pressure: Smoothed pressure; at 1 and above the timeout is that of the clients.
         """
         exponent = 1 - min(1.0, pressure)
         timeout = self.client_timeout * self.reuse_share**exponent
--- a/saltcart/decision/request_table.py
+++ b/saltcart/decision/request_table.py
@@ -17,9 +17,8 @@
         self.requests: dict[int, Request] = {}
         self.counts = [0] * len(RequestState)
         self.held_by_class = [0] * len(settings.classes)
-        self.key_results: dict[
-            int, bool | None
-        ] = {}  # by reserved key: success of its run, None before its end
+        # By id of a request with a reserved key: whether its run succeeded, None before the end of that run.
+        self.key_results: dict[int, bool | None] = {}
         self.memory_kb = 0.0
 
     def __contains__(self, request_id: int) -> bool:
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -68,7 +68,7 @@
         slots = self.limiter.slots
         if counts[RUNNING] + predecessor.running >= slots or not counts[HELD]:
             return
-        # One request per core is always allowed: a lower bound could stop all runs.
+        # One request per core is always allowed: with a lower bound, nothing might run at all.
         survivable = max(self.settings.cores, SURVIVABLE_RUN_SHARE * self.limiter.survivable_requests(age))
         max_in_flight = survivable - (predecessor.running + predecessor.calling)
         slots_await_calls = counts[AWAITING_CALL] + counts[CALLING] >= slots
--- a/saltcart/decision/settings.py
+++ b/saltcart/decision/settings.py
@@ -90,7 +90,8 @@
     memory_kb: float
     answer_slack: float  # how long after its deadline a final answer may still be sent
     drain_grace: float  # requests that arrive later than this after the start of a drain must not run
-    max_running_per_core: float  # requests that a warm server survives, as a mean over max_running_window
+    # Concurrent requests per core that a warm server survives, as a mean over max_running_window.
+    max_running_per_core: float
     max_running_window: float
     cold_speed_share: float = 1.0  # share of its warm speed at which a cold server starts
     warm_up_seconds: float = 0.0
