--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -34,15 +34,14 @@
 
 
 class Controller:
-    """Decides which requests of a server run, are held, rejected or failed.  Times are in seconds."""
+    """Decides which requests of a server run, are held, rejected or failed.  Times are in seconds.
 
-    def __init__(self, settings: Settings, seed: int) -> None:
-        """Create the controller of a server that has not started yet.
+    Args:
+        settings: Settings of the server.
+        seed: Seed of the random draws between classes.
+    """
 
-        Args:
-            settings: Settings of the server.
-            seed: Seed of the random draws between classes.
-        """
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         objective = min(spec.latency_objective for spec in settings.classes)
         order = order_by_weight(settings.classes)
