--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -185,7 +185,7 @@
 # ---- service rules ---------------------------------------------------------------------------
 
 
-def test_hung_run_is_answered_before_its_answer_is_due() -> None:
+def test_hung_run_is_failed_before_its_answer_is_due() -> None:
     host = ControllerHost(
         replace(BASE, preemption=Preemption.NONE, classes=(replace(LOW, late_weight_share=0.2), TOP))
     )
