--- a/saltcart/core/__init__.py
+++ b/saltcart/core/__init__.py
@@ -1,1 +1,1 @@
-"""The service: requests, keys, results, timers, health and drain, behind small ports."""
+"""The service core: requests, idempotency keys, results, timers, health and drain, behind small ports."""
--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -17,10 +17,10 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect
 
-CALL_SLACK = 0.15  # seconds after its time-out at which a call without a reply is given up
+CALL_SLACK_SECONDS = 0.15  # seconds after its time-out at which a call without a reply is given up
 STOP_RETRY_SECONDS = 1.0  # after which an answered run is told to stop again: idle cores stop nothing
 
-CANNOT_START = (JOINED, BLOCKED, CALLING)
+PHASES_THAT_CANNOT_START = (JOINED, BLOCKED, CALLING)
 
 
 class ActionExecutor:
@@ -64,18 +64,18 @@
             actions.LogMessage: self._log_message,
         }
 
-    def carry_out(self, action: actions.Action) -> None:
+    def execute(self, action: actions.Action) -> None:
         """Carry out one action."""
         self.handlers[type(action)](action)
 
-    def _request(self, request_number: int) -> PendingRequest | None:
+    def _find_request(self, request_number: int) -> PendingRequest | None:
         return self.lifecycle.requests.get(request_number)
 
     # ---- runs ---------------------------------------------------------------------------------
 
     def _start_run(self, action: actions.StartRun) -> None:
-        request = self._request(action.id)
-        if request is None or request.respond is None or request.phase in CANNOT_START:
+        request = self._find_request(action.id)
+        if request is None or request.respond is None or request.phase in PHASES_THAT_CANNOT_START:
             self.loop.defer(RunFinished(action.id, Outcome.NOT_STARTED, 0.0))
         elif request.phase is PAUSED:
             request.phase = RUNNING
@@ -98,12 +98,12 @@
             inbound.account,
             inbound.body,
             request.spec.effect is not Effect.SAFE,
-            min(request.due_at, self.drain.answer_by) - self.clock.now,
+            min(request.due_at, self.drain.respond_by) - self.clock.now,
             inbound.received_at + request.spec.latency_objective - self.clock.now,
         )
 
     def _stop_run(self, action: actions.StopRun) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is None or request.phase is not RUNNING or request.stop_requested:
             return
         request.stop_requested = True
@@ -113,7 +113,7 @@
 
     def _stop_again(self, number: int) -> None:
         """Tell a run again to stop; it has its slot and its memory in the pool until its end is reported."""
-        request = self._request(number)
+        request = self._find_request(number)
         if request is None or not request.stop_requested or request.phase is not RUNNING:
             return
         self.log("stop-retried", id=request.inbound.request_id.decode())
@@ -126,7 +126,7 @@
     # ---- final responses ----------------------------------------------------------------------
 
     def _reject(self, action: actions.Reject) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is None or request.respond is None:
             return
         if request.phase is not HELD:  # what has run, or shares a run, is never rejected
@@ -142,22 +142,22 @@
             advice = control.record_rejection(self.clock.now, request.attempt.fingerprint)
             response.retry_after_seconds = advice.retry_after
         self.lifecycle.respond(request, response)
-        self.lifecycle.settle(request)
+        self.lifecycle.remove_if_finished(request)
 
     def _fail(self, action: actions.FailRequest) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is not None and request.respond is not None:
             self.lifecycle.fail(request)
 
     # ---- calls --------------------------------------------------------------------------------
 
     def _start_call(self, action: actions.StartCall) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is None or request.phase is not BLOCKED:
             return
         request.call_started_at = self.clock.now
         request.call_number += 1
-        overdue_at = self.clock.now + action.timeout + CALL_SLACK
+        overdue_at = self.clock.now + action.timeout + CALL_SLACK_SECONDS
         self.timers.call_at(overdue_at, self._call_overdue, request.number, request.call_number)
         if self.ports.dependency_calls is None:
             self.loop.defer(CallFinished(action.id, Outcome.UNREACHABLE, 0.0))
@@ -168,36 +168,36 @@
         self.ports.dependency_calls.call(request_id, action.timeout, request.call_body, must_run_once)
 
     def _call_overdue(self, number: int, call_number: int) -> None:
-        request = self._request(number)
+        request = self._find_request(number)
         if request is None or request.phase is not CALLING or request.call_number != call_number:
             return
         self.lifecycle.cancel_call(request)
         self.on_call_overdue(request.inbound.request_id)
 
     def _skip_call(self, action: actions.SkipCall) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is None or request.phase is not BLOCKED:
             return
         if request.spec.skipped_call_weight_share == 0:
             return
         request.phase = RUNNING
         request.call_body = b""
-        self.ports.workers.skip_call(request.inbound.request_id, request.call_notice)
+        self.ports.workers.skip_call(request.inbound.request_id, request.call_notice_number)
 
     # ---- idempotency keys ---------------------------------------------------------------------
 
     def _reserve_key(self, action: actions.ReserveKey) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is not None and request.key is not None:
             self.lifecycle.attempts.reserve(request, self.clock.now + action.seconds)
 
     def _release_key(self, action: actions.ReleaseKey) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is not None:
             self.lifecycle.attempts.release(request)
 
     def _join_attempt(self, action: actions.JoinAttempt) -> None:
-        request = self._request(action.id)
+        request = self._find_request(action.id)
         if request is not None and request.respond is not None:
             request.phase = JOINED
             self.lifecycle.attempts.join(request)
--- a/saltcart/core/decision_loop.py
+++ b/saltcart/core/decision_loop.py
@@ -14,7 +14,7 @@
 from saltcart.decision.outcome import Outcome
 
 FAULT_RETRY_SECONDS = 0.1  # after which the controller's timer fires again if it failed
-GAUGE_LIFETIME = 1.0  # seconds; gauges older than this, and than two sweeps, tell nothing of now
+GAUGE_LIFETIME_SECONDS = 1.0  # seconds; gauges older than this, and than two sweeps, tell nothing of now
 
 
 class DecisionLoop:
@@ -26,38 +26,38 @@
         self.ports = ports
         self.log = log
         self.controller: Controller | None = None  # None until the worker pool is up
-        self.carry_out: Callable[[Action], None] = lambda action: None
+        self.execute_action: Callable[[Action], None] = lambda action: None
         self.events = deque[Event]()
-        self.is_busy = False
+        self.is_dispatching = False
         self.gauges: dict[str, float] = {}  # those last polled
-        self.gauges_at = 0.0
+        self.gauges_polled_at = 0.0
 
     def start(self, controller: Controller, started_at: float) -> None:
         """Begin with this controller, whose server started then."""
         self.controller = controller
         for action in controller.handle(started_at, Started()):
-            self._act(action)
+            self._execute(action)
 
     def feed(self, event: Event) -> None:
         """Give the controller an event and carry out its actions; events that follow wait their turn."""
         if self.controller is None:
             return  # it starts with the settings of that moment
         self.events.append(event)
-        if self.is_busy:
+        if self.is_dispatching:
             return
-        self.is_busy = True
+        self.is_dispatching = True
         try:
             while self.events:
-                for action in self._decide(self.controller, self.events.popleft()):
-                    self._act(action)
+                for action in self._handle(self.controller, self.events.popleft()):
+                    self._execute(action)
         finally:
-            self.is_busy = False
+            self.is_dispatching = False
 
     def defer(self, event: Event) -> None:
         """Add an event from within an action: it is fed after those before it."""
         self.events.append(event)
 
-    def _decide(self, controller: Controller, event: Event) -> list[Action]:
+    def _handle(self, controller: Controller, event: Event) -> list[Action]:
         # A fault costs one event, not the service: the due guard answers, timers go on.
         try:
             return controller.handle(self.clock.now, event)
@@ -67,10 +67,10 @@
                 self.timers.call_at(self.clock.now + FAULT_RETRY_SECONDS, self.fire_timer, event.token)
             return []
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         # A fault in carrying out one action costs no other: a timer not set would be the last one.
         try:
-            self.carry_out(action)
+            self.execute_action(action)
         except Exception as error:
             self.log("action-fault", on=type(action).__name__, error=repr(error))
             if isinstance(action, StartRun):  # it ends at once; its slot must not be taken for good
@@ -79,7 +79,7 @@
     def fire_timer(self, token: int) -> None:
         """Fire the controller's timer, with the gauges last polled: it never waits for the pool."""
         sweep_interval = 0.0 if self.controller is None else self.controller.sweep_interval
-        if self.clock.now > self.gauges_at + max(GAUGE_LIFETIME, 2 * sweep_interval):
+        if self.clock.now > self.gauges_polled_at + max(GAUGE_LIFETIME_SECONDS, 2 * sweep_interval):
             self.gauges = {}  # the link is away: idle cores of long ago must not let in more work
         self.feed(TimerFired(token, **self.gauges))
         self.ports.workers.poll_gauges()
--- a/saltcart/core/idempotency.py
+++ b/saltcart/core/idempotency.py
@@ -74,11 +74,11 @@
             return
         record.is_finished = True
         record.result = result if outcome is Outcome.SUCCEEDED else None
-        if outcome is Outcome.NOT_STARTED and not request.call_notice:  # proof that nothing ran
+        if outcome is Outcome.NOT_STARTED and not request.call_notice_number:  # proof that nothing ran
             self.keys.remove(record)
             self._fail_waiting(record)
 
-    def request_settled(self, request: PendingRequest) -> None:
+    def request_removed(self, request: PendingRequest) -> None:
         """The request is forgotten; its key stands if it has run."""
         # The request has the record: its key may have another by now, and those who joined still wait.
         record = request.key_record
@@ -95,7 +95,7 @@
     def _finish_waiting(self, record: KeyRecord) -> None:
         current = self.keys.records.get(record.key)
         if current is record:
-            self.keys.update_booking(record)  # its result is known: it takes no more than that
+            self.keys.update_used_bytes(record)  # its result is known: it takes no more than that
         if self.notify_successor is not None and (current is None or current is record):
             self.notify_successor(record, current is None)
         waiting = record.waiting_attempts
@@ -126,20 +126,20 @@
 
         ``is_free``: nothing ran.  ``number``: one that no request of this process has.
         """
-        known = self.keys.records.get(record.key)
-        if known is None and not is_free:
+        current = self.keys.records.get(record.key)
+        if current is None and not is_free:
             record.holder_number = -number
             self.keys.adopt(record)
-            known = record
-        if known is None or known.holder_number > 0:
+            current = record
+        if current is None or current.holder_number > 0:
             return
-        known.has_run = record.has_run
-        known.is_finished = record.is_finished or is_free
-        known.result = record.result
+        current.has_run = record.has_run
+        current.is_finished = record.is_finished or is_free
+        current.result = record.result
         if is_free:
-            self.keys.remove(known)
-        if known.is_finished:
-            self._finish_waiting(known)
+            self.keys.remove(current)
+        if current.is_finished:
+            self._finish_waiting(current)
 
     def is_uncertain(self, arrived_at: float) -> bool:
         """Whether a run that nobody reported may be one of a key that is new here."""
--- a/saltcart/core/idempotency_keys.py
+++ b/saltcart/core/idempotency_keys.py
@@ -33,7 +33,7 @@
     result: bytes | None = None  # of a run that succeeded
     waiting_attempts: list[int] = field(default_factory=list)  # request numbers that wait for the result
     previous_window: KeyRecord | None = None  # of an earlier window, to which an attempt read late may belong
-    booked_bytes: int = 0  # on the table's account
+    counted_bytes: int = 0  # on the table's account
 
     def byte_size(self) -> int:
         """Return the bytes that this record takes, or may come to take."""
@@ -66,31 +66,31 @@
 
     def reserve(self, key: Key, holder_number: int, expires_at: float, body: bytes) -> KeyRecord:
         """Return the holder's record of a key, made anew or with its window extended."""
-        earlier = self.records.get(key)
-        if earlier is not None and earlier.holder_number == holder_number:
-            earlier.expires_at = max(earlier.expires_at, expires_at)
-            return earlier
-        record = KeyRecord(key, holder_number, expires_at, digest(body), previous_window=earlier)
+        previous = self.records.get(key)
+        if previous is not None and previous.holder_number == holder_number:
+            previous.expires_at = max(previous.expires_at, expires_at)
+            return previous
+        record = KeyRecord(key, holder_number, expires_at, digest(body), previous_window=previous)
         self.records[key] = record
-        self.update_booking(record)
+        self.update_used_bytes(record)
         return record
 
     def add_attempt(self, record: KeyRecord, attempt_id: bytes) -> None:
         """Note the id of one more attempt, which is used up by that."""
         if len(record.attempt_ids) < MAX_ATTEMPT_IDS:
             record.attempt_ids.add(attempt_id)
-            self.update_booking(record)
+            self.update_used_bytes(record)
 
-    def update_booking(self, record: KeyRecord) -> None:
+    def update_used_bytes(self, record: KeyRecord) -> None:
         """Put the bytes that a record takes on the account, or change them there."""
         size = record.byte_size()
-        self.used_bytes += size - record.booked_bytes
-        record.booked_bytes = size
+        self.used_bytes += size - record.counted_bytes
+        record.counted_bytes = size
 
     def adopt(self, record: KeyRecord) -> None:
         """Take a record of the predecessor's, whatever the bound, for its run may have begun."""
         self.records[record.key] = record
-        self.update_booking(record)
+        self.update_used_bytes(record)
 
     def remove(self, record: KeyRecord) -> None:
         """Free a key; the record of an earlier window stands again."""
@@ -100,11 +100,11 @@
             del self.records[record.key]
         else:
             self.records[record.key] = record.previous_window
-        self._book_off(record)
+        self._release_bytes(record)
 
-    def _book_off(self, record: KeyRecord) -> None:
-        self.used_bytes -= record.booked_bytes
-        record.booked_bytes = 0
+    def _release_bytes(self, record: KeyRecord) -> None:
+        self.used_bytes -= record.counted_bytes
+        record.counted_bytes = 0
 
     def expire(self, now: float, is_pending: Callable[[int], bool]) -> None:
         """Drop the records to which no attempt can belong any more, whose holders are not pending."""
@@ -116,9 +116,9 @@
     def _expire_earlier(self, record: KeyRecord, now: float) -> None:
         current: KeyRecord | None = record
         while current is not None:
-            earlier = current.previous_window
-            if earlier is not None and now > earlier.expires_at + self.read_grace:
-                self._book_off(earlier)
-                current.previous_window = earlier.previous_window
+            previous = current.previous_window
+            if previous is not None and now > previous.expires_at + self.read_grace:
+                self._release_bytes(previous)
+                current.previous_window = previous.previous_window
             else:
-                current = earlier
+                current = previous
--- a/saltcart/core/messages.py
+++ b/saltcart/core/messages.py
@@ -1,4 +1,4 @@
-"""What the fronts and the core exchange: a request as it was read, and its one final response."""
+"""Messages between the fronts and the core: a request as it was read, and its one final response."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class InvalidRequestError(Exception):
-    """The request breaks the protocol: nothing was taken, and the front says so to its client."""
+    """The request violates the protocol; it was not accepted, and the front sends the error to its client."""
 
 
 class ResponseStatus(enum.Enum):
-    """The kind of a final response; each front has its own status for it."""
+    """The kind of a final response; each front maps it to a status code of its protocol."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -21,35 +21,35 @@
 
 @dataclass(slots=True)
 class FinalResponse:
-    """One final response."""
+    """The final response to one request."""
 
     status: ResponseStatus
     body: bytes = b""
-    load_level: float | None = None  # this server's load, as clients are told of it
-    back_off_seconds: float = 0.0  # for which the client should stay away from this server
-    retry_after_seconds: float = 0.0  # until the moment at which this request may come again, if one was set
-    is_final: bool = False  # asks that no other server is tried
-    skipped_dependencies: tuple[str, ...] = ()  # whose replies a partial response does without
-    cached_dependencies: tuple[str, ...] = ()  # for which a cached reply stands in
+    load_level: float | None = None  # of this server, as advertised to clients
+    back_off_seconds: float = 0.0  # for which the client should not use this server
+    retry_after_seconds: float = 0.0  # until this request may be retried; 0 if no time was set
+    is_final: bool = False  # asks the client not to retry on another server
+    skipped_dependencies: tuple[str, ...] = ()  # whose replies are missing from a partial response
+    cached_dependencies: tuple[str, ...] = ()  # whose replies were replaced by cached ones
 
 
-ResponseCallback = Callable[[FinalResponse], None]  # takes one request's final response, once at most
+ResponseCallback = Callable[[FinalResponse], None]  # called at most once for each request
 
 
 @dataclass(slots=True)
 class InboundRequest:
-    """A request as a front has read it."""
+    """A request as read by a front."""
 
     request_id: bytes
     class_name: str
     account: str
-    received_at: float  # when it came to the machine, by the core's clock
-    budget_seconds: float | None  # for which its caller waits, from ``received_at``
+    received_at: float  # when it reached the host, in seconds of the core's clock
+    budget_seconds: float | None  # how long its caller waits after ``received_at``
     size_kb: float
-    priority_rank: float  # 0 to 1, the least valuable first
+    priority_rank: float  # 0 to 1, from the least to the most valuable
     cost_hint: float | None = None
     balancer: int = 0
     idempotency_key: bytes | None = None
     resource_key: str | None = None
-    admitted_last: bool = False  # after others, since its source takes more than its share
+    admitted_last: bool = False  # ranked after others, since its source exceeds its fair share
     body: bytes = b""
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -1,4 +1,4 @@
-"""The ports through which the core acts on the outside.  No wire, socket or event loop here.
+"""The ports between the core and its drivers, free of wire formats, sockets and event loops.
 
 Request ids are those of ``InboundRequest``; times are seconds.
 """
@@ -13,7 +13,7 @@
 
 
 class WorkerPool(Protocol):
-    """Does the work of requests."""
+    """Executes the runs of requests."""
 
     def spawn(
         self,
@@ -27,123 +27,162 @@
     ) -> None:
         """Start a run.
 
-        ``must_run_once``: it must never be started a second time.  ``time_to_deadline``: seconds for which
-        its caller still waits; ``time_to_objective``: seconds in which a response earns its full weight.
+        Args:
+            request_id: The request to run.
+            class_name: The class of the request.
+            account: The account that sent the request.
+            body: The body of the request.
+            must_run_once: Whether the run must never be started a second time.
+            time_to_deadline: Seconds for which the caller still waits.
+            time_to_objective: Seconds within which a response earns its full priority weight.
         """
 
     def suspend(self, request_id: bytes) -> None:
-        """Stop a run, as far as the settings' preemption allows."""
+        """Stop a run, as far as ``Settings.preemption`` allows."""
 
     def resume(self, request_id: bytes) -> None:
-        """Go on with a paused run."""
+        """Resume a paused run."""
 
     def supply_reply(self, request_id: bytes, reply: bytes) -> None:
-        """Give a run the reply to the call that it waits for."""
+        """Pass the reply to its call to a waiting run."""
 
-    def skip_call(self, request_id: bytes, notice: int) -> None:
-        """Let a run go on without the call that this notice asked for."""
+    def skip_call(self, request_id: bytes, notice_number: int) -> None:
+        """Resume a run without the call that the pool's notice of this number requested."""
 
     def poll_gauges(self) -> None:
-        """Ask for the gauges."""
+        """Request the current gauges; they arrive in ``WorkerPoolEvents.gauges_polled``."""
 
 
 class DependencyCalls(Protocol):
     """Makes calls to the dependency."""
 
     def call(self, request_id: bytes, timeout: float, body: bytes, must_run_once: bool) -> None:
-        """Make a call; ``must_run_once``: not a second time where the first one may have run."""
+        """Make a call for a request.
+
+        Args:
+            request_id: The request whose run waits for the reply.
+            timeout: Seconds until the call times out.
+            body: The body of the call.
+            must_run_once: Whether the call must not be retried if it may already have taken effect.
+        """
 
     def cancel_call(self, request_id: bytes) -> None:
-        """Give a request's call up."""
+        """Cancel the call of a request."""
 
 
 class Registration(Protocol):
-    """Where the service is listed for clients."""
+    """The list of servers from which clients choose."""
 
-    def set_accepting(self, on: bool) -> None:
-        """Report whether the service takes requests."""
+    def set_accepting(self, is_accepting: bool) -> None:
+        """Report whether the service accepts requests."""
 
 
 class Log(Protocol):
-    """Writes one event with its fields."""
+    """Writes log events."""
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Write one event."""
+        """Write one event with its fields."""
 
 
 class Attempt(Protocol):
-    """What retry-storm control knows of one attempt that arrived."""
+    """What retry-storm control knows about one attempt that arrived."""
 
     @property
     def fingerprint(self) -> int:
-        """The same for all attempts of one request."""
+        """The identity of the request; all its attempts share it."""
 
     @property
     def is_retry(self) -> bool:
-        """Whether the same request was rejected before."""
+        """Whether an earlier attempt of the same request was rejected."""
 
     @property
     def has_reservation(self) -> bool:
-        """Whether it comes at the moment that its caller was given."""
+        """Whether it arrived at the time reserved for its caller by an earlier Retry-After."""
 
     @property
     def is_early(self) -> bool:
-        """Whether it comes before that moment."""
+        """Whether it arrived before the time reserved for its caller."""
 
 
 class RetryAdvice(Protocol):
-    """What a rejected caller is told."""
+    """Advice to a rejected caller on when and where to retry."""
 
     @property
     def retry_after(self) -> float:
-        """Seconds until the moment at which the request may come again; 0 if none was set."""
+        """Seconds until the request may be retried; 0 if no time was set."""
 
     @property
     def is_final(self) -> bool:
-        """Whether no other server should be tried."""
+        """Whether the caller should not retry on another server."""
 
 
 class RetryStormControl(Protocol):
-    """Tells retries from new work, and says when a rejected caller should come again."""
+    """Distinguishes retries from new requests, and decides when a rejected caller should retry."""
 
     def record_arrival(
         self, now: float, account: str, class_name: str, key: bytes | None, subject: str | None, body: bytes
     ) -> Attempt:
-        """Recognise an attempt that arrived."""
+        """Record an attempt that arrived, and match it to earlier attempts of the same request.
+
+        Args:
+            now: The current time in seconds.
+            account: The account that sent the attempt.
+            class_name: The class of the request.
+            key: The idempotency key, if the attempt has one.
+            subject: The resource that the request is about, if it names one.
+            body: The body of the attempt.
+        """
 
     def record_rejection(self, now: float, fingerprint: int) -> RetryAdvice:
-        """Record that an attempt was rejected; returns what its caller is told."""
+        """Record that an attempt was rejected, and return the advice to its caller."""
 
     def record_success(self, now: float, fingerprint: int, is_retry: bool) -> None:
         """Record that an attempt was served."""
 
     def record_run(self, now: float, seconds: float, is_full: bool, running: int) -> None:
-        """Record the time of a run; ``is_full``: requests were held meanwhile."""
+        """Record a run that ended.
+
+        Args:
+            now: The current time in seconds.
+            seconds: The duration of the run.
+            is_full: Whether requests were held meanwhile.
+            running: The number of runs in progress.
+        """
 
     def in_storm(self, now: float) -> bool:
-        """Whether a retry storm is under way."""
+        """Whether there is a retry storm at present."""
 
     def source_of(self, address: str) -> int:
         """Return the source to which a client's address belongs."""
 
     def admit_connection(self, now: float, source: int) -> ConnectionAdmission:
-        """Decide what becomes of a connection that brings a request."""
+        """Decide whether to read a connection on which a request has arrived."""
 
     def reject_unread(self, now: float, source: int) -> RetryAdvice:
-        """Record a connection that was not read; returns what its client is told."""
+        """Record a connection whose request was rejected unread, and return the advice to its client."""
 
     def record_advice(self, now: float, source: int, retry_after: float) -> None:
-        """Record that a source was told to come again after so many seconds."""
+        """Record that a source was advised to retry after ``retry_after`` seconds."""
 
 
 class WorkerPoolEvents(Protocol):
-    """The core's half of ``WorkerPool``: what a pool reports."""
+    """Events from the worker pool to the core."""
 
     def pool_started(self, starts_cold: bool, age: float) -> None:
-        """The pool took the link; it started ``age`` seconds ago."""
+        """Handle a new link to the pool.
+
+        Args:
+            starts_cold: Whether the pool started cold and has to warm up.
+            age: Seconds since the pool started.
+        """
 
     def pool_replaced(self, starts_cold: bool, age: float) -> None:
-        """Another pool is there: nobody knows how the runs of the one before ended."""
+        """Handle the replacement of the pool by another; how the runs of the previous one ended is unknown.
+
+        Args:
+            starts_cold: Whether the new pool started cold and has to warm up.
+            age: Seconds since the new pool started.
+        """
 
     def run_finished(
         self,
@@ -154,28 +193,43 @@
         skipped_dependencies: tuple[str, ...] = (),
         cached_dependencies: tuple[str, ...] = (),
     ) -> None:
-        """A run is over, with or without replies of some dependencies."""
+        """Handle the end of a run.
+
+        Args:
+            request_id: The request that ran.
+            outcome: How the run ended.
+            seconds: The duration of the run.
+            result: The result of a run that succeeded.
+            skipped_dependencies: Dependencies whose replies are missing from the result.
+            cached_dependencies: Dependencies whose replies were replaced by cached ones.
+        """
+
+    def call_requested(self, request_id: bytes, notice_number: int, body: bytes) -> None:
+        """Handle a run that waits for a call to the dependency.
 
-    def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
-        """A run waits for a call with this body."""
+        Args:
+            request_id: The request whose run waits.
+            notice_number: The number of the pool's notice, which identifies this wait to the pool.
+            body: The body of the call.
+        """
 
     def run_uncertain(self, request_id: bytes) -> None:
-        """A link broke over a start that must not be repeated: the run may or may not have begun."""
+        """Handle a link lost while starting a run that must not start twice; it may or may not have begun."""
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
-        """The gauges, in the order of the settings."""
+        """Handle the values of the gauges, in the order of their names in the settings."""
 
 
 class DependencyCallEvents(Protocol):
-    """The core's half of ``DependencyCalls``."""
+    """Events from ``DependencyCalls`` to the core."""
 
     def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
-        """A call is over."""
+        """Handle the end of a call; ``reply`` is the dependency's reply if it succeeded."""
 
 
 @dataclass(slots=True)
 class Ports:
-    """The ports in use; ``workers`` is set before the first request, those that are None are off."""
+    """The ports in use; ``workers`` is set before the first request, and a port that is None is disabled."""
 
     workers: WorkerPool = field(init=False)
     dependency_calls: DependencyCalls | None = None
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -1,4 +1,4 @@
-"""The core's record of one request, from its reading to the end of its run."""
+"""The core's record of one request, kept until it has its response and its run has ended."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestPhase(enum.Enum):
-    """Where a request stands; the values are shown by the administration API."""
+    """The phase of a request; the values are shown by the administration API."""
 
     HELD = "held"
     JOINED = "waits for another try's result"
@@ -21,7 +21,8 @@
     CALLING = "at a call"
 
 
-# Read through the class a member costs a tenth of a microsecond, which each request would pay many times.
+# Module-level names, because each lookup of a member through the enum class costs a tenth of a microsecond,
+# and every request makes many of them.
 HELD = RequestPhase.HELD
 JOINED = RequestPhase.JOINED
 RUNNING = RequestPhase.RUNNING
@@ -33,13 +34,13 @@
 
 
 class PendingRequest:
-    """One request that is owed its response, or has a run that is not over.  Times are seconds."""
+    """One request that awaits its response, or whose run hasn't ended.  Times are seconds."""
 
     __slots__ = (
         "arrived_at",
         "attempt",
         "call_body",
-        "call_notice",
+        "call_notice_number",
         "call_number",
         "call_started_at",
         "due_at",
@@ -62,20 +63,30 @@
         due_at: float,
         respond: ResponseCallback,
     ) -> None:
-        """``number`` names the request to the decision module, ``inbound.request_id`` to the outside."""
+        """Create a held request.
+
+        Args:
+            number: Identifies the request to the decision module, as ``inbound.request_id`` does to peers.
+            inbound: The request as read by a front.
+            spec: The class of the request.
+            now: The current time.
+            due_at: When the caller must have its response.
+            respond: Called with the final response.
+        """
         self.number = number
         self.inbound = inbound
         self.spec = spec
         self.due_at = due_at
-        # By this its key is looked up: no sender whose clock is ahead puts an attempt past a window.
+        # The key is looked up by this time, so a sender whose clock is ahead can't move an attempt past the
+        # end of a key window.
         self.arrived_at = min(now, inbound.received_at)
-        self.respond: ResponseCallback | None = respond  # None once answered, or once the caller is gone
+        self.respond: ResponseCallback | None = respond  # None once it has its response or was abandoned
         self.phase = HELD
         self.stop_requested = False
         self.key: Key | None = None
-        self.key_record: KeyRecord | None = None  # of its key, where this attempt holds it
-        self.attempt: Attempt | None = None  # where retry storms are watched for
-        self.call_notice = 0
+        self.key_record: KeyRecord | None = None  # set while this attempt holds its key
+        self.attempt: Attempt | None = None  # set where retry-storm control is enabled
+        self.call_notice_number = 0
         self.call_body = b""
         self.call_started_at = 0.0
-        self.call_number = 0  # tells the timer of an earlier call from that of the present one
+        self.call_number = 0  # distinguishes the timers of successive calls
--- a/saltcart/core/request_counters.py
+++ b/saltcart/core/request_counters.py
@@ -1,4 +1,4 @@
-"""Counts of requests by tenant, class and how they ended."""
+"""Counts of requests by tenant, class and ending."""
 
 from __future__ import annotations
 
@@ -9,24 +9,28 @@
 
 
 class RequestCounters:
-    """Counts for the operators."""
+    """Counts that the control port and the administration API show to operators."""
 
     def __init__(self, is_tenant: Callable[[str], bool]) -> None:
-        """``is_tenant`` tells accounts that are counted by name from others."""
+        """Start with all counts at zero.
+
+        Args:
+            is_tenant: Returns whether an account is a configured tenant, which is counted under its own name.
+        """
         self.is_tenant = is_tenant
-        self.counts = Counter[tuple[str, str, str]]()  # by tenant, class and how it ended
+        self.counts = Counter[tuple[str, str, str]]()  # by tenant, class and ending
         self.runs_started = Counter[str]()  # by class
 
-    def record(self, request: PendingRequest, end: str) -> None:
-        """Count one request under how it ended."""
-        # Where no tenants are told an account may be any name: counting each would grow without end.
+    def record(self, request: PendingRequest, ending: str) -> None:
+        """Count one request under its ending, such as ``"served"`` or ``"abandoned"``."""
+        # Without configured tenants an account may be any name, so counters for each would grow without end.
         account = request.inbound.account
         tenant = account if self.is_tenant(account) else ""
-        self.counts[tenant, request.inbound.class_name, end] += 1
+        self.counts[tenant, request.inbound.class_name, ending] += 1
 
     def by_class(self) -> Counter[tuple[str, str]]:
-        """Return the counts by class and how requests ended, over all tenants."""
+        """Return the counts by class and ending, summed over all tenants."""
         counts = Counter[tuple[str, str]]()
-        for (_, class_name, end), count in self.counts.items():
-            counts[class_name, end] += count
+        for (_, class_name, ending), count in self.counts.items():
+            counts[class_name, ending] += count
         return counts
--- a/saltcart/core/request_intake.py
+++ b/saltcart/core/request_intake.py
@@ -21,8 +21,10 @@
 from saltcart.decision.events import RequestArrived
 from saltcart.decision.settings import ClassSpec, Effect, Settings, TenantSpec
 
-UNSERVED_BACK_OFF = 0.25  # seconds, where the core itself rejects: no pool yet, or no room for a key
-MIN_TIME_TO_DEADLINE = 1e-3
+UNACCEPTED_BACK_OFF_SECONDS = (
+    0.25  # seconds, where the core itself rejects: no pool yet, or no room for a key
+)
+MIN_TIME_TO_DEADLINE_SECONDS = 1e-3
 
 
 class RequestIntake:
@@ -59,28 +61,28 @@
         """Whether an account is a known tenant's."""
         return account in self.tenant_indexes
 
-    def take(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
+    def accept(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
         """Take a request and return its number; ``InvalidRequestError`` where it breaks the protocol."""
         now = self.clock.read()
         class_index = self._check(inbound)
         spec = self.classes[class_index]
         key = self._key(inbound, spec)
         due_at = max(self._due_at(inbound, spec), now)
-        number = next(self.lifecycle.numbers)
+        number = next(self.lifecycle.request_numbers)
         request = PendingRequest(number, inbound, spec, now, due_at, respond)
         record = None if key is None else self.lifecycle.keys.find(key, request.arrived_at)
         if record is not None:
             self._check_attempt(inbound, record)
         is_new_key = key is not None and record is None
         is_uncertain = is_new_key and self.lifecycle.attempts.is_uncertain(request.arrived_at)
-        if self._takes_nothing(now) or is_uncertain or (is_new_key and self.lifecycle.keys.is_full()):
-            self.lifecycle.respond(request, not_taken(record, is_uncertain=is_uncertain))
+        if self._accepts_nothing(now) or is_uncertain or (is_new_key and self.lifecycle.keys.is_full()):
+            self.lifecycle.respond(request, unaccepted_response(record, is_uncertain=is_uncertain))
             return number
         request.key = key
         self.lifecycle.add(request)
         # The decision module answers in time by itself.  Should it not, the caller still gets its response.
         self.timers.call_at(request.due_at + self.answer_slack / 2, self.on_overdue, number)
-        self._decide(request, class_index, record)
+        self._feed_arrival(request, class_index, record)
         return number
 
     def _check(self, inbound: InboundRequest) -> int:
@@ -116,22 +118,22 @@
             raise InvalidRequestError("this id was used before")
         self.lifecycle.keys.add_attempt(record, inbound.request_id)
 
-    def _takes_nothing(self, now: float) -> bool:
+    def _accepts_nothing(self, now: float) -> bool:
         # Once all is answered before the stop nothing more is taken: nobody would answer it.
         has_handed_over = self.lifecycle.attempts.notify_successor is not None
-        return self.lifecycle.loop.controller is None or has_handed_over or now >= self.drain.answer_by
+        return self.lifecycle.loop.controller is None or has_handed_over or now >= self.drain.respond_by
 
-    def _decide(self, request: PendingRequest, class_index: int, record: KeyRecord | None) -> None:
+    def _feed_arrival(self, request: PendingRequest, class_index: int, record: KeyRecord | None) -> None:
         inbound = request.inbound
         now = self.clock.now
         time_to_deadline = None
         if inbound.budget_seconds is not None:
             due_at = self._due_at(inbound, request.spec)
-            time_to_deadline = max(MIN_TIME_TO_DEADLINE, due_at - now)
+            time_to_deadline = max(MIN_TIME_TO_DEADLINE_SECONDS, due_at - now)
         rank = inbound.priority_rank
         control = self.lifecycle.ports.storm_control
         if control is not None:
-            rank = self.retry_watch.rank(control, request, is_new_key=record is None)
+            rank = self.retry_watch.record_arrival(control, request, is_new_key=record is None)
         event = RequestArrived(
             id=request.number,
             class_index=class_index,
@@ -150,10 +152,10 @@
         self.lifecycle.loop.feed(event)
 
 
-def not_taken(record: KeyRecord | None, *, is_uncertain: bool) -> FinalResponse:
+def unaccepted_response(record: KeyRecord | None, *, is_uncertain: bool) -> FinalResponse:
     """Return the response to what is not taken: what has run, or may have, is never rejected."""
     if record is not None and record.result is not None:
         return FinalResponse(ResponseStatus.SERVED, record.result)
     if is_uncertain or (record is not None and record.has_run):
         return FinalResponse(ResponseStatus.FAILED)
-    return FinalResponse(ResponseStatus.REJECTED, back_off_seconds=UNSERVED_BACK_OFF)
+    return FinalResponse(ResponseStatus.REJECTED, back_off_seconds=UNACCEPTED_BACK_OFF_SECONDS)
--- a/saltcart/core/request_lifecycle.py
+++ b/saltcart/core/request_lifecycle.py
@@ -15,7 +15,7 @@
 from saltcart.decision.events import RequestAbandoned, RunFinished
 from saltcart.decision.outcome import Outcome
 
-ENDED_PHASES = (HELD, JOINED, PAUSED)  # nothing of it runs in the pool
+PHASES_WITHOUT_RUN = (HELD, JOINED, PAUSED)  # nothing of it runs in the pool
 
 
 class RequestLifecycle:
@@ -36,7 +36,7 @@
         self.keys = keys
         self.attempts = IdempotentAttempts(keys, answer_slack, self._finish_joined)
         self.counters = counters
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
         self.requests: dict[int, PendingRequest] = {}
         self.requests_by_id: dict[bytes, PendingRequest] = {}
         self.held_fingerprints: dict[int, int] = {}  # numbers of safe requests by their fingerprints
@@ -73,7 +73,7 @@
     def fail(self, request: PendingRequest) -> None:
         """Give a request the response that it failed, and forget it if nothing of it runs."""
         self.respond(request, FinalResponse(ResponseStatus.FAILED))
-        self.settle(request)
+        self.remove_if_finished(request)
 
     def fail_all(self) -> None:
         """Fail all requests that are owed a response."""
@@ -85,21 +85,21 @@
         request.respond = None
         self.counters.record(request, "abandoned")
         self.loop.feed(RequestAbandoned(request.number))
-        self.settle(request)
+        self.remove_if_finished(request)
 
-    def settle(self, request: PendingRequest) -> None:
+    def remove_if_finished(self, request: PendingRequest) -> None:
         """Forget a request that is owed nothing and has nothing in the pool; the one place that does."""
         if request.respond is not None or self.requests.get(request.number) is not request:
             return
         if request.phase is CALLING:
             self.cancel_call(request)  # the pool ends the run by itself
             request.phase = BLOCKED
-        if request.phase not in ENDED_PHASES:
+        if request.phase not in PHASES_WITHOUT_RUN:
             return
         del self.requests[request.number]
         del self.requests_by_id[request.inbound.request_id]
         self._forget_fingerprint(request)
-        self.attempts.request_settled(request)
+        self.attempts.request_removed(request)
 
     def _forget_fingerprint(self, request: PendingRequest) -> None:
         if request.attempt is None:
@@ -130,4 +130,4 @@
             outcome = Outcome.SUCCEEDED
         self.respond(request, response)
         self.loop.feed(RunFinished(number, outcome, 0.0))
-        self.settle(request)
+        self.remove_if_finished(request)
--- a/saltcart/core/retry_watch.py
+++ b/saltcart/core/retry_watch.py
@@ -10,7 +10,7 @@
 from saltcart.decision.events import RequestAbandoned
 from saltcart.decision.settings import Effect
 
-TOP_OF_CLASS = 0.999  # of a class's part of the priority ranks
+TOP_RANK_IN_CLASS = 0.999  # of a class's part of the priority ranks
 
 
 class RetryWatch:
@@ -21,7 +21,7 @@
         self.lifecycle = lifecycle
         self.class_count = class_count
 
-    def rank(self, control: RetryStormControl, request: PendingRequest, is_new_key: bool) -> float:
+    def record_arrival(self, control: RetryStormControl, request: PendingRequest, is_new_key: bool) -> float:
         """Recognise an attempt that arrived; returns the priority rank at which it is decided on."""
         inbound = request.inbound
         attempt = request.attempt = control.record_arrival(
@@ -40,7 +40,7 @@
             return inbound.priority_rank
         # At the top of its own class if it came at its moment; at the bottom if before it, or in a crowd.
         own_class = min(self.class_count - 1, int(inbound.priority_rank * self.class_count))
-        return (own_class + (TOP_OF_CLASS if attempt.has_reservation else 0.0)) / self.class_count
+        return (own_class + (TOP_RANK_IN_CLASS if attempt.has_reservation else 0.0)) / self.class_count
 
     def _supersede_older(self, control: RetryStormControl, fingerprint: int) -> None:
         """In a storm, end a held attempt whose work comes anew: its caller has gone."""
@@ -56,4 +56,4 @@
         )
         lifecycle.respond(older, response)
         lifecycle.loop.feed(RequestAbandoned(older.number))
-        lifecycle.settle(older)
+        lifecycle.remove_if_finished(older)
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -27,7 +27,7 @@
         self.preemption = preemption
         self.log = log
 
-    def _in_pool(self, request_id: bytes) -> PendingRequest | None:
+    def _find_in_pool(self, request_id: bytes) -> PendingRequest | None:
         request = self.lifecycle.requests_by_id.get(request_id)
         return None if request is None or request.phase in NOT_IN_POOL else request
 
@@ -41,7 +41,7 @@
         cached_dependencies: tuple[str, ...] = (),
     ) -> None:
         """A run is over."""
-        request = self._in_pool(request_id)
+        request = self._find_in_pool(request_id)
         if request is None:
             return
         self.clock.read()
@@ -85,12 +85,12 @@
 
     def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
         """A run waits for a call with this body; ``notice`` names its wait to the pool."""
-        request = self._in_pool(request_id)
+        request = self._find_in_pool(request_id)
         if request is None:
             return
         self.clock.read()
         request.phase = BLOCKED
-        request.call_notice = notice
+        request.call_notice_number = notice
         request.call_body = body
         self.loop.feed(CallRequested(request.number))
 
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -29,9 +29,9 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect, Settings, TenantSpec
 
-DEFAULT_KEY_BYTES = 1 << 24
-DEFAULT_IDLE_TIMEOUT = 30.0  # seconds, where the settings name none
-EXPIRY_INTERVAL = 1.0  # seconds between two looks for keys and requests that are over
+DEFAULT_MAX_KEY_BYTES = 1 << 24
+DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0  # seconds, where the settings name none
+EXPIRY_INTERVAL_SECONDS = 1.0  # seconds between two looks for keys and requests that are over
 
 
 class Service:
@@ -45,7 +45,7 @@
         clock: Callable[[], float],
         log: Log,
         *,
-        max_key_bytes: int = DEFAULT_KEY_BYTES,
+        max_key_bytes: int = DEFAULT_MAX_KEY_BYTES,
         seconds_ahead: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """``clock`` runs on evenly.
@@ -63,14 +63,14 @@
         self.longest_deadline = max(spec.deadline for spec in settings.classes)
         # An attempt may be read late: as long as its caller can wait at all.
         self.keys = KeyTable(max_key_bytes, self.longest_deadline)
-        self._join_parts()
+        self._create_components()
         # Makes the control of retry storms when the server is up, of its settings and its start.
         self.make_storm_control: Callable[[Settings, float], RetryStormControl] | None = None
         self.on_started: Callable[[], None] | None = None  # called once, when the pool is up
         self.composed_classes = frozenset[str]()  # whose responses are composed, and may be partial
         self.metric_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for operators
 
-    def _join_parts(self) -> None:
+    def _create_components(self) -> None:
         settings = self.settings
         clock = self.clock
         timers = self.timers
@@ -89,7 +89,7 @@
         self.executor = ActionExecutor(
             clock, timers, ports, self.drain, self.lifecycle, log, self._call_overdue
         )
-        self.loop.carry_out = self.executor.carry_out
+        self.loop.execute_action = self.executor.execute
 
     # ---- what the service shows ---------------------------------------------------------------
 
@@ -121,7 +121,7 @@
     @property
     def idle_timeout(self) -> float:
         """After how many seconds idle connections of clients are closed."""
-        return self.executor.idle_timeout or self.settings.client_idle_timeout or DEFAULT_IDLE_TIMEOUT
+        return self.executor.idle_timeout or self.settings.client_idle_timeout or DEFAULT_IDLE_TIMEOUT_SECONDS
 
     @property
     def is_healthy(self) -> bool:
@@ -143,7 +143,7 @@
 
     def submit(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
         """Take a request; ``respond`` is called with its response, at once or later.  Returns its number."""
-        return self.intake.take(inbound, respond)
+        return self.intake.accept(inbound, respond)
 
     def abandon(self, number: int) -> None:
         """The caller of a request is gone: nothing is owed any more."""
@@ -171,7 +171,7 @@
             return
         now = self.clock.read()
         self.drain.start(now - ago, now + within)
-        self.timers.call_at(self.drain.answer_by, self.lifecycle.fail_all)
+        self.timers.call_at(self.drain.respond_by, self.lifecycle.fail_all)
         self.log("drain", within=within, open=len(self.requests))
         self.loop.feed(DrainStarted(within))
 
@@ -180,7 +180,7 @@
         self.drain.is_withdrawn = on
         self.log("drain-on" if on else "drain-off", open=len(self.requests))
         if self.controller is not None:
-            self.drain.report()
+            self.drain.update_registration()
 
     def set_tenants(self, tenants: tuple[TenantSpec, ...]) -> None:
         """Serve these tenants from now on; requests under way keep theirs."""
@@ -208,7 +208,7 @@
     def adopt_key(self, record: KeyRecord, is_free: bool) -> None:
         """Take what the predecessor reports of one of its keys: further attempts reach this process."""
         self.clock.read()
-        self.lifecycle.attempts.adopt(record, is_free, next(self.lifecycle.numbers))
+        self.lifecycle.attempts.adopt(record, is_free, next(self.lifecycle.request_numbers))
 
     def mark_keys_uncertain(self) -> None:
         """The predecessor never reported its keys: new ones fail until those of its runs have passed."""
@@ -238,8 +238,8 @@
         if self.make_storm_control is not None:
             self.ports.storm_control = self.make_storm_control(self.settings, started_at)
         self.loop.start(controller, started_at)
-        self.drain.report()
-        self.timers.call_at(now + EXPIRY_INTERVAL, self._expire)
+        self.drain.update_registration()
+        self.timers.call_at(now + EXPIRY_INTERVAL_SECONDS, self._expire)
         if self.drain.notified_at is not None:
             self.loop.feed(DrainStarted(max(0.0, self.drain.stop_at - now)))
         if self.on_started is not None:
@@ -247,7 +247,7 @@
 
     def _expire(self) -> None:
         # First of all: a fault in one look must not be the last.
-        self.timers.call_at(self.clock.now + EXPIRY_INTERVAL, self._expire)
+        self.timers.call_at(self.clock.now + EXPIRY_INTERVAL_SECONDS, self._expire)
         self.keys.expire(self.clock.now, self.requests.__contains__)
         self.runs.write_off()
 
@@ -279,7 +279,7 @@
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
         """The gauges, in the order of the settings."""
-        self.loop.gauges_at = self.clock.read()
+        self.loop.gauges_polled_at = self.clock.read()
         self.loop.gauges = {name: value for name, value in zip(self.gauge_names, values) if name}
 
     def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
--- a/saltcart/core/timers.py
+++ b/saltcart/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers by a clock that is passed in; a driver asks when the next one is due."""
+"""Timers that a driver runs; they read no clock of their own."""
 
 from __future__ import annotations
 
@@ -9,33 +9,38 @@
 
 
 class Timers:
-    """Calls to make at given times, in seconds; two of one time are made in the order of their setting."""
+    """Callbacks due at given times, in seconds; those due at the same time run in the order they were set."""
 
     def __init__(self) -> None:
+        # Entries of due time, sequence number, callback and its arguments.
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.order = itertools.count()
-        self.on_earlier_due: Callable[[], None] | None = None  # called when the next due time moved forward
+        self.sequence = itertools.count()
+        self.on_earlier_due: Callable[[], None] | None = None  # called when the next due time becomes earlier
 
-    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """Make a call at this time."""
-        entry = (when, next(self.order), call, args)
+    def call_at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule ``callback(*args)`` for the time ``when``."""
+        entry = (when, next(self.sequence), callback, args)
         heapq.heappush(self.heap, entry)
         if self.on_earlier_due is not None and self.heap[0] is entry:
             self.on_earlier_due()
 
     def next_due(self) -> float | None:
-        """Return when the next call is due, or None while there is none."""
+        """Return when the next callback is due, or None if none is scheduled."""
         return self.heap[0][0] if self.heap else None
 
     def run(self, now: float) -> None:
-        """Make the calls that are due; what they set anew waits for the next turn, even if it is due."""
+        """Run the callbacks that are due.
+
+        Callbacks that they schedule wait for the next call of ``run``, even if they are due already.  If one
+        raises, those after it are scheduled again before the error propagates.
+        """
         due = []
         while self.heap and self.heap[0][0] <= now:
             due.append(heapq.heappop(self.heap))
-        for index, (_, _, call, args) in enumerate(due):
+        for index, (_, _, callback, args) in enumerate(due):
             try:
-                call(*args)
+                callback(*args)
             except BaseException:
-                for entry in due[index + 1 :]:  # one that fails must not take the others with it
+                for entry in due[index + 1 :]:
                     heapq.heappush(self.heap, entry)
                 raise
