--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the decision module's actions on requests, the worker pool and the dependency."""
+"""Executes the actions of the decision module on requests, the worker pool and the dependency."""
 
 from __future__ import annotations
 
@@ -17,14 +17,17 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect
 
-CALL_SLACK_SECONDS = 0.15  # seconds after its time-out at which a call without a reply is given up
-STOP_RETRY_SECONDS = 1.0  # after which an answered run is told to stop again: idle cores stop nothing
+CALL_SLACK_SECONDS = 0.15  # after its timeout, until a call without any report is cancelled
+STOP_RETRY_SECONDS = 1.0  # between stop commands for one run; a stalled pool ignores them
 
 PHASES_THAT_CANNOT_START = (JOINED, BLOCKED, CALLING)
 
 
 class ActionExecutor:
-    """Also guards what the rules need, whatever the decision module says."""
+    """Executes actions, and enforces the core's rules whatever the decision module requests.
+
+    An action that a rule forbids, or whose request has moved on, is ignored or reported back as not started.
+    """
 
     def __init__(
         self,
@@ -36,7 +39,17 @@
         log: Log,
         on_call_overdue: Callable[[bytes], None],
     ) -> None:
-        """``on_call_overdue`` takes the id of a request whose call got no reply, not even a time-out."""
+        """Register a handler for each type of action.
+
+        Args:
+            clock: The core's clock.
+            timers: The core's timers.
+            ports: The ports on which actions are executed.
+            drain: The drain state.
+            lifecycle: Owns the requests.
+            log: Writes log events.
+            on_call_overdue: Called with the id of a request whose call brought neither reply nor timeout.
+        """
         self.clock = clock
         self.timers = timers
         self.ports = ports
@@ -45,8 +58,8 @@
         self.loop = lifecycle.loop
         self.log = log
         self.on_call_overdue = on_call_overdue
-        self.is_healthy = True  # as the decision module sees it
-        self.idle_timeout = 0.0  # of clients' connections; 0 for the deployment's own
+        self.is_healthy = True  # according to the decision module
+        self.idle_timeout = 0.0  # seconds, for client connections; 0 to use the configured one
         self.handlers: dict[type, Callable[[Any], None]] = {
             actions.StartRun: self._start_run,
             actions.StopRun: self._stop_run,
@@ -65,7 +78,7 @@
         }
 
     def execute(self, action: actions.Action) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         self.handlers[type(action)](action)
 
     def _find_request(self, request_number: int) -> PendingRequest | None:
@@ -112,7 +125,7 @@
             self.timers.call_at(self.clock.now + STOP_RETRY_SECONDS, self._stop_again, request.number)
 
     def _stop_again(self, number: int) -> None:
-        """Tell a run again to stop; it has its slot and its memory in the pool until its end is reported."""
+        """Stop a run again: it keeps its slot and memory in the pool until its end is reported."""
         request = self._find_request(number)
         if request is None or not request.stop_requested or request.phase is not RUNNING:
             return
@@ -129,7 +142,7 @@
         request = self._find_request(action.id)
         if request is None or request.respond is None:
             return
-        if request.phase is not HELD:  # what has run, or shares a run, is never rejected
+        if request.phase is not HELD:  # never rejected once it has run or shares a run
             self.lifecycle.fail(request)
             return
         response = FinalResponse(
@@ -137,8 +150,8 @@
         )
         control = self.ports.storm_control
         if control is not None and request.attempt is not None:
-            # The moment is this caller's own.  How long its balancer stays away from this server with all
-            # that it carries, and whether it may try others, is the decision module's to say.
+            # Retry-storm control sets the retry time of this caller alone.  The decision module decides for
+            # how long its balancer sends this server nothing, and whether it may try other servers.
             advice = control.record_rejection(self.clock.now, request.attempt.fingerprint)
             response.retry_after_seconds = advice.retry_after
         self.lifecycle.respond(request, response)
--- a/saltcart/core/decision_loop.py
+++ b/saltcart/core/decision_loop.py
@@ -1,4 +1,4 @@
-"""Feeds the decision module's controller with events and has its actions carried out."""
+"""The event loop of the decision module: feeds events to its controller and executes its actions."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from saltcart.decision.events import Event, PredecessorLoad, RunFinished, Started, TimerFired
 from saltcart.decision.outcome import Outcome
 
-FAULT_RETRY_SECONDS = 0.1  # after which the controller's timer fires again if it failed
-GAUGE_LIFETIME_SECONDS = 1.0  # seconds; gauges older than this, and than two sweeps, tell nothing of now
+FAULT_RETRY_SECONDS = 0.1  # until a timer whose event the controller failed to handle fires again
+GAUGE_LIFETIME_SECONDS = 1.0  # gauges older than this and than two sweep intervals are outdated
 
 
 class DecisionLoop:
-    """One event at a time; a fault of the controller or of one action costs nothing else."""
+    """Handles one event at a time, and isolates faults of the controller and of single actions."""
 
     def __init__(self, clock: CoreClock, timers: Timers, ports: Ports, log: Log) -> None:
         self.clock = clock
@@ -26,22 +26,30 @@
         self.ports = ports
         self.log = log
         self.controller: Controller | None = None  # None until the worker pool is up
-        self.execute_action: Callable[[Action], None] = lambda action: None
+        self.execute_action: Callable[[Action], None] = lambda action: None  # set by the service
         self.events = deque[Event]()
         self.is_dispatching = False
-        self.gauges: dict[str, float] = {}  # those last polled
+        self.gauges: dict[str, float] = {}  # as last polled
         self.gauges_polled_at = 0.0
 
     def start(self, controller: Controller, started_at: float) -> None:
-        """Begin with this controller, whose server started then."""
+        """Start the controller.
+
+        Args:
+            controller: The controller, which has handled no event yet.
+            started_at: When the server started.
+        """
         self.controller = controller
         for action in controller.handle(started_at, Started()):
             self._execute(action)
 
     def feed(self, event: Event) -> None:
-        """Give the controller an event and carry out its actions; events that follow wait their turn."""
+        """Have the controller handle an event, and execute the resulting actions.
+
+        Events that arise meanwhile are queued.  Before the controller has started, events are ignored.
+        """
         if self.controller is None:
-            return  # it starts with the settings of that moment
+            return  # the controller will start with the settings current at that time
         self.events.append(event)
         if self.is_dispatching:
             return
@@ -54,11 +62,12 @@
             self.is_dispatching = False
 
     def defer(self, event: Event) -> None:
-        """Add an event from within an action: it is fed after those before it."""
+        """Queue an event from within an action, to be handled after the current one."""
         self.events.append(event)
 
     def _handle(self, controller: Controller, event: Event) -> list[Action]:
-        # A fault costs one event, not the service: the due guard answers, timers go on.
+        # A fault loses one event, not the service: the overdue timers still fail its request, and timers are
+        # set again.
         try:
             return controller.handle(self.clock.now, event)
         except Exception as error:
@@ -68,34 +77,41 @@
             return []
 
     def _execute(self, action: Action) -> None:
-        # A fault in carrying out one action costs no other: a timer not set would be the last one.
+        # A fault in one action must not lose the next ones: without its timer the controller would stop.
         try:
             self.execute_action(action)
         except Exception as error:
             self.log("action-fault", on=type(action).__name__, error=repr(error))
-            if isinstance(action, StartRun):  # it ends at once; its slot must not be taken for good
+            if isinstance(action, StartRun):  # reported as ended at once, to free its slot
                 self.defer(RunFinished(action.id, Outcome.NOT_STARTED, 0.0))
 
     def fire_timer(self, token: int) -> None:
-        """Fire the controller's timer, with the gauges last polled: it never waits for the pool."""
+        """Fire a timer of the controller with the last polled gauges, and poll the next without waiting."""
         sweep_interval = 0.0 if self.controller is None else self.controller.sweep_interval
         if self.clock.now > self.gauges_polled_at + max(GAUGE_LIFETIME_SECONDS, 2 * sweep_interval):
-            self.gauges = {}  # the link is away: idle cores of long ago must not let in more work
+            self.gauges = {}  # without a link, outdated gauges of idle cores must not admit more work
         self.feed(TimerFired(token, **self.gauges))
         self.ports.workers.poll_gauges()
 
     def load(self) -> PredecessorLoad:
-        """Return what is on the cores and in the memory."""
+        """Return the load of runs on the cores and in memory."""
         return PredecessorLoad() if self.controller is None else self.controller.load()
 
     def held_count(self) -> int:
-        """Return how many requests wait for a run slot."""
+        """Return the number of requests that wait for a run slot."""
         return 0 if self.controller is None else self.controller.held_count()
 
     def usable_time(self, objective: float, deadline: float) -> tuple[float, float]:
-        """Return how much of these times, in seconds from now, a run has.
+        """Return how much of the given times a run may use before the decision module ends it.
+
+        That is one sweep interval before the latency objective, or three before the deadline.
+
+        Args:
+            objective: Seconds from now until the latency objective.
+            deadline: Seconds from now until the deadline.
 
-        The decision module ends it a sweep before its objective, or three before its deadline.
+        Returns:
+            The usable seconds until the objective and until the deadline.
         """
         sweep_interval = 0.0 if self.controller is None else self.controller.sweep_interval
         return objective - sweep_interval, deadline - 3 * sweep_interval
--- a/saltcart/core/idempotency.py
+++ b/saltcart/core/idempotency.py
@@ -1,7 +1,7 @@
-"""Attempts of requests with idempotency keys: which one holds a key, and who waits for its result.
+"""Attempts of requests with idempotency keys: which one holds a key, and which ones wait for its result.
 
-At most one run in a key's window, also where another process takes over: this is the one place that decides
-so.
+This module alone ensures that a key has at most one run in its key window, also across a takeover by another
+process.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class IdempotentAttempts:
-    """Grants the run of a key to one attempt and passes its result on to the others."""
+    """Grants the run of a key to one attempt, and shares its result with the others."""
 
     def __init__(
         self,
@@ -22,18 +22,25 @@
         answer_slack: float,
         finish_attempt: Callable[[int, bytes | None], None],
     ) -> None:
-        """``finish_attempt`` takes the number of an attempt that waited, and the result or None."""
+        """Start without a takeover.
+
+        Args:
+            keys: The table of idempotency keys.
+            answer_slack: Seconds past its due time by which a response may be late.
+            finish_attempt: Called with the number of an attempt that waited, and the result or None.
+        """
         self.keys = keys
         self.answer_slack = answer_slack
         self.finish_attempt = finish_attempt
-        # Told of keys whose runs are over, once another process has taken over; no key is taken then.
+        # Set once another process has taken over; this one accepts no more requests then.  Called with the
+        # record of each key whose run ends, and whether the key is free.
         self.notify_successor: Callable[[KeyRecord, bool], None] | None = None
-        self.uncertain_until = 0.0  # attempts that arrived by then may be of a run that nobody reported
+        self.uncertain_until = 0.0  # a new key that arrived by then may have an unreported run
 
-    # ---- the life of one key ------------------------------------------------------------------
+    # ---- life cycle of one key ----------------------------------------------------------------
 
     def reserve(self, request: PendingRequest, expires_at: float) -> KeyRecord:
-        """Reserve the request's key for it."""
+        """Make the request the holder of its key until ``expires_at``, and return the key's record."""
         assert request.key is not None
         record = self.keys.reserve(request.key, request.number, expires_at, request.inbound.body)
         if request.key_record is not record:
@@ -42,7 +49,11 @@
         return record
 
     def claim_run(self, request: PendingRequest) -> bool:
-        """Record a run of the key, for the whole window, before it starts; False: it must not start."""
+        """Record the run of a request's key for the whole key window, before the run starts.
+
+        Returns:
+            Whether the run may start; a request without a key always may.
+        """
         if request.key is None:
             return True
         record = self.keys.find(request.key, request.arrived_at)
@@ -53,7 +64,7 @@
         return True
 
     def join(self, request: PendingRequest) -> None:
-        """Let a request share the result of another attempt's run, at once if that is over."""
+        """Have a request share the result of another attempt's run, at once if that has ended."""
         record = None if request.key is None else self.keys.find(request.key, request.arrived_at)
         if record is None or record.is_finished:
             self.finish_attempt(request.number, None if record is None else record.result)
@@ -61,26 +72,26 @@
             record.waiting_attempts.append(request.number)
 
     def release(self, request: PendingRequest) -> None:
-        """Free the request's key, unless its run has begun: then it stands for its whole window."""
+        """Free the request's key, unless its run has started: then the key is held for its whole window."""
         record = request.key_record
         if record is not None and not record.has_run:
             self.keys.remove(record)
             self._fail_waiting(record)
 
     def run_finished(self, request: PendingRequest, outcome: Outcome, result: bytes) -> None:
-        """Record the end of a run; attempts that wait are told when the request is settled."""
+        """Record the end of a run; waiting attempts get its result when the request is removed."""
         record = request.key_record
         if record is None:
             return
         record.is_finished = True
         record.result = result if outcome is Outcome.SUCCEEDED else None
-        if outcome is Outcome.NOT_STARTED and not request.call_notice_number:  # proof that nothing ran
+        if outcome is Outcome.NOT_STARTED and not request.call_notice_number:  # nothing ran
             self.keys.remove(record)
             self._fail_waiting(record)
 
     def request_removed(self, request: PendingRequest) -> None:
-        """The request is forgotten; its key stands if it has run."""
-        # The request has the record: its key may have another by now, and those who joined still wait.
+        """Finish the waiting attempts of a removed request, and free its key unless it has run."""
+        # The request's own record, since its key may have a newer one while attempts still wait in this one.
         record = request.key_record
         if record is None:
             return
@@ -95,7 +106,7 @@
     def _finish_waiting(self, record: KeyRecord) -> None:
         current = self.keys.records.get(record.key)
         if current is record:
-            self.keys.update_used_bytes(record)  # its result is known: it takes no more than that
+            self.keys.update_used_bytes(record)  # the size of its result is known now
         if self.notify_successor is not None and (current is None or current is record):
             self.notify_successor(record, current is None)
         waiting = record.waiting_attempts
@@ -107,28 +118,33 @@
         record.result = None
         self._finish_waiting(record)
 
-    # ---- one process takes over from another --------------------------------------------------
+    # ---- takeover by another process ----------------------------------------------------------
 
-    def hand_over(self, successor: Callable[[KeyRecord, bool], None]) -> Iterable[KeyRecord]:
-        """Take nothing more; returns all records.
+    def hand_over(self, notify_successor: Callable[[KeyRecord, bool], None]) -> Iterable[KeyRecord]:
+        """Accept no further requests, and return the records of all keys.
 
-        ``successor`` is told how the keys end that this process still answers for, and whether they are free.
+        Args:
+            notify_successor: Called with the record of each key whose run ends in this process, and whether
+                the key is free.
         """
-        self.notify_successor = successor
+        self.notify_successor = notify_successor
         return list(self.keys.records.values())
 
     def cancel_hand_over(self) -> None:
-        """Go on: the process that took over is gone."""
+        """Accept requests again, because the successor is gone."""
         self.notify_successor = None
 
-    def adopt(self, record: KeyRecord, is_free: bool, number: int) -> None:
-        """Take what the predecessor reports of a key.
+    def adopt(self, record: KeyRecord, is_free: bool, unused_number: int) -> None:
+        """Adopt the state of a key that the predecessor reports.
 
-        ``is_free``: nothing ran.  ``number``: one that no request of this process has.
+        Args:
+            record: The predecessor's record.
+            is_free: Whether the key is free because nothing ran.
+            unused_number: A number that no request of this process has.
         """
         current = self.keys.records.get(record.key)
         if current is None and not is_free:
-            record.holder_number = -number
+            record.holder_number = -unused_number
             self.keys.adopt(record)
             current = record
         if current is None or current.holder_number > 0:
@@ -142,11 +158,11 @@
             self._finish_waiting(current)
 
     def is_uncertain(self, arrived_at: float) -> bool:
-        """Whether a run that nobody reported may be one of a key that is new here."""
+        """Whether a key that is new here may have a run that the predecessor didn't report."""
         return arrived_at <= self.uncertain_until
 
     def predecessor_lost(self) -> None:
-        """Fail the attempts of keys whose ends the predecessor never reported: their runs may have begun."""
+        """Fail the attempts that wait for runs in the predecessor, which may have started there."""
         for record in list(self.keys.records.values()):
             if record.holder_number < 0 and not record.is_finished:
                 record.is_finished = True
--- a/saltcart/core/idempotency_keys.py
+++ b/saltcart/core/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""The table of idempotency keys: which attempt holds a key, and what became of its run."""
+"""The table of idempotency keys: which attempt holds a key, and the state and result of its run."""
 
 from __future__ import annotations
 
@@ -6,46 +6,54 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-Key = tuple[str, str, bytes]  # tenant, class, key: no tenant reaches another's
+Key = tuple[str, str, bytes]  # tenant, class, key; tenants can't use each other's keys
 
-RECORD_BYTES = 1024  # that a record takes in this process beside its result
-MAX_RESULT_BYTES = 4096  # booked until the result is known
-ATTEMPT_ID_BYTES = 80  # that one remembered id of an attempt takes
-MAX_ATTEMPT_IDS = 64  # remembered for one key
+RECORD_BYTES = 1024  # memory of a record in this process, without its result and attempt ids
+MAX_RESULT_BYTES = 4096  # counted for a result until it is known
+ATTEMPT_ID_BYTES = 80  # memory of one stored attempt id
+MAX_ATTEMPT_IDS = 64  # stored for one key
 
 
 def digest(body: bytes) -> bytes:
-    """Return what tells bodies apart without keeping them."""
+    """Return a digest by which bodies are compared without being stored."""
     return blake2b(body, digest_size=16).digest()
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """One key in one window, which lasts until ``expires_at`` by the times at which attempts arrived."""
+    """The use of one key in one key window.
+
+    An attempt belongs to the window if it arrived by ``expires_at``, even if it is read later.
+    """
 
     key: Key
-    holder_number: int  # of the request that holds the key; below 0 for one of the predecessor's
+    holder_number: int  # the request that holds the key; negative for one of the predecessor
     expires_at: float
-    body_digest: bytes  # of the body that all attempts carry
-    attempt_ids: set[bytes] = field(default_factory=set)  # an id comes once
+    body_digest: bytes  # all attempts have the same body
+    attempt_ids: set[bytes] = field(default_factory=set)  # each id may be used once
     has_run: bool = False
     is_finished: bool = False
-    result: bytes | None = None  # of a run that succeeded
-    waiting_attempts: list[int] = field(default_factory=list)  # request numbers that wait for the result
-    previous_window: KeyRecord | None = None  # of an earlier window, to which an attempt read late may belong
-    counted_bytes: int = 0  # on the table's account
+    result: bytes | None = None  # set if the run succeeded
+    waiting_attempts: list[int] = field(default_factory=list)  # numbers of requests that wait for the result
+    previous_window: KeyRecord | None = None  # attempts read late may belong to it
+    counted_bytes: int = 0  # included in ``KeyTable.used_bytes``
 
     def byte_size(self) -> int:
-        """Return the bytes that this record takes, or may come to take."""
+        """Return the memory that this record uses, or may use once its result is known."""
         result_bytes = len(self.result or b"") if self.is_finished else MAX_RESULT_BYTES
         return RECORD_BYTES + result_bytes + ATTEMPT_ID_BYTES * len(self.attempt_ids)
 
 
 class KeyTable:
-    """Bounded in bytes: an attempt that finds no room for its key must not run."""
+    """Idempotency keys within a bound in bytes; an attempt whose key exceeds the bound must not run."""
 
     def __init__(self, max_bytes: int, read_grace: float) -> None:
-        """``read_grace``: seconds after its arrival in which an attempt may still be read."""
+        """Create an empty table.
+
+        Args:
+            max_bytes: The bound on the memory of all records.
+            read_grace: Seconds after its arrival within which an attempt may still be read.
+        """
         self.max_bytes = max_bytes
         self.read_grace = read_grace
         self.records: dict[Key, KeyRecord] = {}
@@ -56,16 +64,16 @@
         return len(self.records)
 
     def is_full(self) -> bool:
-        """Whether there is no room for one more key."""
+        """Whether one more key would exceed the bound."""
         return self.used_bytes + RECORD_BYTES + MAX_RESULT_BYTES + ATTEMPT_ID_BYTES > self.max_bytes
 
     def find(self, key: Key, arrived_at: float) -> KeyRecord | None:
-        """Return the record of the window to which an attempt that arrived then belongs."""
+        """Return the record of the key window to which an attempt that arrived at this time belongs."""
         record = self.records.get(key)
         return record if record is not None and arrived_at <= record.expires_at else None
 
     def reserve(self, key: Key, holder_number: int, expires_at: float, body: bytes) -> KeyRecord:
-        """Return the holder's record of a key, made anew or with its window extended."""
+        """Create the holder's record of a key or extend its window, and return the record."""
         previous = self.records.get(key)
         if previous is not None and previous.holder_number == holder_number:
             previous.expires_at = max(previous.expires_at, expires_at)
@@ -76,26 +84,26 @@
         return record
 
     def add_attempt(self, record: KeyRecord, attempt_id: bytes) -> None:
-        """Note the id of one more attempt, which is used up by that."""
+        """Store the id of one more attempt, so that it can't be used again."""
         if len(record.attempt_ids) < MAX_ATTEMPT_IDS:
             record.attempt_ids.add(attempt_id)
             self.update_used_bytes(record)
 
     def update_used_bytes(self, record: KeyRecord) -> None:
-        """Put the bytes that a record takes on the account, or change them there."""
+        """Update ``used_bytes`` by the present size of a record."""
         size = record.byte_size()
         self.used_bytes += size - record.counted_bytes
         record.counted_bytes = size
 
     def adopt(self, record: KeyRecord) -> None:
-        """Take a record of the predecessor's, whatever the bound, for its run may have begun."""
+        """Add a record of the predecessor, even beyond the bound, because its run may have started."""
         self.records[record.key] = record
         self.update_used_bytes(record)
 
     def remove(self, record: KeyRecord) -> None:
-        """Free a key; the record of an earlier window stands again."""
+        """Free a key; the record of its previous window, if any, becomes current again."""
         if self.records.get(record.key) is not record:
-            record.expires_at = float("-inf")  # an earlier one: nothing finds it any more
+            record.expires_at = float("-inf")  # if it becomes current again, no attempt matches it
         elif record.previous_window is None:
             del self.records[record.key]
         else:
@@ -107,13 +115,13 @@
         record.counted_bytes = 0
 
     def expire(self, now: float, is_pending: Callable[[int], bool]) -> None:
-        """Drop the records to which no attempt can belong any more, whose holders are not pending."""
+        """Remove the records to which no further attempt can belong and whose holders aren't pending."""
         for record in list(self.records.values()):
-            self._expire_earlier(record, now)
+            self._expire_previous(record, now)
             if now > record.expires_at + self.read_grace and not is_pending(record.holder_number):
                 self.remove(record)
 
-    def _expire_earlier(self, record: KeyRecord, now: float) -> None:
+    def _expire_previous(self, record: KeyRecord, now: float) -> None:
         current: KeyRecord | None = record
         while current is not None:
             previous = current.previous_window
--- a/saltcart/core/request_intake.py
+++ b/saltcart/core/request_intake.py
@@ -1,4 +1,4 @@
-"""Takes requests from the fronts: what breaks the protocol, what is not taken, and what is decided on."""
+"""The intake of requests from the fronts: validation, rejection by the core, and the arrival event."""
 
 from __future__ import annotations
 
@@ -21,14 +21,12 @@
 from saltcart.decision.events import RequestArrived
 from saltcart.decision.settings import ClassSpec, Effect, Settings, TenantSpec
 
-UNACCEPTED_BACK_OFF_SECONDS = (
-    0.25  # seconds, where the core itself rejects: no pool yet, or no room for a key
-)
+UNACCEPTED_BACK_OFF_SECONDS = 0.25  # when the core rejects: no pool yet, or the key table is full
 MIN_TIME_TO_DEADLINE_SECONDS = 1e-3
 
 
 class RequestIntake:
-    """Checks requests and passes them to the decision module."""
+    """Validates requests and passes them to the decision module."""
 
     def __init__(
         self,
@@ -39,13 +37,23 @@
         lifecycle: RequestLifecycle,
         on_overdue: Callable[[int], None],
     ) -> None:
-        """``on_overdue`` takes the number of a request that the decision module did not answer in time."""
+        """Accept requests of the settings' classes and tenants.
+
+        Args:
+            settings: The settings of the service.
+            clock: The core's clock.
+            timers: The core's timers.
+            drain: The drain state.
+            lifecycle: Owns the requests.
+            on_overdue: Called with the number of a request whose response may be overdue.
+        """
         self.answer_slack = settings.answer_slack
         self.classes = settings.classes
         self.class_indexes = {spec.name: index for index, spec in enumerate(settings.classes)}
         self.tenant_indexes: dict[str, int] = {}
         self.set_tenants(settings.tenants)
-        self.requires_tenant = False  # tenants are the administration's: without one there is no service
+        # True where the administration API configures tenants: without any, no request is valid.
+        self.requires_tenant = False
         self.clock = clock
         self.timers = timers
         self.drain = drain
@@ -54,25 +62,36 @@
         self.retry_watch = RetryWatch(clock, lifecycle, len(settings.classes))
 
     def set_tenants(self, tenants: tuple[TenantSpec, ...]) -> None:
-        """Take requests of these tenants from now on."""
+        """Accept requests of these tenants from now on."""
         self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(tenants)}
 
     def is_tenant(self, account: str) -> bool:
-        """Whether an account is a known tenant's."""
+        """Whether an account is a configured tenant."""
         return account in self.tenant_indexes
 
     def accept(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
-        """Take a request and return its number; ``InvalidRequestError`` where it breaks the protocol."""
+        """Accept a request, or send its final response at once.
+
+        Args:
+            inbound: The request as read by a front.
+            respond: Called with the final response, at once or later.
+
+        Returns:
+            The number of the request.
+
+        Raises:
+            InvalidRequestError: The request violates the protocol.
+        """
         now = self.clock.read()
-        class_index = self._check(inbound)
+        class_index = self._validate(inbound)
         spec = self.classes[class_index]
-        key = self._key(inbound, spec)
-        due_at = max(self._due_at(inbound, spec), now)
+        key = self._build_key(inbound, spec)
+        due_at = max(self._compute_due_at(inbound, spec), now)
         number = next(self.lifecycle.request_numbers)
         request = PendingRequest(number, inbound, spec, now, due_at, respond)
         record = None if key is None else self.lifecycle.keys.find(key, request.arrived_at)
         if record is not None:
-            self._check_attempt(inbound, record)
+            self._validate_and_add_attempt(inbound, record)
         is_new_key = key is not None and record is None
         is_uncertain = is_new_key and self.lifecycle.attempts.is_uncertain(request.arrived_at)
         if self._accepts_nothing(now) or is_uncertain or (is_new_key and self.lifecycle.keys.is_full()):
@@ -80,12 +99,12 @@
             return number
         request.key = key
         self.lifecycle.add(request)
-        # The decision module answers in time by itself.  Should it not, the caller still gets its response.
+        # The decision module normally ends the request in time.  If it doesn't, this timer fails the request.
         self.timers.call_at(request.due_at + self.answer_slack / 2, self.on_overdue, number)
         self._feed_arrival(request, class_index, record)
         return number
 
-    def _check(self, inbound: InboundRequest) -> int:
+    def _validate(self, inbound: InboundRequest) -> int:
         class_index = self.class_indexes.get(inbound.class_name)
         if class_index is None:
             raise InvalidRequestError("no such class")
@@ -97,7 +116,7 @@
         return class_index
 
     @staticmethod
-    def _key(inbound: InboundRequest, spec: ClassSpec) -> Key | None:
+    def _build_key(inbound: InboundRequest, spec: ClassSpec) -> Key | None:
         if spec.effect is not Effect.IDEMPOTENT_BY_KEY:
             return None
         if not inbound.idempotency_key:
@@ -105,13 +124,13 @@
         return inbound.account, inbound.class_name, inbound.idempotency_key
 
     @staticmethod
-    def _due_at(inbound: InboundRequest, spec: ClassSpec) -> float:
-        # No caller waits longer than its class's deadline: nothing is held or timed for longer than that.
+    def _compute_due_at(inbound: InboundRequest, spec: ClassSpec) -> float:
+        # A budget beyond the deadline of the class must not hold the request or its timers any longer.
         budget = inbound.budget_seconds
         return inbound.received_at + min(spec.deadline, spec.deadline if budget is None else budget)
 
-    def _check_attempt(self, inbound: InboundRequest, record: KeyRecord) -> None:
-        # Whoever guesses or repeats a key must not be served what another's request has led to.
+    def _validate_and_add_attempt(self, inbound: InboundRequest, record: KeyRecord) -> None:
+        # A client that guesses or repeats a key must not be served the result of another request.
         if record.body_digest != digest(inbound.body):
             raise InvalidRequestError("this key came with another body")
         if inbound.request_id in record.attempt_ids:
@@ -119,7 +138,7 @@
         self.lifecycle.keys.add_attempt(record, inbound.request_id)
 
     def _accepts_nothing(self, now: float) -> bool:
-        # Once all is answered before the stop nothing more is taken: nobody would answer it.
+        # From ``respond_by`` on nothing would respond to a new request before the process is stopped.
         has_handed_over = self.lifecycle.attempts.notify_successor is not None
         return self.lifecycle.loop.controller is None or has_handed_over or now >= self.drain.respond_by
 
@@ -128,7 +147,7 @@
         now = self.clock.now
         time_to_deadline = None
         if inbound.budget_seconds is not None:
-            due_at = self._due_at(inbound, request.spec)
+            due_at = self._compute_due_at(inbound, request.spec)
             time_to_deadline = max(MIN_TIME_TO_DEADLINE_SECONDS, due_at - now)
         rank = inbound.priority_rank
         control = self.lifecycle.ports.storm_control
@@ -153,7 +172,14 @@
 
 
 def unaccepted_response(record: KeyRecord | None, *, is_uncertain: bool) -> FinalResponse:
-    """Return the response to what is not taken: what has run, or may have, is never rejected."""
+    """Return the response to a request that isn't accepted.
+
+    A request that has run, or may have, is never rejected.
+
+    Args:
+        record: The record of the request's key, if it has one.
+        is_uncertain: Whether the key may have a run that the predecessor didn't report.
+    """
     if record is not None and record.result is not None:
         return FinalResponse(ResponseStatus.SERVED, record.result)
     if is_uncertain or (record is not None and record.has_run):
--- a/saltcart/core/request_lifecycle.py
+++ b/saltcart/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The requests from their reading to the end of their runs: one final response each, and one place to end."""
+"""The life cycle of requests: each gets one final response and is removed when nothing of it is left."""
 
 from __future__ import annotations
 
@@ -15,11 +15,14 @@
 from saltcart.decision.events import RequestAbandoned, RunFinished
 from saltcart.decision.outcome import Outcome
 
-PHASES_WITHOUT_RUN = (HELD, JOINED, PAUSED)  # nothing of it runs in the pool
+PHASES_WITHOUT_RUN = (HELD, JOINED, PAUSED)  # nothing runs in the pool
 
 
 class RequestLifecycle:
-    """Owns the requests; their responses are given in ``respond``, and they are forgotten in ``settle``."""
+    """Owns the requests.
+
+    Only ``respond`` sends responses, and only ``remove_if_finished`` removes requests.
+    """
 
     def __init__(
         self,
@@ -39,16 +42,16 @@
         self.request_numbers = itertools.count(1)
         self.requests: dict[int, PendingRequest] = {}
         self.requests_by_id: dict[bytes, PendingRequest] = {}
-        self.held_fingerprints: dict[int, int] = {}  # numbers of safe requests by their fingerprints
-        self.load_level: float | None = None  # that clients are told
+        self.numbers_by_fingerprint: dict[int, int] = {}  # numbers of safe requests by fingerprint
+        self.load_level: float | None = None  # as advertised to clients
 
     def add(self, request: PendingRequest) -> None:
-        """Take a request."""
+        """Add a request that has been accepted."""
         self.requests[request.number] = request
         self.requests_by_id[request.inbound.request_id] = request
 
     def respond(self, request: PendingRequest, response: FinalResponse) -> None:
-        """Give a request its final response, unless it has one or its caller is gone."""
+        """Send a request's final response, unless it has one already or was abandoned."""
         callback = request.respond
         request.respond = None
         if callback is None:
@@ -57,12 +60,12 @@
         if response.status is ResponseStatus.FAILED:
             response.retry_after_seconds = max(response.retry_after_seconds, self._key_seconds_left(request))
         self.counters.record(request, response.status.value)
-        if response.skipped_dependencies:  # one of those served
+        if response.skipped_dependencies:  # counted in addition to its status
             self.counters.record(request, "partial")
         callback(response)
 
     def _key_seconds_left(self, request: PendingRequest) -> float:
-        """Return for how long the key of a request that may have run stands, 0 where none has run."""
+        """Return the seconds left in the key window of a request that may have run, or 0 if none has run."""
         if self.ports.storm_control is None or request.key is None:
             return 0.0
         record = self.keys.records.get(request.key)
@@ -71,28 +74,28 @@
         return max(0.0, record.expires_at - self.clock.now)
 
     def fail(self, request: PendingRequest) -> None:
-        """Give a request the response that it failed, and forget it if nothing of it runs."""
+        """Respond that a request failed, and remove it if it has no run."""
         self.respond(request, FinalResponse(ResponseStatus.FAILED))
         self.remove_if_finished(request)
 
     def fail_all(self) -> None:
-        """Fail all requests that are owed a response."""
+        """Fail all requests that have no response yet."""
         for request in list(self.requests.values()):
             self.fail(request)
 
     def abandon(self, request: PendingRequest) -> None:
-        """The caller is gone: nothing is owed any more."""
+        """Record that the caller of a request is gone and needs no response."""
         request.respond = None
         self.counters.record(request, "abandoned")
         self.loop.feed(RequestAbandoned(request.number))
         self.remove_if_finished(request)
 
     def remove_if_finished(self, request: PendingRequest) -> None:
-        """Forget a request that is owed nothing and has nothing in the pool; the one place that does."""
+        """Remove a request that needs no response any more and has nothing in the pool."""
         if request.respond is not None or self.requests.get(request.number) is not request:
             return
         if request.phase is CALLING:
-            self.cancel_call(request)  # the pool ends the run by itself
+            self.cancel_call(request)  # the pool ends the run without further commands
             request.phase = BLOCKED
         if request.phase not in PHASES_WITHOUT_RUN:
             return
@@ -105,20 +108,20 @@
         if request.attempt is None:
             return
         fingerprint = request.attempt.fingerprint
-        if self.held_fingerprints.get(fingerprint) == request.number:
-            del self.held_fingerprints[fingerprint]
+        if self.numbers_by_fingerprint.get(fingerprint) == request.number:
+            del self.numbers_by_fingerprint[fingerprint]
 
     def cancel_call(self, request: PendingRequest) -> None:
-        """Give up the call that a request is at."""
+        """Cancel the call that a request waits for."""
         if self.ports.dependency_calls is not None:
             self.ports.dependency_calls.cancel_call(request.inbound.request_id)
 
     def open_request_count(self) -> int:
-        """Return how many requests are owed a response."""
+        """Return the number of requests that have no response yet."""
         return sum(request.respond is not None for request in self.requests.values())
 
     def _finish_joined(self, number: int, result: bytes | None) -> None:
-        """Finish an attempt that waited for the result of another, or None where there is none to have."""
+        """Finish an attempt that waited for another's result, which is None if there is none."""
         request = self.requests.get(number)
         if request is None:
             return
--- a/saltcart/core/retry_watch.py
+++ b/saltcart/core/retry_watch.py
@@ -1,4 +1,4 @@
-"""Retry storms in the core: retries are told from new work, ranked by it, and superseded attempts ended."""
+"""Retry-storm control in the core: ranks retries, and rejects held attempts that a retry supersedes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from saltcart.decision.events import RequestAbandoned
 from saltcart.decision.settings import Effect
 
-TOP_RANK_IN_CLASS = 0.999  # of a class's part of the priority ranks
+TOP_RANK_IN_CLASS = 0.999  # as a fraction of the class's range of priority ranks
 
 
 class RetryWatch:
-    """Recognises attempts by their fingerprints."""
+    """Recognises the attempts of a request by their fingerprint."""
 
     def __init__(self, clock: CoreClock, lifecycle: RequestLifecycle, class_count: int) -> None:
         self.clock = clock
@@ -22,7 +22,13 @@
         self.class_count = class_count
 
     def record_arrival(self, control: RetryStormControl, request: PendingRequest, is_new_key: bool) -> float:
-        """Recognise an attempt that arrived; returns the priority rank at which it is decided on."""
+        """Record an attempt that arrived, and return the priority rank to use for it.
+
+        Args:
+            control: The retry-storm control.
+            request: The request of the attempt.
+            is_new_key: Whether the request has no key, or one that no earlier attempt holds.
+        """
         inbound = request.inbound
         attempt = request.attempt = control.record_arrival(
             self.clock.now,
@@ -34,18 +40,19 @@
         )
         if request.spec.effect is Effect.SAFE:
             self._supersede_older(control, attempt.fingerprint)
-            self.lifecycle.held_fingerprints[attempt.fingerprint] = request.number
+            self.lifecycle.numbers_by_fingerprint[attempt.fingerprint] = request.number
         goes_last = attempt.is_early or inbound.admitted_last
         if not (attempt.has_reservation or goes_last) or not is_new_key:
             return inbound.priority_rank
-        # At the top of its own class if it came at its moment; at the bottom if before it, or in a crowd.
+        # At the top of its own class if it arrived at its reserved time; at the bottom if it arrived before
+        # that or its source exceeds its fair share.
         own_class = min(self.class_count - 1, int(inbound.priority_rank * self.class_count))
         return (own_class + (TOP_RANK_IN_CLASS if attempt.has_reservation else 0.0)) / self.class_count
 
     def _supersede_older(self, control: RetryStormControl, fingerprint: int) -> None:
-        """In a storm, end a held attempt whose work comes anew: its caller has gone."""
+        """In a storm, reject a held attempt whose request was sent again: its caller is gone."""
         lifecycle = self.lifecycle
-        older = lifecycle.requests.get(lifecycle.held_fingerprints.get(fingerprint, 0))
+        older = lifecycle.requests.get(lifecycle.numbers_by_fingerprint.get(fingerprint, 0))
         if older is None or older.phase is not HELD or not control.in_storm(self.clock.now):
             return
         if older.respond is None or older.attempt is None:
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -1,4 +1,4 @@
-"""Follows runs and their calls by what the worker pool and the dependency report."""
+"""Tracks runs and their calls through the reports of the worker pool and the dependency."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Preemption
 
-WRITE_OFF_SECONDS = 15.0  # past its due time, until which the end of an answered request's run is awaited
+UNREPORTED_RUN_SECONDS = 15.0  # past its due time, until a request with a response is removed
 
 
 class RunTracker:
@@ -40,7 +40,7 @@
         skipped_dependencies: tuple[str, ...] = (),
         cached_dependencies: tuple[str, ...] = (),
     ) -> None:
-        """A run is over."""
+        """Handle the end of a run; see ``WorkerPoolEvents``."""
         request = self._find_in_pool(request_id)
         if request is None:
             return
@@ -59,7 +59,7 @@
             self.lifecycle.respond(request, FinalResponse(ResponseStatus.FAILED))
         event = RunFinished(request.number, outcome, seconds)
         if self._is_paused(request):
-            request.phase = PAUSED  # still owed a response, and may be taken up again
+            request.phase = PAUSED  # still awaits its response, and may be resumed
             self.loop.feed(event)
             return
         self.lifecycle.attempts.run_finished(request, outcome, result)
@@ -67,7 +67,7 @@
             self._record_success(request, seconds)
         request.phase = HELD  # nothing of it is left in the pool
         self.loop.feed(event)
-        self.lifecycle.fail(request)  # the decision module has answered by now; never leave one open
+        self.lifecycle.fail(request)  # in case the decision module left it without a response
 
     def _is_paused(self, request: PendingRequest) -> bool:
         can_pause = self.preemption is Preemption.PAUSE
@@ -83,24 +83,24 @@
         if request.attempt is not None:
             control.record_success(now, request.attempt.fingerprint, request.attempt.is_retry)
 
-    def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
-        """A run waits for a call with this body; ``notice`` names its wait to the pool."""
+    def call_requested(self, request_id: bytes, notice_number: int, body: bytes) -> None:
+        """Handle a run that waits for a call; see ``WorkerPoolEvents``."""
         request = self._find_in_pool(request_id)
         if request is None:
             return
         self.clock.read()
         request.phase = BLOCKED
-        request.call_notice_number = notice
+        request.call_notice_number = notice_number
         request.call_body = body
         self.loop.feed(CallRequested(request.number))
 
     def run_uncertain(self, request_id: bytes) -> None:
-        """A link broke over a start that must not be repeated: the run may or may not have begun."""
+        """Handle a link lost while starting a run that must not start twice; it may or may not have begun."""
         self._suspend(request_id)
         self.run_finished(request_id, Outcome.FAILED, 0.0, b"")
 
     def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
-        """A call is over."""
+        """Handle the end of a call to the dependency."""
         request = self.lifecycle.requests_by_id.get(request_id)
         if request is None or request.phase is not CALLING:
             return
@@ -115,19 +115,19 @@
         self.loop.feed(CallFinished(request.number, outcome, now - request.call_started_at))
 
     def pool_replaced(self, starts_cold: bool, age: float) -> None:
-        """Another pool has taken the place of the one before: how the runs there ended, nobody knows."""
+        """Handle the replacement of the pool, and fail the runs of the previous one: their ends are lost."""
         self.clock.read()
         self.loop.feed(WorkersRestarted(starts_cold, max(0.0, age)))
         for request in list(self.lifecycle.requests.values()):
             if request.phase not in NOT_IN_POOL:
                 self.run_finished(request.inbound.request_id, Outcome.FAILED, 0.0, b"")
 
-    def write_off(self) -> None:
-        """Give up the answered requests whose runs should have ended long ago.
+    def remove_unreported_runs(self) -> None:
+        """Remove the requests that have a response but whose runs were never reported as ended.
 
-        What is kept by id must not grow with what a peer leaves unsaid.
+        Otherwise a peer that loses reports would make the tables of requests grow without bound.
         """
-        latest_due = self.clock.now - WRITE_OFF_SECONDS
+        latest_due = self.clock.now - UNREPORTED_RUN_SECONDS
         for request in list(self.lifecycle.requests.values()):
             if request.respond is not None or request.due_at >= latest_due:
                 continue
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -1,8 +1,8 @@
-"""The service round the decision module: what comes in becomes its events, its actions become calls on ports.
+"""The service around the decision module: turns input into its events, and its actions into calls on ports.
 
-The rules that every front keeps live in this package, once: one final response by the due time, at most one
-run of an idempotency key, nothing run too late in a drain.  The decision module decides; the core only guards
-those rules.
+This package enforces the rules that hold for every front: one final response by the due time, at most one run
+of an idempotency key in its key window, and no run of a request that arrives too late in a drain.  Within
+these rules the decision module decides.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 from saltcart.decision.settings import Effect, Settings, TenantSpec
 
 DEFAULT_MAX_KEY_BYTES = 1 << 24
-DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0  # seconds, where the settings name none
-EXPIRY_INTERVAL_SECONDS = 1.0  # seconds between two looks for keys and requests that are over
+DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0  # of client connections, if the settings name none
+EXPIRY_INTERVAL_SECONDS = 1.0  # between two removals of expired keys and unreported runs
 
 
 class Service:
-    """One server's requests, keys, timers, health and drain.  Times are seconds by the core's clock."""
+    """The requests, idempotency keys, timers, health and drain of one server.  Times are seconds."""
 
     def __init__(
         self,
@@ -48,10 +48,17 @@
         max_key_bytes: int = DEFAULT_MAX_KEY_BYTES,
         seconds_ahead: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """``clock`` runs on evenly.
-
-        ``seconds_ahead``: by how much it is before the Unix clock that peers write by.  ``max_key_bytes``:
-        that keys with their results may take.
+        """Create a service, which accepts requests once the worker pool is up.
+
+        Args:
+            settings: The settings of the service and its decision module.
+            gauge_names: The names of the polled gauges in order; a gauge whose name is None is ignored.
+            seed: The seed of the decision module's random numbers.
+            clock: Returns the time in seconds; it advances steadily.
+            log: Writes log events.
+            max_key_bytes: The bound on the memory of idempotency keys with their results.
+            seconds_ahead: Returns by how many seconds ``clock`` is ahead of the Unix clock, in which peers
+                express times.
         """
         self.settings = settings
         self.seed = seed
@@ -61,14 +68,15 @@
         self.timers = Timers()
         self.ports = Ports()
         self.longest_deadline = max(spec.deadline for spec in settings.classes)
-        # An attempt may be read late: as long as its caller can wait at all.
+        # An attempt may be read as late as its caller can still wait, which the longest deadline bounds.
         self.keys = KeyTable(max_key_bytes, self.longest_deadline)
         self._create_components()
-        # Makes the control of retry storms when the server is up, of its settings and its start.
+        # Creates the retry-storm control when the pool is up, from the settings and the start time.
         self.make_storm_control: Callable[[Settings, float], RetryStormControl] | None = None
         self.on_started: Callable[[], None] | None = None  # called once, when the pool is up
-        self.composed_classes = frozenset[str]()  # whose responses are composed, and may be partial
-        self.metric_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []  # further ones for operators
+        self.composed_classes = frozenset[str]()  # their responses are composed and may be partial
+        # Return further metrics for operators, as names and values.
+        self.metric_sources: list[Callable[[], Iterable[tuple[str, int]]]] = []
 
     def _create_components(self) -> None:
         settings = self.settings
@@ -91,7 +99,7 @@
         )
         self.loop.execute_action = self.executor.execute
 
-    # ---- what the service shows ---------------------------------------------------------------
+    # ---- state --------------------------------------------------------------------------------
 
     @property
     def controller(self) -> Controller | None:
@@ -100,32 +108,32 @@
 
     @property
     def requests(self) -> dict[int, PendingRequest]:
-        """The requests that are owed a response or still run, by number."""
+        """Requests that have no response yet or still have a run, by number."""
         return self.lifecycle.requests
 
     @property
     def requests_by_id(self) -> dict[bytes, PendingRequest]:
-        """The same, by the id that they came with."""
+        """The same requests, by request id."""
         return self.lifecycle.requests_by_id
 
     @property
     def counts(self) -> Counter[tuple[str, str, str]]:
-        """Requests by tenant, class and how they ended."""
+        """Counts of requests by tenant, class and ending."""
         return self.counters.counts
 
     @property
     def load_level(self) -> float | None:
-        """The level of load that clients are told."""
+        """The load level that is advertised to clients."""
         return self.lifecycle.load_level
 
     @property
     def idle_timeout(self) -> float:
-        """After how many seconds idle connections of clients are closed."""
+        """Seconds after which an idle client connection is closed."""
         return self.executor.idle_timeout or self.settings.client_idle_timeout or DEFAULT_IDLE_TIMEOUT_SECONDS
 
     @property
     def is_healthy(self) -> bool:
-        """What health checks are answered."""
+        """Whether health checks succeed."""
         is_up = self.loop.controller is not None
         return is_up and self.executor.is_healthy and not self.drain.is_withdrawn
 
@@ -136,17 +144,28 @@
         self.timers.run(self.clock.read())
 
     def next_due(self) -> float | None:
-        """Return when the next timer is due, or None while there is none."""
+        """Return when the next timer is due, or None if none is set."""
         return self.timers.next_due()
 
-    # ---- from the fronts ----------------------------------------------------------------------
+    # ---- requests from the fronts -------------------------------------------------------------
 
     def submit(self, inbound: InboundRequest, respond: ResponseCallback) -> int:
-        """Take a request; ``respond`` is called with its response, at once or later.  Returns its number."""
+        """Submit a request.
+
+        Args:
+            inbound: The request as read by a front.
+            respond: Called with the final response, at once or later.
+
+        Returns:
+            The number of the request.
+
+        Raises:
+            InvalidRequestError: The request violates the protocol.
+        """
         return self.intake.accept(inbound, respond)
 
     def abandon(self, number: int) -> None:
-        """The caller of a request is gone: nothing is owed any more."""
+        """Abandon a request whose caller is gone, so that it needs no response."""
         request = self.requests.get(number)
         if request is None or request.respond is None:
             return
@@ -165,53 +184,74 @@
 
     # ---- drain, withdrawal and tenants --------------------------------------------------------
 
-    def start_drain(self, within: float, ago: float = 0.0) -> None:
-        """Drain: the notice came ``ago`` seconds before, the process is stopped after ``within`` seconds."""
+    def start_drain(self, seconds_to_stop: float, notice_age: float = 0.0) -> None:
+        """Start draining, unless that has started already.
+
+        Args:
+            seconds_to_stop: Seconds from now until the process is stopped.
+            notice_age: Seconds since the drain notice was received.
+        """
         if self.drain.notified_at is not None:
             return
         now = self.clock.read()
-        self.drain.start(now - ago, now + within)
+        self.drain.start(now - notice_age, now + seconds_to_stop)
         self.timers.call_at(self.drain.respond_by, self.lifecycle.fail_all)
-        self.log("drain", within=within, open=len(self.requests))
-        self.loop.feed(DrainStarted(within))
+        self.log("drain", within=seconds_to_stop, open=len(self.requests))
+        self.loop.feed(DrainStarted(seconds_to_stop))
+
+    def set_withdrawn(self, is_withdrawn: bool) -> None:
+        """Withdraw the service for operators, or end that.
 
-    def set_withdrawn(self, on: bool) -> None:
-        """Withdraw for the operators: checks are answered as bad while it lasts, and nothing else changes."""
-        self.drain.is_withdrawn = on
-        self.log("drain-on" if on else "drain-off", open=len(self.requests))
+        While it is withdrawn, health checks fail and clients no longer choose it, but requests are served.
+        """
+        self.drain.is_withdrawn = is_withdrawn
+        self.log("drain-on" if is_withdrawn else "drain-off", open=len(self.requests))
         if self.controller is not None:
             self.drain.update_registration()
 
     def set_tenants(self, tenants: tuple[TenantSpec, ...]) -> None:
-        """Serve these tenants from now on; requests under way keep theirs."""
+        """Serve these tenants from now on; requests accepted before keep their tenant."""
         self.clock.read()
         self.settings = replace(self.settings, tenants=tenants)
         self.intake.set_tenants(tenants)
         self.loop.feed(TenantsChanged(tenants))
 
-    # ---- one process takes over from another --------------------------------------------------
+    # ---- takeover by another process ----------------------------------------------------------
 
     def load(self) -> PredecessorLoad:
-        """Return what is still on the cores and in the memory."""
+        """Return the load of runs that are still on the cores and in memory."""
         return self.loop.load()
 
     def set_predecessor_load(self, load: PredecessorLoad) -> None:
-        """Take into account what the predecessor still has there."""
+        """Account for the runs that the predecessor still has on the cores and in memory."""
         self.clock.read()
         self.loop.feed(load)
 
-    def retire_after(self, within: float) -> None:
-        """Handed over and stopped soon: no drain, for the server stays, but all is answered before that."""
-        self.timers.call_at(self.clock.read() + within - STOP_MARGIN_SECONDS, self.lifecycle.fail_all)
-        self.log("retiring", within=within, open=len(self.requests))
+    def retire_after(self, seconds_to_stop: float) -> None:
+        """Fail the requests left over before this process, which has handed over, is stopped.
+
+        The service doesn't drain, because the successor continues to serve on this server.
+
+        Args:
+            seconds_to_stop: Seconds from now until the process is stopped.
+        """
+        self.timers.call_at(
+            self.clock.read() + seconds_to_stop - STOP_MARGIN_SECONDS, self.lifecycle.fail_all
+        )
+        self.log("retiring", within=seconds_to_stop, open=len(self.requests))
 
     def adopt_key(self, record: KeyRecord, is_free: bool) -> None:
-        """Take what the predecessor reports of one of its keys: further attempts reach this process."""
+        """Adopt a key from the predecessor, because further attempts arrive at this process.
+
+        Args:
+            record: The predecessor's record of the key.
+            is_free: Whether the key is free because nothing ran.
+        """
         self.clock.read()
         self.lifecycle.attempts.adopt(record, is_free, next(self.lifecycle.request_numbers))
 
     def mark_keys_uncertain(self) -> None:
-        """The predecessor never reported its keys: new ones fail until those of its runs have passed."""
+        """Fail new keys until the windows of any keys that the predecessor didn't report have passed."""
         classes = self.settings.classes
         windows = [spec.key_window for spec in classes if spec.effect is Effect.IDEMPOTENT_BY_KEY]
         until = self.clock.read() + max(windows, default=0.0) + self.settings.answer_slack
@@ -219,15 +259,15 @@
         self.log("keys-uncertain", until=until)
 
     def predecessor_lost(self) -> None:
-        """The predecessor is gone, and with it what it ran."""
+        """Handle the loss of the predecessor and of its runs."""
         self.clock.read()
         self.loop.feed(PredecessorLoad())
         self.lifecycle.attempts.predecessor_lost()
 
-    # ---- from the pool and the calls ----------------------------------------------------------
+    # ---- events from the pool and the dependency ----------------------------------------------
 
     def pool_started(self, starts_cold: bool, age: float) -> None:
-        """The pool took the link.  The decision module starts with the pool, not with the process."""
+        """Handle a new link to the pool; the first one starts the decision module."""
         now = self.clock.read()
         self.log("pool-started", cold=starts_cold, age=age, again=self.controller is not None)
         if self.controller is not None:
@@ -246,13 +286,13 @@
             self.on_started()
 
     def _expire(self) -> None:
-        # First of all: a fault in one look must not be the last.
+        # Set the next timer first, so that a fault below can't stop later removals.
         self.timers.call_at(self.clock.now + EXPIRY_INTERVAL_SECONDS, self._expire)
         self.keys.expire(self.clock.now, self.requests.__contains__)
-        self.runs.write_off()
+        self.runs.remove_unreported_runs()
 
     def pool_replaced(self, starts_cold: bool, age: float) -> None:
-        """Another pool has taken the place of the one before."""
+        """Handle the replacement of the pool by another."""
         self.runs.pool_replaced(starts_cold, age)
 
     def run_finished(
@@ -264,26 +304,26 @@
         skipped_dependencies: tuple[str, ...] = (),
         cached_dependencies: tuple[str, ...] = (),
     ) -> None:
-        """A run is over."""
+        """Handle the end of a run."""
         self.runs.run_finished(
             request_id, outcome, seconds, result, skipped_dependencies, cached_dependencies
         )
 
-    def call_requested(self, request_id: bytes, notice: int, body: bytes) -> None:
-        """A run waits for a call with this body."""
-        self.runs.call_requested(request_id, notice, body)
+    def call_requested(self, request_id: bytes, notice_number: int, body: bytes) -> None:
+        """Handle a run that waits for a call to the dependency."""
+        self.runs.call_requested(request_id, notice_number, body)
 
     def run_uncertain(self, request_id: bytes) -> None:
-        """A link broke over a start that must not be repeated."""
+        """Handle a link lost while starting a run that must not start twice."""
         self.runs.run_uncertain(request_id)
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
-        """The gauges, in the order of the settings."""
+        """Store the values of the gauges, in the order of ``gauge_names``."""
         self.loop.gauges_polled_at = self.clock.read()
         self.loop.gauges = {name: value for name, value in zip(self.gauge_names, values) if name}
 
     def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
-        """A call to the dependency is over."""
+        """Handle the end of a call to the dependency."""
         self.runs.call_finished(request_id, outcome, reply)
 
     def _call_overdue(self, request_id: bytes) -> None:
