--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -39,17 +39,7 @@
         log: Log,
         on_call_overdue: Callable[[bytes], None],
     ) -> None:
-        """Register a handler for each type of action.
-
-        Args:
-            clock: The core's clock.
-            timers: The core's timers.
-            ports: The ports on which actions are executed.
-            drain: The drain state.
-            lifecycle: Owns the requests.
-            log: Writes log events.
-            on_call_overdue: Called with the id of a request whose call brought neither reply nor timeout.
-        """
+        """Create an executor; ``on_call_overdue`` takes the id of a request whose call brought no report."""
         self.clock = clock
         self.timers = timers
         self.ports = ports
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Ports and a clock for tests of the core: nothing here sleeps or opens a socket."""
+"""Fake ports and a fake clock for tests of the core, without sleeping or sockets."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 )
 
 READ = ClassSpec("read", Effect.SAFE, 1.0, 3.0, 1.0, calls_dependency=True, skipped_call_weight_share=0.5)
-ONCE = ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.5, 4.0, 5.0, key_window=6.0, calls_dependency=True)
+KEYED = ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.5, 4.0, 5.0, key_window=6.0, calls_dependency=True)
 SETTINGS = Settings(
-    classes=(READ, ONCE),
+    classes=(READ, KEYED),
     cores=2,
     memory_kb=9000.0,
     answer_slack=0.08,
@@ -39,7 +39,11 @@
 
 
 class ServiceHarness:
-    """A service with everything round it faked: ``said`` holds what it asked of its ports, in order."""
+    """A service with fake ports and a fake clock.
+
+    ``port_calls`` holds the calls on the ports in order, ``logged_events`` the names of logged events, and
+    ``responses`` the final responses by request id.  With ``pool_up`` the worker pool has started.
+    """
 
     def __init__(self, settings: Settings = SETTINGS, pool_up: bool = True, **options: Any) -> None:
         self.now, self.port_calls = 1_000.0, list[tuple[Any, ...]]()
@@ -61,65 +65,75 @@
         if pool_up:
             self.service.pool_started(False, 100.0)
 
-    # the ports
+    # The ports.
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
-        self.port_calls.append(("spawn", ident, klass, body, once))
+        self.port_calls.append(("spawn", request_id, class_name, body, must_run_once))
 
-    def suspend(self, ident: bytes) -> None:
-        self.port_calls.append(("suspend", ident))
+    def suspend(self, request_id: bytes) -> None:
+        self.port_calls.append(("suspend", request_id))
 
-    def resume(self, ident: bytes) -> None:
-        self.port_calls.append(("resume", ident))
+    def resume(self, request_id: bytes) -> None:
+        self.port_calls.append(("resume", request_id))
 
-    def supply_reply(self, ident: bytes, reply: bytes) -> None:
-        self.port_calls.append(("supply_reply", ident, reply))
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None:
+        self.port_calls.append(("supply_reply", request_id, reply))
 
-    def skip_call(self, ident: bytes, notice: int) -> None:
-        self.port_calls.append(("skip_call", ident, notice))
+    def skip_call(self, request_id: bytes, notice_number: int) -> None:
+        self.port_calls.append(("skip_call", request_id, notice_number))
 
     def poll_gauges(self) -> None: ...
 
-    def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
-        self.port_calls.append(("call", ident, body))
+    def call(self, request_id: bytes, timeout: float, body: bytes, must_run_once: bool) -> None:
+        self.port_calls.append(("call", request_id, body))
 
-    def cancel_call(self, ident: bytes) -> None:
-        self.port_calls.append(("cancel_call", ident))
+    def cancel_call(self, request_id: bytes) -> None:
+        self.port_calls.append(("cancel_call", request_id))
 
-    def set_accepting(self, on: bool) -> None:
-        self.port_calls.append(("accepting", on))
+    def set_accepting(self, is_accepting: bool) -> None:
+        self.port_calls.append(("set_accepting", is_accepting))
 
-    # the driver
-    def submit(self, number: int, class_name: str = "oddaja", key: bytes | None = b"k", **more: Any) -> int:
-        ident = b"%016x" % number
-        once = class_name == "oddaja"  # all tries of one request carry the same body
-        ask = InboundRequest(
-            ident,
+    # Input to the service.
+    def submit(self, number: int, class_name: str = "oddaja", key: bytes | None = b"k", **fields: Any) -> int:
+        request_id = b"%016x" % number
+        is_keyed = class_name == "oddaja"
+        inbound = InboundRequest(
+            request_id,
             class_name,
             "a",
             self.now,
             3.0,
             10.0,
             0.9,
-            idempotency_key=key if once else None,
-            body=b"body of %b" % key if once and key else b"body-%d" % number,
+            idempotency_key=key if is_keyed else None,
+            # All attempts of one request have the same body.
+            body=b"body of %b" % key if is_keyed and key else b"body-%d" % number,
+        )
+        return self.service.submit(
+            replace(inbound, **fields), self.responses.setdefault(request_id, []).append
         )
-        return self.service.submit(replace(ask, **more), self.responses.setdefault(ident, []).append)
 
     def finish_run(
         self, number: int, outcome: Outcome = Outcome.SUCCEEDED, result: bytes = b"result"
     ) -> None:
         self.service.run_finished(b"%016x" % number, outcome, 0.1, result)
 
-    def run_until(self, then: float) -> None:
-        while (due := self.service.next_due()) is not None and due <= then:
+    def run_until(self, end: float) -> None:
+        while (due := self.service.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
             self.service.tick()
-        self.now = then
+        self.now = end
 
     def spawned_ids(self) -> list[bytes]:
-        return [s[1] for s in self.port_calls if s[0] == "spawn"]
+        return [call[1] for call in self.port_calls if call[0] == "spawn"]
 
     def statuses(self, number: int) -> list[str]:
-        return [a.status.value for a in self.responses[b"%016x" % number]]
+        return [response.status.value for response in self.responses[b"%016x" % number]]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.net.pool import PoolLink, Pulse
 from saltcart.wire import handover as wire
-from tests.fakes import ONCE, READ, ServiceHarness
+from tests.fakes import KEYED, READ, ServiceHarness
 from tests.fakes import SETTINGS as CORE
 from tests.standins import (
     BOTH_FRONTS,
@@ -287,7 +287,7 @@
 
 def short(window: float) -> ServiceHarness:
     """A customer whose window is shorter than its runs."""
-    return ServiceHarness(replace(CORE, classes=(READ, replace(ONCE, key_window=window))))
+    return ServiceHarness(replace(CORE, classes=(READ, replace(KEYED, key_window=window))))
 
 
 def test_who_joined_a_run_is_served_by_it_though_its_key_has_aged_out_meanwhile() -> None:
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -1,11 +1,11 @@
-"""The table of idempotency keys."""
+"""Tests of the table of idempotency keys."""
 
 from __future__ import annotations
 
 from saltcart.core.idempotency_keys import KeyTable
 
 
-def test_the_key_table_forgets_and_keeps_what_has_run() -> None:
+def test_expired_and_removed_keys_leave_the_table() -> None:
     table = KeyTable(99_999, read_grace=2.0)
     table.reserve(("a", "c", b"x"), 1, 10.0, b"").has_run = True
     table.remove(table.reserve(("a", "c", b"y"), 2, 10.0, b""))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The core's rules, with its ports faked and its clock passed in."""
+"""Tests of the core's rules, with fake ports and a fake clock."""
 
 from __future__ import annotations
 
@@ -14,111 +14,114 @@
 from tests.fakes import SETTINGS, ServiceHarness
 
 
-def test_a_request_runs_and_its_result_passes_unchanged() -> None:
-    w = ServiceHarness()
-    w.submit(1, "read", body=b"\x00\xffraw")
-    assert ("spawn", b"%016x" % 1, "read", b"\x00\xffraw", False) in w.port_calls
-    w.finish_run(1, result=b"\x01\r\n\xfe")
-    assert w.statuses(1) == ["served"] and w.responses[b"%016x" % 1][0].body == b"\x01\r\n\xfe"
-    assert not w.service.requests and not w.service.requests_by_id
+def test_request_runs_and_its_result_is_returned_unchanged() -> None:
+    harness = ServiceHarness()
+    harness.submit(1, "read", body=b"\x00\xffraw")
+    assert ("spawn", b"%016x" % 1, "read", b"\x00\xffraw", False) in harness.port_calls
+    harness.finish_run(1, result=b"\x01\r\n\xfe")
+    assert harness.statuses(1) == ["served"] and harness.responses[b"%016x" % 1][0].body == b"\x01\r\n\xfe"
+    assert not harness.service.requests and not harness.service.requests_by_id
 
 
 @pytest.mark.parametrize(
-    ("outcome", "verdict"),
+    ("outcome", "status"),
     [(Outcome.FAILED, "failed"), (Outcome.CANCELLED, "failed"), (Outcome.NOT_STARTED, "failed")],
 )
-@pytest.mark.parametrize("klass", ["read", "oddaja"])
-def test_a_run_that_ends_badly_is_answered_once(outcome: Outcome, verdict: str, klass: str) -> None:
-    w = ServiceHarness()
-    w.submit(1, klass)
-    w.finish_run(1, outcome)
-    w.finish_run(1, outcome)
-    assert w.statuses(1) == [verdict]
-
-
-@pytest.mark.parametrize("moment", ["running", "finished", "caller gone", "late read"])
-def test_a_further_try_shares_the_first_ones_run(moment: str) -> None:
-    w = ServiceHarness()
-    first = w.submit(1)
-    if moment == "caller gone":
-        w.service.abandon(first)
-    if moment in ("finished", "late read"):
-        w.finish_run(1)
-    if moment == "late read":  # it came inside the window and is read after it
-        reached = w.now + 5.9
-        w.run_until(w.now + 7.0)
-        w.submit(2, received_at=reached, budget_seconds=4.0)
+@pytest.mark.parametrize("class_name", ["read", "oddaja"])
+def test_unsuccessful_run_gets_one_response(outcome: Outcome, status: str, class_name: str) -> None:
+    harness = ServiceHarness()
+    harness.submit(1, class_name)
+    harness.finish_run(1, outcome)
+    harness.finish_run(1, outcome)
+    assert harness.statuses(1) == [status]
+
+
+@pytest.mark.parametrize("moment", ["running", "finished", "abandoned", "read late"])
+def test_retry_shares_the_run_of_the_first_attempt(moment: str) -> None:
+    harness = ServiceHarness()
+    first = harness.submit(1)
+    if moment == "abandoned":
+        harness.service.abandon(first)
+    if moment in ("finished", "read late"):
+        harness.finish_run(1)
+    if moment == "read late":  # received inside the key window, and read after it
+        received_at = harness.now + 5.9
+        harness.run_until(harness.now + 7.0)
+        harness.submit(2, received_at=received_at, budget_seconds=4.0)
     else:
-        w.submit(2)
-    if moment in ("running", "caller gone"):
-        assert w.statuses(2) == []
-        w.finish_run(1)
-    assert w.spawned_ids() == [b"%016x" % 1]
-    assert w.statuses(2) == ["served"] and w.responses[b"%016x" % 2][0].body == b"result"
-
-
-def test_a_try_of_a_failed_run_fails_and_does_not_run() -> None:
-    w = ServiceHarness()
-    w.submit(1)
-    w.submit(2)
-    w.finish_run(1, Outcome.FAILED)
-    w.submit(3)
-    assert [w.statuses(n) for n in (1, 2, 3)] == [["failed"]] * 3 and len(w.spawned_ids()) == 1
-
-
-def test_the_key_is_free_after_its_window_and_for_other_tenants() -> None:
-    w = ServiceHarness()
-    w.submit(1)
-    w.finish_run(1)
-    w.submit(2, account="b")  # no tenant is served another's result
-    w.finish_run(2, result=b"other")
-    assert w.responses[b"%016x" % 2][0].body == b"other"
-    w.run_until(w.now + 6.2)
-    w.submit(3)
-    assert len(w.spawned_ids()) == 3
-
-
-def test_a_key_that_finds_no_room_is_refused_and_not_run() -> None:
-    w = ServiceHarness(max_key_bytes=8000)
-    w.submit(1)
-    w.submit(2, key=b"other")
-    assert w.statuses(2) == ["refused"] and w.responses[b"%016x" % 2][0].back_off_seconds > 0
-    assert w.spawned_ids() == [b"%016x" % 1]
-
-
-def test_the_key_of_a_run_is_never_given_up() -> None:
-    w = ServiceHarness()
-    r = w.service.requests[w.submit(1)]
-    w.service.lifecycle.attempts.release(r)
-    w.submit(2)
-    w.finish_run(1)
-    assert w.spawned_ids() == [b"%016x" % 1] and w.statuses(2) == ["served"]
-
-
-def test_nothing_runs_that_came_late_in_a_drain_and_all_is_answered() -> None:
-    w = ServiceHarness()
-    for n in range(1, 9):
-        w.submit(n, "read")
-    w.service.start_drain(3.0)
-    assert ("accepting", False) in w.port_calls
-    w.run_until(w.now + 1.1)
-    before = len(w.spawned_ids())
-    w.submit(20, "read")
-    w.run_until(w.now + 1.89)
-    assert w.statuses(20) == ["refused"] and b"%016x" % 20 not in w.spawned_ids()[before:]
-    assert all(len(found) == 1 for found in w.responses.values())
-
-
-def test_the_core_answers_when_the_module_does_not() -> None:
-    w = ServiceHarness()
-    w.submit(1, "read")
-    w.service.controller.table.requests.clear()  # type: ignore[union-attr]  # as if the module had lost it
-    w.run_until(w.now + 3.05)
-    assert w.statuses(1) == ["failed"] and "overdue" in w.logged_events
+        harness.submit(2)
+    if moment in ("running", "abandoned"):
+        assert harness.statuses(2) == []
+        harness.finish_run(1)
+    assert harness.spawned_ids() == [b"%016x" % 1]
+    assert harness.statuses(2) == ["served"] and harness.responses[b"%016x" % 2][0].body == b"result"
+
+
+def test_retry_of_a_failed_run_fails_without_running() -> None:
+    harness = ServiceHarness()
+    harness.submit(1)
+    harness.submit(2)
+    harness.finish_run(1, Outcome.FAILED)
+    harness.submit(3)
+    assert [harness.statuses(number) for number in (1, 2, 3)] == [["failed"]] * 3 and len(
+        harness.spawned_ids()
+    ) == 1
+
+
+def test_key_is_free_after_its_window_and_for_other_tenants() -> None:
+    harness = ServiceHarness()
+    harness.submit(1)
+    harness.finish_run(1)
+    harness.submit(2, account="b")  # a tenant is never served another's result
+    harness.finish_run(2, result=b"other")
+    assert harness.responses[b"%016x" % 2][0].body == b"other"
+    harness.run_until(harness.now + 6.2)
+    harness.submit(3)
+    assert len(harness.spawned_ids()) == 3
+
+
+def test_key_beyond_the_table_bound_is_rejected_without_running() -> None:
+    harness = ServiceHarness(max_key_bytes=8000)
+    harness.submit(1)
+    harness.submit(2, key=b"other")
+    assert harness.statuses(2) == ["refused"] and harness.responses[b"%016x" % 2][0].back_off_seconds > 0
+    assert harness.spawned_ids() == [b"%016x" % 1]
+
+
+def test_key_of_a_started_run_is_never_released() -> None:
+    harness = ServiceHarness()
+    request = harness.service.requests[harness.submit(1)]
+    harness.service.lifecycle.attempts.release(request)
+    harness.submit(2)
+    harness.finish_run(1)
+    assert harness.spawned_ids() == [b"%016x" % 1] and harness.statuses(2) == ["served"]
+
+
+def test_late_arrival_in_a_drain_does_not_run_and_all_requests_get_a_response() -> None:
+    harness = ServiceHarness()
+    for number in range(1, 9):
+        harness.submit(number, "read")
+    harness.service.start_drain(3.0)
+    assert ("set_accepting", False) in harness.port_calls
+    harness.run_until(harness.now + 1.1)
+    spawned_before = len(harness.spawned_ids())
+    harness.submit(20, "read")
+    harness.run_until(harness.now + 1.89)
+    assert harness.statuses(20) == ["refused"] and b"%016x" % 20 not in harness.spawned_ids()[spawned_before:]
+    assert all(len(responses) == 1 for responses in harness.responses.values())
+
+
+def test_core_fails_a_request_that_the_decision_module_lost() -> None:
+    harness = ServiceHarness()
+    harness.submit(1, "read")
+    # As if the decision module had lost the request.
+    harness.service.controller.table.requests.clear()  # type: ignore[union-attr]
+    harness.run_until(harness.now + 3.05)
+    assert harness.statuses(1) == ["failed"] and "overdue" in harness.logged_events
 
 
 @pytest.mark.parametrize(
-    ("outcome", "klass", "then"),
+    ("outcome", "class_name", "expected"),
     [
         (Outcome.SUCCEEDED, "oddaja", "supply_reply"),
         (Outcome.SUCCEEDED, "read", "supply_reply"),
@@ -132,149 +135,164 @@
         (Outcome.TIMED_OUT, "read", "skip_call"),
     ],
 )
-def test_how_a_call_ended(outcome: Outcome, klass: str, then: str) -> None:
-    w = ServiceHarness()
-    w.submit(1, klass)
-    ident = b"%016x" % 1
-    w.service.call_requested(ident, 7, b"question")
-    assert ("call", ident, b"question") in w.port_calls
-    w.port_calls.clear()
-    w.service.call_finished(ident, outcome, b"reply")
-    w.service.call_finished(ident, outcome, b"reply")  # a second reply to one call is nothing
-    w.run_until(w.now + 0.2)
-    if then == "failed":
-        assert w.statuses(1) == ["failed"] and not any(s[0] == "call" for s in w.port_calls)
+def test_outcome_of_a_call_decides_what_follows(outcome: Outcome, class_name: str, expected: str) -> None:
+    harness = ServiceHarness()
+    harness.submit(1, class_name)
+    request_id = b"%016x" % 1
+    harness.service.call_requested(request_id, 7, b"question")
+    assert ("call", request_id, b"question") in harness.port_calls
+    harness.port_calls.clear()
+    harness.service.call_finished(request_id, outcome, b"reply")
+    harness.service.call_finished(request_id, outcome, b"reply")  # a second reply to the same call is ignored
+    harness.run_until(harness.now + 0.2)
+    if expected == "failed":
+        assert harness.statuses(1) == ["failed"] and not any(call[0] == "call" for call in harness.port_calls)
     else:
-        assert then in [s[0] for s in w.port_calls] and w.statuses(1) == []
-    assert then != "supply_reply" or w.port_calls[0] == ("supply_reply", ident, b"reply")
+        assert expected in [call[0] for call in harness.port_calls] and harness.statuses(1) == []
+    assert expected != "supply_reply" or harness.port_calls[0] == ("supply_reply", request_id, b"reply")
 
 
-def test_a_call_without_reply_is_given_up() -> None:
-    w = ServiceHarness()
-    w.submit(1)
-    w.service.call_requested(b"%016x" % 1, 1, b"")
-    w.run_until(w.now + 2.5)
-    assert ("cancel_call", b"%016x" % 1) in w.port_calls and w.statuses(1) == ["failed"]
+def test_call_without_reply_is_cancelled() -> None:
+    harness = ServiceHarness()
+    harness.submit(1)
+    harness.service.call_requested(b"%016x" % 1, 1, b"")
+    harness.run_until(harness.now + 2.5)
+    assert ("cancel_call", b"%016x" % 1) in harness.port_calls and harness.statuses(1) == ["failed"]
 
 
-def test_a_gone_caller_is_owed_nothing() -> None:
-    w = ServiceHarness(replace(SETTINGS, cores=1))
-    numbers = [w.submit(n, "read") for n in (1, 2, 3)]
+def test_abandoned_requests_get_no_response() -> None:
+    harness = ServiceHarness(replace(SETTINGS, cores=1))
+    numbers = [harness.submit(number, "read") for number in (1, 2, 3)]
     for number in numbers:
-        w.service.abandon(number)
-    w.finish_run(1)
-    w.run_until(w.now + 5)
-    assert all(w.responses[b"%016x" % n] == [] for n in (1, 2, 3)) and not w.service.requests
-
-
-def test_a_stopped_run_stays_on_the_books_and_is_told_again_until_it_is_heard_of() -> None:
-    """Cores that stand still stop nothing; what is taken off the books too early crowds them later."""
-    w = ServiceHarness()
-    w.service.abandon(w.submit(1, "read"))
-    w.run_until(w.now + 3.05)
-    assert w.port_calls.count(("suspend", b"%016x" % 1)) == 4 and len(w.service.requests) == 1
-    w.run_until(w.now + 20.0)  # its end was never told: what is kept by id is bounded all the same
-    assert not w.service.requests and not w.service.requests_by_id and "written-off" in w.logged_events
-
-
-def test_a_lost_spawn_of_a_keyed_run_fails_and_never_runs_again() -> None:
-    w = ServiceHarness()
-    w.submit(1)
-    w.service.run_uncertain(b"%016x" % 1)
-    w.submit(2)
-    assert w.statuses(1) == w.statuses(2) == ["failed"] and len(w.spawned_ids()) == 1
+        harness.service.abandon(number)
+    harness.finish_run(1)
+    harness.run_until(harness.now + 5)
+    assert (
+        all(harness.responses[b"%016x" % number] == [] for number in (1, 2, 3))
+        and not harness.service.requests
+    )
+
+
+def test_stopped_run_is_kept_and_stopped_again_until_its_end_is_reported() -> None:
+    """A stalled pool ignores stop commands.
+
+    If its runs were removed too early, new ones would start on top of them and overload the cores.
+    """
+    harness = ServiceHarness()
+    harness.service.abandon(harness.submit(1, "read"))
+    harness.run_until(harness.now + 3.05)
+    assert harness.port_calls.count(("suspend", b"%016x" % 1)) == 4 and len(harness.service.requests) == 1
+    harness.run_until(harness.now + 20.0)  # its end is never reported, yet the request is removed
+    assert (
+        not harness.service.requests
+        and not harness.service.requests_by_id
+        and "written-off" in harness.logged_events
+    )
+
+
+def test_keyed_run_whose_start_is_uncertain_fails_and_never_runs_again() -> None:
+    harness = ServiceHarness()
+    harness.submit(1)
+    harness.service.run_uncertain(b"%016x" % 1)
+    harness.submit(2)
+    assert harness.statuses(1) == harness.statuses(2) == ["failed"] and len(harness.spawned_ids()) == 1
 
 
 @pytest.mark.parametrize(
     "fields", [{"class_name": "nothing"}, {"account": "c"}, {"key": None}, {"number": 1}]
 )
-def test_what_breaks_the_protocol_is_not_taken(fields: dict[str, object]) -> None:
-    w = ServiceHarness()
-    w.submit(1)
+def test_invalid_request_is_not_accepted(fields: dict[str, object]) -> None:
+    harness = ServiceHarness()
+    harness.submit(1)
     with pytest.raises(InvalidRequestError):
-        w.submit(**{"number": 2, **fields})  # type: ignore[arg-type]
-    assert len(w.service.requests) == 1
+        harness.submit(**{"number": 2, **fields})  # type: ignore[arg-type]
+    assert len(harness.service.requests) == 1
 
 
-def test_before_the_pool_is_up_requests_are_refused_and_checks_are_bad() -> None:
-    w = ServiceHarness(pool_up=False)
-    assert not w.service.is_healthy
-    w.submit(1)
-    assert w.statuses(1) == ["refused"]
-    w.service.pool_started(True, 2.0)
-    assert w.service.is_healthy and w.service.controller is not None
-    assert w.service.controller.settings.starts_cold
-    assert w.service.controller.cores_up_at == w.now - 2.0
+def test_requests_are_rejected_and_health_checks_fail_before_the_pool_is_up() -> None:
+    harness = ServiceHarness(pool_up=False)
+    assert not harness.service.is_healthy
+    harness.submit(1)
+    assert harness.statuses(1) == ["refused"]
+    harness.service.pool_started(True, 2.0)
+    assert harness.service.is_healthy and harness.service.controller is not None
+    assert harness.service.controller.settings.starts_cold
+    assert harness.service.controller.cores_up_at == harness.now - 2.0
 
 
-def test_accounts_that_nobody_told_are_not_counted_one_by_one() -> None:
-    w = ServiceHarness(replace(SETTINGS, tenants=()))
-    for n in range(1, 9):
-        w.submit(n, "read", account=f"who{n}")
-        w.finish_run(n)
-    assert w.service.counts == {("", "read", "served"): 8}
+def test_accounts_are_counted_together_without_configured_tenants() -> None:
+    harness = ServiceHarness(replace(SETTINGS, tenants=()))
+    for number in range(1, 9):
+        harness.submit(number, "read", account=f"account-{number}")
+        harness.finish_run(number)
+    assert harness.service.counts == {("", "read", "served"): 8}
 
 
-def test_a_fault_of_the_module_costs_one_event_only() -> None:
-    w = ServiceHarness()
-    assert w.service.controller is not None
-    handle, faults = w.service.controller.handle, [TimerFired, RequestArrived]
+def test_fault_of_the_decision_module_loses_one_event_only() -> None:
+    harness = ServiceHarness()
+    assert harness.service.controller is not None
+    handle, faulty_types = harness.service.controller.handle, [TimerFired, RequestArrived]
 
     def faulty(now: float, event: Event) -> list[Action]:
-        if type(event) in faults:
-            faults.remove(type(event))
+        if type(event) in faulty_types:
+            faulty_types.remove(type(event))
             raise ZeroDivisionError
         return handle(now, event)
 
-    w.service.controller.handle = faulty  # type: ignore[method-assign]
-    w.submit(1, "read")
-    w.run_until(w.now + 3.1)
-    assert w.statuses(1) == ["failed"] and w.logged_events.count("decision-fault") == 2
-    w.submit(2, "read")
-    w.run_until(w.now + 2.5)  # the timer rings on: the run that hangs is answered by the module itself
-    assert w.statuses(2) == ["failed"] and w.logged_events.count("overdue") == 1
-
-
-def test_a_timer_uses_the_gauges_it_has() -> None:
-    w = ServiceHarness()
-    w.service.gauges_polled((0.25, 7.0, 3.0, 9.0))  # a gauge of an unknown name is no argument of the event
-    w.run_until(w.now + 0.2)
-    assert w.service.loop.gauges == {"cpu_busy": 0.25, "runnable": 3.0}
-
-
-@pytest.mark.parametrize(("again", "named"), [({"body": b"another"}, "body"), ({"number": 1}, "id")])
-@pytest.mark.parametrize("over", [False, True])
-def test_a_key_serves_only_tries_of_its_own_request(again: dict[str, Any], named: str, over: bool) -> None:
-    """A client that repeats another's key or id must not be served that one's result."""
-    w = ServiceHarness()
-    w.submit(1)
-    if over:
-        w.finish_run(1)
-    with pytest.raises(InvalidRequestError, match=named):
-        w.submit(**{"number": 2, **again})
-    assert w.spawned_ids() == [b"%016x" % 1]
-
-
-def test_a_run_that_was_proved_never_to_have_begun_leaves_its_key_free() -> None:
-    w = ServiceHarness()
-    w.submit(1, body=b"not the request's")
-    w.finish_run(1, Outcome.NOT_STARTED)  # the pool knows no such request
-    w.submit(2)
-    assert w.statuses(1) == ["failed"] and w.spawned_ids() == [b"%016x" % 1, b"%016x" % 2]
-
-
-def test_old_gauges_are_no_gauges() -> None:
-    w = ServiceHarness()
-    w.service.gauges_polled((0.25, 7.0, 3.0, 9.0))
-    w.run_until(w.now + 0.9)
-    assert w.service.loop.gauges
-    w.run_until(w.now + 0.3)  # the link is away: nothing was polled since
-    assert not w.service.loop.gauges
-
-
-def test_a_budget_beyond_the_deadline_is_not_held_longer() -> None:
-    w = ServiceHarness()
-    w.submit(1, "read", budget_seconds=600.0)
-    w.service.controller.table.requests.clear()  # type: ignore[union-attr]  # as if the module had lost it
-    w.run_until(w.now + 3.05)
-    assert w.statuses(1) == ["failed"]
+    harness.service.controller.handle = faulty  # type: ignore[method-assign]
+    harness.submit(1, "read")
+    harness.run_until(harness.now + 3.1)
+    assert harness.statuses(1) == ["failed"] and harness.logged_events.count("decision-fault") == 2
+    harness.submit(2, "read")
+    # The timer still fires: the decision module itself fails the request whose run hangs.
+    harness.run_until(harness.now + 2.5)
+    assert harness.statuses(2) == ["failed"] and harness.logged_events.count("overdue") == 1
+
+
+def test_timer_uses_the_last_polled_gauges() -> None:
+    harness = ServiceHarness()
+    # Gauges without a name must not become arguments of the event.
+    harness.service.gauges_polled((0.25, 7.0, 3.0, 9.0))
+    harness.run_until(harness.now + 0.2)
+    assert harness.service.loop.gauges == {"cpu_busy": 0.25, "runnable": 3.0}
+
+
+@pytest.mark.parametrize(("fields", "error_text"), [({"body": b"another"}, "body"), ({"number": 1}, "id")])
+@pytest.mark.parametrize("is_finished", [False, True])
+def test_key_serves_only_attempts_of_its_own_request(
+    fields: dict[str, Any], error_text: str, is_finished: bool
+) -> None:
+    """A client that repeats another's key or request id must not be served the other's result."""
+    harness = ServiceHarness()
+    harness.submit(1)
+    if is_finished:
+        harness.finish_run(1)
+    with pytest.raises(InvalidRequestError, match=error_text):
+        harness.submit(**{"number": 2, **fields})
+    assert harness.spawned_ids() == [b"%016x" % 1]
+
+
+def test_run_that_never_started_leaves_its_key_free() -> None:
+    harness = ServiceHarness()
+    harness.submit(1, body=b"another body")
+    harness.finish_run(1, Outcome.NOT_STARTED)  # the pool doesn't know the request
+    harness.submit(2)
+    assert harness.statuses(1) == ["failed"] and harness.spawned_ids() == [b"%016x" % 1, b"%016x" % 2]
+
+
+def test_outdated_gauges_are_discarded() -> None:
+    harness = ServiceHarness()
+    harness.service.gauges_polled((0.25, 7.0, 3.0, 9.0))
+    harness.run_until(harness.now + 0.9)
+    assert harness.service.loop.gauges
+    harness.run_until(harness.now + 0.3)  # without a link no gauges have been polled since
+    assert not harness.service.loop.gauges
+
+
+def test_budget_beyond_the_deadline_does_not_extend_it() -> None:
+    harness = ServiceHarness()
+    harness.submit(1, "read", budget_seconds=600.0)
+    # As if the decision module had lost the request.
+    harness.service.controller.table.requests.clear()  # type: ignore[union-attr]
+    harness.run_until(harness.now + 3.05)
+    assert harness.statuses(1) == ["failed"]
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers by a clock that is passed in."""
+"""Tests of the timers."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from saltcart.core.timers import Timers
 
 
-def test_a_timer_that_fails_does_not_take_the_others_with_it() -> None:
-    timers, rung = Timers(), list[int]()
+def test_callbacks_after_one_that_raises_run_next_time() -> None:
+    timers, called = Timers(), list[int]()
     timers.call_at(1.0, lambda: list[None]().pop())
-    timers.call_at(1.0, rung.append, 2)
+    timers.call_at(1.0, called.append, 2)
     with pytest.raises(IndexError):
         timers.run(1.0)
     timers.run(1.0)
-    assert rung == [2] and timers.next_due() is None
+    assert called == [2] and timers.next_due() is None
