--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -26,7 +26,7 @@
 class ActionExecutor:
     """Executes actions, and enforces the core's rules whatever the decision module requests.
 
-    An action that a rule forbids, or whose request has moved on, is ignored or reported back as not started.
+    An action that is outdated or breaks a rule is ignored, or replaced by one that the rules permit.
     """
 
     def __init__(
--- a/saltcart/core/idempotency.py
+++ b/saltcart/core/idempotency.py
@@ -85,7 +85,7 @@
             return
         record.is_finished = True
         record.result = result if outcome is Outcome.SUCCEEDED else None
-        if outcome is Outcome.NOT_STARTED and not request.call_notice_number:  # nothing ran
+        if outcome is Outcome.NOT_STARTED and not request.call_notice_number:  # certain not to have run
             self.keys.remove(record)
             self._fail_waiting(record)
 
--- a/saltcart/core/request.py
+++ b/saltcart/core/request.py
@@ -84,7 +84,7 @@
         self.phase = HELD
         self.stop_requested = False
         self.key: Key | None = None
-        self.key_record: KeyRecord | None = None  # set while this attempt holds its key
+        self.key_record: KeyRecord | None = None  # set once this attempt has reserved its key
         self.attempt: Attempt | None = None  # set where retry-storm control is enabled
         self.call_notice_number = 0
         self.call_body = b""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -162,9 +162,9 @@
 
 def test_abandoned_requests_get_no_response() -> None:
     harness = ServiceHarness(replace(SETTINGS, cores=1))
-    numbers = [harness.submit(number, "read") for number in (1, 2, 3)]
-    for number in numbers:
-        harness.service.abandon(number)
+    request_numbers = [harness.submit(number, "read") for number in (1, 2, 3)]
+    for request_number in request_numbers:
+        harness.service.abandon(request_number)
     harness.finish_run(1)
     harness.run_until(harness.now + 5)
     assert (
@@ -176,7 +176,7 @@
 def test_stopped_run_is_kept_and_stopped_again_until_its_end_is_reported() -> None:
     """A stalled pool ignores stop commands.
 
-    If its runs were removed too early, new ones would start on top of them and overload the cores.
+    If its runs were removed too early, new ones would start while these still use the cores.
     """
     harness = ServiceHarness()
     harness.service.abandon(harness.submit(1, "read"))
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -19,7 +19,7 @@
         super().__init__(replace(SETTINGS, max_retry_after=1.0))
         self.rng, self.number, self.drain_started_at = random.Random(seed), 0, float("inf")
         # By request id.
-        self.received_at: dict[bytes, float] = {}
+        self.arrival_times: dict[bytes, float] = {}
         self.due_at: dict[bytes, float] = {}
         self.keys: dict[bytes, bytes] = {}
         # Sets of request ids.
@@ -42,13 +42,15 @@
     ) -> None:
         assert request_id not in self.started, "spawned twice"
         assert not self.responses[request_id], "run after its response"
-        assert self.received_at[request_id] <= self.drain_started_at + SETTINGS.drain_grace, (
+        assert self.arrival_times[request_id] <= self.drain_started_at + SETTINGS.drain_grace, (
             "run too late in a drain"
         )
         if must_run_once:
             for earlier in self.runs_by_key.setdefault(self.keys[request_id], []):
-                assert self.received_at[request_id] > earlier + KEYED.key_window, "two runs in one key window"
-            self.runs_by_key[self.keys[request_id]].append(self.received_at[request_id])
+                assert self.arrival_times[request_id] > earlier + KEYED.key_window, (
+                    "two runs in one key window"
+                )
+            self.runs_by_key[self.keys[request_id]].append(self.arrival_times[request_id])
         self.started.add(request_id)
         self.running.add(request_id)
 
@@ -75,9 +77,9 @@
         if choice < 0.45:
             self.number += 1
             request_id = b"%016x" % self.number
-            self.received_at[request_id] = self.now - rng.choice([0.0, 0.01, 0.3])
+            self.arrival_times[request_id] = self.now - rng.choice([0.0, 0.01, 0.3])
             budget = rng.choice([0.4, 1.5, 3.0])
-            self.due_at[request_id] = max(self.now, self.received_at[request_id] + budget)
+            self.due_at[request_id] = max(self.now, self.arrival_times[request_id] + budget)
             is_keyed = rng.random() < 0.5
             if is_keyed:
                 self.keys[request_id] = b"%d" % rng.randrange(6)
@@ -85,7 +87,7 @@
                 self.number,
                 "oddaja" if is_keyed else "read",
                 self.keys.get(request_id),
-                received_at=self.received_at[request_id],
+                received_at=self.arrival_times[request_id],
                 budget_seconds=budget,
                 priority_rank=rng.random(),
             )
@@ -119,7 +121,7 @@
                     and request_id not in self.requested_calls
                 ):
                     # The pool reported that nothing ran.
-                    self.runs_by_key[self.keys[request_id]].remove(self.received_at[request_id])
+                    self.runs_by_key[self.keys[request_id]].remove(self.arrival_times[request_id])
                 self.service.run_finished(request_id, outcome, 0.1, b"result")
             self.awaiting_call.discard(request_id)
 
