--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -31,7 +31,7 @@
 from saltcart.takeover import Takeover
 
 if TYPE_CHECKING:
-    from saltcart.budget.plan import Plans
+    from saltcart.composition.plan import Plans
     from saltcart.membership.settings import MemberSettings
     from saltcart.net.composer import Composer
     from saltcart.net.locality_driver import LocalityDriver
@@ -52,7 +52,7 @@
 
 def check_plans(plans: Plans, conf: Config) -> None:
     """What has to hold of plans and the platform's object together; ``ConfigError`` says what does not."""
-    from saltcart.budget.plan import check_classes
+    from saltcart.composition.plan import check_classes
 
     if conf.pool is not None:
         raise ConfigError("plan: the worker pool does the work here, plans are for where there is none")
--- a/saltcart/budget/compose.py
+++ b/saltcart/composition/bodies.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from saltcart.budget.plan import Call
-from saltcart.budget.run import ComposedRun, Mark
+from saltcart.composition.composed_run import ComposedRun, Mark
+from saltcart.composition.plan import Call
 
 
 def readable(body: bytes) -> Any:
--- a/saltcart/budget/run.py
+++ b/saltcart/composition/composed_run.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import NamedTuple
 
-from saltcart.budget.plan import Call, Plan
+from saltcart.composition.plan import Call, Plan
 from saltcart.decision.outcome import Outcome
 
 
--- a/saltcart/budget/desk.py
+++ b/saltcart/composition/composition_engine.py
@@ -11,14 +11,24 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from saltcart.budget import compose
-from saltcart.budget.dependency import NEVER_RAN, Dependency
-from saltcart.budget.guards import Circuit
-from saltcart.budget.judge import Judge, Limits, optional_last
-from saltcart.budget.lastgood import LastGood
-from saltcart.budget.plan import Plan, Plans
-from saltcart.budget.run import OPEN, CallAttempt, ComposedRun, Ended, GiveUp, Mark, Order, Part, Send
-from saltcart.budget.yields import Yield
+from saltcart.composition import bodies
+from saltcart.composition.composed_run import (
+    OPEN,
+    CallAttempt,
+    ComposedRun,
+    Ended,
+    GiveUp,
+    Mark,
+    Order,
+    Part,
+    Send,
+)
+from saltcart.composition.dependency_state import NEVER_RAN, Dependency
+from saltcart.composition.overload_protection import Circuit
+from saltcart.composition.plan import Plan, Plans
+from saltcart.composition.slot_value import Yield
+from saltcart.composition.stale_cache import LastGood
+from saltcart.composition.timeout_policy import Judge, Limits, optional_last
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
 
@@ -156,7 +166,7 @@
         calls = optional_last(run.plan.stage[run.stage].call)
         run.stage += 1
         run.parts = [
-            Part(run, c, limits.required if c.required else limits.optional, compose.to_send(run, c))
+            Part(run, c, limits.required if c.required else limits.optional, bodies.to_send(run, c))
             for c in calls
         ]
         run.starting = True
@@ -182,7 +192,7 @@
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
         self.earns.ended(self.worth.get(run.plan.klass, 0.0) * (1 - lost), now - run.started)
-        self._end(now, run, Outcome.SUCCEEDED, compose.answer(run), left, remembered)
+        self._end(now, run, Outcome.SUCCEEDED, bodies.answer(run), left, remembered)
 
     def _end(
         self,
--- a/saltcart/budget/dependency.py
+++ b/saltcart/composition/dependency_state.py
@@ -6,11 +6,11 @@
 from collections import Counter, deque
 from math import inf
 
-from saltcart.budget.guards import Allowance, Breaker, Limit
-from saltcart.budget.plan import Dependency as Spec
-from saltcart.budget.run import CallAttempt, Part
-from saltcart.budget.shares import Need
-from saltcart.budget.sketch import Quantiles
+from saltcart.composition.composed_run import CallAttempt, Part
+from saltcart.composition.overload_protection import Allowance, Breaker, Limit
+from saltcart.composition.plan import Dependency as Spec
+from saltcart.composition.quantile_sketch import Quantiles
+from saltcart.composition.time_shares import Need
 from saltcart.decision.outcome import Outcome
 
 UNKNOWN = Need(0.0, 0.02, 0.2)  # a dependency of which nothing is known yet is taken for an ordinary one
--- a/saltcart/budget/judge.py
+++ b/saltcart/composition/timeout_policy.py
@@ -7,10 +7,10 @@
 from math import inf
 from typing import NamedTuple
 
-from saltcart.budget.dependency import EVIDENCE, Dependency
-from saltcart.budget.plan import Call, Stage
-from saltcart.budget.run import ComposedRun, Part
-from saltcart.budget.shares import Need, side_by_side, split
+from saltcart.composition.composed_run import ComposedRun, Part
+from saltcart.composition.dependency_state import EVIDENCE, Dependency
+from saltcart.composition.plan import Call, Stage
+from saltcart.composition.time_shares import Need, side_by_side, split
 
 LEAVE = 1.25  # of what later stages need at most, kept from calls that can be left out
 SURE = 1.2  # of what nearly all calls need: past the sketch's error, a call is slow
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -18,7 +18,7 @@
 from saltcart.field_reader import FieldReader, InvalidFieldError
 
 if TYPE_CHECKING:
-    from saltcart.budget.plan import Plans
+    from saltcart.composition.plan import Plans
     from saltcart.locality.settings import LocalitySettings
     from saltcart.membership.settings import MemberSettings
     from saltcart.retry_storm.settings import StormSettings
@@ -26,7 +26,7 @@
 
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
 LOOPBACK = re.compile(r"(127(\.\d{1,3}){3}|localhost):")
-PLANS = ("dependency", "plan", "memory")  # the tables that saltcart.budget.plan reads
+PLANS = ("dependency", "plan", "memory")  # the tables that saltcart.composition.plan reads
 DEFAULT = Path(__file__).resolve().parent.parent / "deploy" / "saltcart.toml"
 
 
@@ -217,7 +217,7 @@
         check(upstreams, tenants)
         plans = None
         if any(key in f.raw for key in PLANS):  # only where it is needed: a service without plans stays lean
-            from saltcart.budget.plan import read_plans
+            from saltcart.composition.plan import read_plans
 
             tables = {key: f.raw[key] for key in PLANS if key in f.raw}
             plans = read_plans(tables, [u.name for u in upstreams])
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -10,11 +10,11 @@
 from math import sqrt
 from typing import Any
 
-from saltcart.budget.dependency import Dependency
-from saltcart.budget.guards import Breaker
-from saltcart.budget.judge import Judge
-from saltcart.budget.run import CallAttempt, Part
-from saltcart.budget.sketch import Quantiles
+from saltcart.composition.composed_run import CallAttempt, Part
+from saltcart.composition.dependency_state import Dependency
+from saltcart.composition.overload_protection import Breaker
+from saltcart.composition.quantile_sketch import Quantiles
+from saltcart.composition.timeout_policy import Judge
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices
 from saltcart.lab.budgets import FULL, QUICK, Play
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -22,11 +22,11 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from saltcart.budget.dependency import Dependency
-from saltcart.budget.desk import Desk
-from saltcart.budget.judge import Judge, Limits
-from saltcart.budget.plan import Plans, check_classes, read_plans
-from saltcart.budget.run import ComposedRun, Ended, GiveUp, Mark, Order, Orders, Part, Send
+from saltcart.composition.composed_run import ComposedRun, Ended, GiveUp, Mark, Order, Orders, Part, Send
+from saltcart.composition.composition_engine import Desk
+from saltcart.composition.dependency_state import Dependency
+from saltcart.composition.plan import Plans, check_classes, read_plans
+from saltcart.composition.timeout_policy import Judge, Limits
 from saltcart.core.draining import STOP_MARGIN
 from saltcart.core.messages import FinalResponse, InboundRequest
 from saltcart.core.service import Service
--- a/saltcart/lab/sketches.py
+++ b/saltcart/lab/sketches.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from saltcart.budget.sketch import Quantiles
+from saltcart.composition.quantile_sketch import Quantiles
 
 LEVELS = (0.1, 0.5, 0.95)
 WINDOW = 1000
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -9,9 +9,9 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from saltcart.budget.desk import Desk
-from saltcart.budget.plan import Dependency, Plans
-from saltcart.budget.run import Ended, GiveUp, Order, Orders, Send
+from saltcart.composition.composed_run import Ended, GiveUp, Order, Orders, Send
+from saltcart.composition.composition_engine import Desk
+from saltcart.composition.plan import Dependency, Plans
 from saltcart.core.ports import Log, WorkerPoolEvents
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
--- a/tests/test_desk.py
+++ b/tests/test_composition_engine.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltcart.budget.desk import MOST_TRIES, Desk
-from saltcart.budget.guards import Circuit
-from saltcart.budget.plan import check_classes, read_plans
-from saltcart.budget.run import Ended, GiveUp, Order, Orders, Send
+from saltcart.composition.composed_run import Ended, GiveUp, Order, Orders, Send
+from saltcart.composition.composition_engine import MOST_TRIES, Desk
+from saltcart.composition.overload_protection import Circuit
+from saltcart.composition.plan import check_classes, read_plans
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec, Effect
 
--- a/tests/test_budget_parts.py
+++ b/tests/test_composition_parts.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltcart.budget.guards import Allowance, Breaker, Circuit, Limit
-from saltcart.budget.lastgood import OVERHEAD, LastGood
-from saltcart.budget.plan import PlanError, check_classes, read_plans
-from saltcart.budget.shares import Need, side_by_side, split
-from saltcart.budget.sketch import Quantiles
+from saltcart.composition.overload_protection import Allowance, Breaker, Circuit, Limit
+from saltcart.composition.plan import PlanError, check_classes, read_plans
+from saltcart.composition.quantile_sketch import Quantiles
+from saltcart.composition.stale_cache import OVERHEAD, LastGood
+from saltcart.composition.time_shares import Need, side_by_side, split
 from saltcart.decision.settings import ClassSpec, Effect
 
 SECONDS = st.floats(1e-3, 30.0)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -27,7 +27,7 @@
     "matplotlib",
     "msgspec",
     "numpy",
-    "saltcart.budget",
+    "saltcart.composition",
     "saltcart.subsetting",
     "saltcart.lab",
     "saltcart.locality",
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -17,7 +17,7 @@
 import pytest
 
 from saltcart.admin.registry import Registry
-from saltcart.budget.dependency import ENDED
+from saltcart.composition.dependency_state import ENDED
 from saltcart.core.idempotency_keys import KeyRecord, digest
 from saltcart.core.request import RequestPhase as RequestState
 from saltcart.decision.events import PredecessorLoad
