--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -31,7 +31,7 @@
 from saltcart.takeover import Takeover
 
 if TYPE_CHECKING:
-    from saltcart.composition.plan import Plans
+    from saltcart.composition.plan import CompositionSpec
     from saltcart.membership.settings import MemberSettings
     from saltcart.net.composer import Composer
     from saltcart.net.locality_driver import LocalityDriver
@@ -50,7 +50,7 @@
 RESERVE_PART, LEAST_RESERVE, SIDE_PART = 5, 16, 16
 
 
-def check_plans(plans: Plans, conf: Config) -> None:
+def check_plans(plans: CompositionSpec, conf: Config) -> None:
     """What has to hold of plans and the platform's object together; ``ConfigError`` says what does not."""
     from saltcart.composition.plan import check_classes
 
@@ -234,7 +234,7 @@
             )
             self.service.figure_sources.append(self.subsets.balancer.figures)
 
-    def _compose(self, plans: Plans, upstreams: Upstreams) -> None:
+    def _compose(self, plans: CompositionSpec, upstreams: Upstreams) -> None:
         """Answers of the plans' classes are made of several dependencies' replies."""
         from saltcart.net.composer import Composer
 
--- a/saltcart/composition/bodies.py
+++ b/saltcart/composition/bodies.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from saltcart.composition.composed_run import ComposedRun, Mark
-from saltcart.composition.plan import Call
+from saltcart.composition.composed_run import ComposedRun, SubRequestState
+from saltcart.composition.plan import CallSpec
 
 
 def readable(body: bytes) -> Any:
@@ -26,11 +26,12 @@
 def answers(run: ComposedRun) -> dict[str, Any]:
     """The replies so far by dependency; null for what was left out."""
     return {
-        name: None if mark is Mark.LEFT_OUT else readable(body) for name, (mark, body) in run.replies.items()
+        name: None if mark is SubRequestState.LEFT_OUT else readable(body)
+        for name, (mark, body) in run.replies.items()
     }
 
 
-def to_send(run: ComposedRun, call: Call) -> bytes:
+def to_send(run: ComposedRun, call: CallSpec) -> bytes:
     """The body of a call."""
     if call.sends == "request":
         return run.body
--- a/saltcart/composition/composed_run.py
+++ b/saltcart/composition/composed_run.py
@@ -8,11 +8,11 @@
 from math import inf
 from typing import NamedTuple
 
-from saltcart.composition.plan import Call, Plan
+from saltcart.composition.plan import CallSpec, PlanSpec
 from saltcart.decision.outcome import Outcome
 
 
-class Mark(enum.Enum):
+class SubRequestState(enum.Enum):
     """How far one call of a plan has come."""
 
     WAITING = "waits for a place"
@@ -23,7 +23,7 @@
     LOST = "required, and not to be had"
 
 
-OPEN = (Mark.WAITING, Mark.OUT)
+OPEN = (SubRequestState.WAITING, SubRequestState.OUT)
 
 
 class CallAttempt:
@@ -32,7 +32,7 @@
     __slots__ = ("begun", "dependency", "fair", "further", "ident", "part", "probe", "slow_at")
 
     def __init__(
-        self, ident: bytes, part: Part, dependency: str, begun: float, further: bool, fair: bool
+        self, ident: bytes, part: SubRequest, dependency: str, begun: float, further: bool, fair: bool
     ) -> None:
         self.ident, self.part, self.dependency, self.begun = ident, part, dependency, begun
         self.further, self.fair, self.probe = further, fair, False
@@ -43,7 +43,7 @@
         return now >= self.slow_at
 
 
-class Part:
+class SubRequest:
     """One call of the stage under way."""
 
     __slots__ = (
@@ -60,12 +60,12 @@
         "until",
     )
 
-    def __init__(self, run: ComposedRun, call: Call, until: float, body: bytes) -> None:
+    def __init__(self, run: ComposedRun, call: CallSpec, until: float, body: bytes) -> None:
         self.run, self.call, self.until = run, call, until
         self.body = body  # what every attempt sends, and what a last good answer is known by
         self.dependency = call.dependency  # or the one that it has fallen back to
         self.passed = {call.dependency}
-        self.mark, self.reply, self.sent = Mark.WAITING, b"", 0
+        self.mark, self.reply, self.sent = SubRequestState.WAITING, b"", 0
         self.attempts: list[CallAttempt] = []
         self.beside = False  # a second attempt was begun beside a slow first one
 
@@ -89,20 +89,20 @@
     )
 
     def __init__(
-        self, ident: bytes, plan: Plan, tenant: str, body: bytes, now: float, aim_at: float, due_at: float
+        self, ident: bytes, plan: PlanSpec, tenant: str, body: bytes, now: float, aim_at: float, due_at: float
     ) -> None:
         self.ident, self.plan, self.tenant, self.body = ident, plan, tenant, body
         self.started, self.aim_at, self.due_at = now, aim_at, due_at
-        self.stage, self.parts = 0, list[Part]()
-        self.replies: dict[str, tuple[Mark, bytes]] = {}  # of the stages that are over
+        self.stage, self.parts = 0, list[SubRequest]()
+        self.replies: dict[str, tuple[SubRequestState, bytes]] = {}  # of the stages that are over
         self.starting = self.over = False
 
-    def named(self, mark: Mark) -> tuple[str, ...]:
+    def named(self, mark: SubRequestState) -> tuple[str, ...]:
         """Dependencies that ended so."""
         return tuple(name for name, (found, _) in self.replies.items() if found is mark)
 
 
-class Send(NamedTuple):
+class SendCall(NamedTuple):
     """Make a call.  ``once``: it must never be sent a second time; ``within``: seconds for its reply."""
 
     ident: bytes
@@ -114,14 +114,14 @@
     once: bool
 
 
-class GiveUp(NamedTuple):
+class CancelCall(NamedTuple):
     """Nobody waits for this call's reply any more."""
 
     ident: bytes
     dependency: str
 
 
-class Ended(NamedTuple):
+class CompositionFinished(NamedTuple):
     """A composed run is over; NOT_STARTED: nothing with an effect was started."""
 
     ident: bytes
@@ -132,20 +132,20 @@
     remembered: tuple[str, ...] = ()
 
 
-Order = Send | GiveUp | Ended
+CompositionAction = SendCall | CancelCall | CompositionFinished
 
 
-class Orders:
+class ActionQueue:
     """Carries orders out one after the other, in the order in which they were given.
 
     What an order leads to may give further ones before it returns; they wait for those that came before
     them, or a call could be given up before it is sent.
     """
 
-    def __init__(self, carry_out: Callable[[Order], None]) -> None:
-        self.carry_out, self.queue, self.busy = carry_out, deque[Order](), False
+    def __init__(self, carry_out: Callable[[CompositionAction], None]) -> None:
+        self.carry_out, self.queue, self.busy = carry_out, deque[CompositionAction](), False
 
-    def __call__(self, orders: list[Order]) -> None:
+    def __call__(self, orders: list[CompositionAction]) -> None:
         self.queue.extend(orders)
         if self.busy:
             return
--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -15,20 +15,20 @@
 from saltcart.composition.composed_run import (
     OPEN,
     CallAttempt,
+    CancelCall,
     ComposedRun,
-    Ended,
-    GiveUp,
-    Mark,
-    Order,
-    Part,
-    Send,
+    CompositionAction,
+    CompositionFinished,
+    SendCall,
+    SubRequest,
+    SubRequestState,
 )
-from saltcart.composition.dependency_state import NEVER_RAN, Dependency
-from saltcart.composition.overload_protection import Circuit
-from saltcart.composition.plan import Plan, Plans
-from saltcart.composition.slot_value import Yield
-from saltcart.composition.stale_cache import LastGood
-from saltcart.composition.timeout_policy import Judge, Limits, optional_last
+from saltcart.composition.dependency_state import NEVER_RAN, DependencyState
+from saltcart.composition.overload_protection import CircuitState
+from saltcart.composition.plan import CompositionSpec, PlanSpec
+from saltcart.composition.slot_value import SlotValue
+from saltcart.composition.stale_cache import StaleCache
+from saltcart.composition.timeout_policy import StageDeadlines, TimeoutPolicy, optional_last
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
 
@@ -38,31 +38,33 @@
 MASK = (1 << 64) - 1
 
 
-class Desk:
+class CompositionEngine:
     """Owns the runs, their attempts and the dependencies; the one place that forgets each."""
 
-    def __init__(self, plans: Plans, seed: int, classes: Iterable[ClassSpec]) -> None:
+    def __init__(self, plans: CompositionSpec, seed: int, classes: Iterable[ClassSpec]) -> None:
         rng = random.Random(seed)
-        self.plans: dict[str, Plan] = {p.klass: p for p in plans.plan}
-        self.dependencies = {d.name: Dependency(d, random.Random(rng.random())) for d in plans.dependency}
-        self.last_good = LastGood(plans.memory.entries, plans.memory.kb)
+        self.plans: dict[str, PlanSpec] = {p.klass: p for p in plans.plan}
+        self.dependencies = {
+            d.name: DependencyState(d, random.Random(rng.random())) for d in plans.dependency
+        }
+        self.last_good = StaleCache(plans.memory.entries, plans.memory.kb)
         self.worth = {c.name: c.priority_weight for c in classes}
         late = {c.name for c in classes if c.late_weight_share > 0}
-        self.judge = Judge(self.dependencies.__getitem__, rng, late.__contains__)
-        self.earns = Yield()
+        self.judge = TimeoutPolicy(self.dependencies.__getitem__, rng, late.__contains__)
+        self.earns = SlotValue()
         self.runs: dict[bytes, ComposedRun] = {}
         self.attempts: dict[bytes, CallAttempt] = {}
         self.number = rng.getrandbits(64)  # of the next attempt: two processes never name theirs alike
-        self.due: list[tuple[float, int, Callable[[float, Part], None], Part]] = []
+        self.due: list[tuple[float, int, Callable[[float, SubRequest], None], SubRequest]] = []
         self.order = 0
-        self.orders: list[Order] = []
+        self.orders: list[CompositionAction] = []
         self.counts = Counter[str]()
 
     # ---- what the host tells ------------------------------------------------------------------
 
     def start(
         self, now: float, ident: bytes, klass: str, tenant: str, body: bytes, aim_at: float, due_at: float
-    ) -> list[Order]:
+    ) -> list[CompositionAction]:
         """A run begins; ``aim_at``: an answer by then is worth most, ``due_at``: by then it must be there."""
         run = self.runs[ident] = ComposedRun(
             ident, self.plans[klass], tenant, body, now, min(aim_at, due_at), due_at
@@ -70,7 +72,7 @@
         self._go_on(now, run)
         return self._take()
 
-    def reply(self, now: float, ident: bytes, outcome: Outcome, body: bytes = b"") -> list[Order]:
+    def reply(self, now: float, ident: bytes, outcome: Outcome, body: bytes = b"") -> list[CompositionAction]:
         """An attempt is over.  One that nobody waits for any more changes nothing."""
         attempt = self.attempts.pop(ident, None)
         if attempt is not None:
@@ -86,14 +88,14 @@
             self._let_in(now, dependency)
         return self._take()
 
-    def stop(self, now: float, ident: bytes) -> list[Order]:
+    def stop(self, now: float, ident: bytes) -> list[CompositionAction]:
         """Nobody wants this run's answer any more."""
         run = self.runs.get(ident)
         if run is not None:
             self._end(now, run, Outcome.CANCELLED)
         return self._take()
 
-    def hasten(self, now: float, by: float) -> list[Order]:
+    def hasten(self, now: float, by: float) -> list[CompositionAction]:
         """Everything has to be over by then: runs under way make do with what time there is."""
         for run in list(self.runs.values()):
             run.aim_at, run.due_at = min(run.aim_at, by), min(run.due_at, by)
@@ -104,7 +106,7 @@
                     self._at(end, self._expire, part)
         return self._take()
 
-    def press(self, now: float, held: int) -> list[Order]:
+    def press(self, now: float, held: int) -> list[CompositionAction]:
         """``held`` requests wait for a slot.
 
         Runs that only wait for what can be left out make room, as far as a slot earns more elsewhere.
@@ -121,12 +123,12 @@
                         self._elsewhere(now, part)
         return self._take()
 
-    def _worth_waiting(self, now: float, part: Part, price: float) -> bool:
+    def _worth_waiting(self, now: float, part: SubRequest, price: float) -> bool:
         worth = self.worth.get(part.run.plan.klass, 0.0) * part.call.worth
         dependency = self.dependencies[part.attempts[0].dependency if part.attempts else part.dependency]
         return self.judge.patience(now, part, dependency, worth, price) > 0
 
-    def tick(self, now: float) -> list[Order]:
+    def tick(self, now: float) -> list[CompositionAction]:
         """Run what is due."""
         while self.due and self.due[0][0] <= now:
             _, _, act, part = heapq.heappop(self.due)
@@ -162,11 +164,11 @@
             if any(part.mark in OPEN for part in run.parts):
                 return
 
-    def _begin_stage(self, now: float, run: ComposedRun, limits: Limits) -> None:
+    def _begin_stage(self, now: float, run: ComposedRun, limits: StageDeadlines) -> None:
         calls = optional_last(run.plan.stage[run.stage].call)
         run.stage += 1
         run.parts = [
-            Part(run, c, limits.required if c.required else limits.optional, bodies.to_send(run, c))
+            SubRequest(run, c, limits.required if c.required else limits.optional, bodies.to_send(run, c))
             for c in calls
         ]
         run.starting = True
@@ -176,19 +178,19 @@
             self._begin(now, part)
         run.starting = False
 
-    def _settle(self, now: float, part: Part, mark: Mark, reply: bytes = b"") -> None:
+    def _settle(self, now: float, part: SubRequest, mark: SubRequestState, reply: bytes = b"") -> None:
         """The one place where a call's fate is decided."""
         run, part.mark, part.reply = part.run, mark, reply
         for attempt in part.attempts:
-            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is Mark.DONE)
+            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is SubRequestState.DONE)
         part.attempts.clear()
-        if mark is Mark.LOST:
+        if mark is SubRequestState.LOST:
             self._end(now, run, Outcome.FAILED)
         elif not run.starting and not run.over and not any(p.mark in OPEN for p in run.parts):
             self._go_on(now, run)
 
     def _finish(self, now: float, run: ComposedRun) -> None:
-        left, remembered = run.named(Mark.LEFT_OUT), run.named(Mark.REMEMBERED)
+        left, remembered = run.named(SubRequestState.LEFT_OUT), run.named(SubRequestState.REMEMBERED)
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
         self.earns.ended(self.worth.get(run.plan.klass, 0.0) * (1 - lost), now - run.started)
@@ -213,15 +215,15 @@
             outcome = Outcome.NOT_STARTED  # the write was never sent: a further try of the same key may run
         for part in run.parts:
             if part.mark in OPEN:
-                part.mark = Mark.LOST
+                part.mark = SubRequestState.LOST
             for attempt in part.attempts:
                 self._drop(now, attempt, Outcome.CANCELLED)
             part.attempts.clear()
-        self.orders.append(Ended(run.ident, outcome, now - run.started, body, left, remembered))
+        self.orders.append(CompositionFinished(run.ident, outcome, now - run.started, body, left, remembered))
 
     # ---- one call -----------------------------------------------------------------------------
 
-    def _begin(self, now: float, part: Part) -> None:
+    def _begin(self, now: float, part: SubRequest) -> None:
         """Call the part's dependency now, or when a place is free, or go elsewhere."""
         dependency = self.dependencies[part.dependency]
         if not self.judge.fits(now, part, dependency):
@@ -230,24 +232,24 @@
         elif not self.judge.guarded or dependency.free(now):
             self._send(now, part, dependency)
         elif dependency.breaker.allows(now) and len(dependency.waiting) < dependency.spec.waiting:
-            part.mark = Mark.WAITING
+            part.mark = SubRequestState.WAITING
             dependency.waiting.append(part)
             self._at(part.until, self._expire, part)
         else:
             dependency.counts["shut"] += 1
             self._elsewhere(now, part)
 
-    def _send(self, now: float, part: Part, dependency: Dependency, further: bool = False) -> None:
+    def _send(self, now: float, part: SubRequest, dependency: DependencyState, further: bool = False) -> None:
         room = part.until - now
         fair = room >= dependency.need(now).typical
         attempt = CallAttempt(b"%016x" % self.number, part, dependency.spec.name, now, further, fair)
         self.number = (self.number + 1) & MASK
         dependency.begun(attempt)
-        part.mark, part.sent = Mark.OUT, part.sent + 1
+        part.mark, part.sent = SubRequestState.OUT, part.sent + 1
         part.attempts.append(attempt)
         self.attempts[attempt.ident] = attempt
         self.orders.append(
-            Send(
+            SendCall(
                 attempt.ident,
                 part.run.ident,
                 dependency.spec.name,
@@ -266,7 +268,7 @@
                 attempt.slow_at = at
                 self._at(at, self._beside, part)
 
-    def _beside(self, now: float, part: Part) -> None:
+    def _beside(self, now: float, part: SubRequest) -> None:
         """The first attempt is slow: send a second one, to the fallback if there is one."""
         if part.beside or len(part.attempts) != 1:
             return
@@ -284,16 +286,16 @@
             dependency.counts["hedge"] += 1
             self._send(now, part, dependency, further=True)
 
-    def _answered(self, now: float, part: Part, dependency: str, body: bytes) -> None:
+    def _answered(self, now: float, part: SubRequest, dependency: str, body: bytes) -> None:
         if part.call.remember:
-            key = LastGood.key(part.call.dependency, part.body)
+            key = StaleCache.key(part.call.dependency, part.body)
             self.last_good.put(now, part.run.tenant, key, body)
-        self._settle(now, part, Mark.DONE, body)
+        self._settle(now, part, SubRequestState.DONE, body)
 
-    def _failed(self, now: float, part: Part, attempt: CallAttempt, outcome: Outcome) -> None:
+    def _failed(self, now: float, part: SubRequest, attempt: CallAttempt, outcome: Outcome) -> None:
         call, never = part.call, outcome in NEVER_RAN
         if call.write and not never:
-            self._settle(now, part, Mark.LOST)  # it may have had its effect: never sent again
+            self._settle(now, part, SubRequestState.LOST)  # it may have had its effect: never sent again
             return
         if call.write:
             part.sent -= 1  # proved: no effect
@@ -311,7 +313,7 @@
         else:
             self._elsewhere(now, part)
 
-    def _elsewhere(self, now: float, part: Part) -> None:
+    def _elsewhere(self, now: float, part: SubRequest) -> None:
         """This dependency gives no answer: another, the last good one, or none."""
         other = self.dependencies[part.dependency].spec.fallback
         if other is not None and other not in part.passed:
@@ -322,14 +324,14 @@
             return
         call = part.call
         if call.remember:
-            key = LastGood.key(call.dependency, part.body)
+            key = StaleCache.key(call.dependency, part.body)
             kept = self.last_good.get(now, part.run.tenant, key, call.remember)
             if kept is not None:
-                self._settle(now, part, Mark.REMEMBERED, kept)
+                self._settle(now, part, SubRequestState.REMEMBERED, kept)
                 return
-        self._settle(now, part, Mark.LOST if call.required else Mark.LEFT_OUT)
+        self._settle(now, part, SubRequestState.LOST if call.required else SubRequestState.LEFT_OUT)
 
-    def _expire(self, now: float, part: Part) -> None:
+    def _expire(self, now: float, part: SubRequest) -> None:
         """The part's time is over."""
         if now < part.until:
             return
@@ -337,7 +339,7 @@
             self._drop(now, attempt, Outcome.TIMED_OUT)
         part.attempts.clear()
         if part.call.write and part.sent:
-            self._settle(now, part, Mark.LOST)
+            self._settle(now, part, SubRequestState.LOST)
         else:
             part.passed.update(self.dependencies)  # no time for another
             self._elsewhere(now, part)
@@ -348,17 +350,17 @@
             return  # its run has ended in the course of this very change
         dependency = self.dependencies[attempt.dependency]
         dependency.ended(now, attempt, outcome, overtaken and not attempt.further and attempt.slow(now))
-        self.orders.append(GiveUp(attempt.ident, attempt.dependency))
+        self.orders.append(CancelCall(attempt.ident, attempt.dependency))
         self._let_in(now, dependency)
 
-    def _let_in(self, now: float, dependency: Dependency) -> None:
+    def _let_in(self, now: float, dependency: DependencyState) -> None:
         """A place may be free: the call that has waited longest and still fits takes it.
 
         Where the breaker has opened none will be: then all that wait go elsewhere at once.
         """
-        while dependency.waiting and (dependency.free(now) or dependency.breaker.state is Circuit.OPEN):
+        while dependency.waiting and (dependency.free(now) or dependency.breaker.state is CircuitState.OPEN):
             part = dependency.waiting.popleft()
-            if part.mark is not Mark.WAITING or part.dependency != dependency.spec.name:
+            if part.mark is not SubRequestState.WAITING or part.dependency != dependency.spec.name:
                 continue
             if dependency.free(now) and self.judge.fits(now, part, dependency):
                 self._send(now, part, dependency)
@@ -367,10 +369,10 @@
 
     # ---- bookkeeping --------------------------------------------------------------------------
 
-    def _at(self, when: float, act: Callable[[float, Part], None], part: Part) -> None:
+    def _at(self, when: float, act: Callable[[float, SubRequest], None], part: SubRequest) -> None:
         self.order += 1
         heapq.heappush(self.due, (when, self.order, act, part))
 
-    def _take(self) -> list[Order]:
+    def _take(self) -> list[CompositionAction]:
         orders, self.orders = self.orders, []
         return orders
--- a/saltcart/composition/dependency_state.py
+++ b/saltcart/composition/dependency_state.py
@@ -6,19 +6,21 @@
 from collections import Counter, deque
 from math import inf
 
-from saltcart.composition.composed_run import CallAttempt, Part
-from saltcart.composition.overload_protection import Allowance, Breaker, Limit
-from saltcart.composition.plan import Dependency as Spec
-from saltcart.composition.quantile_sketch import Quantiles
-from saltcart.composition.time_shares import Need
+from saltcart.composition.composed_run import CallAttempt, SubRequest
+from saltcart.composition.overload_protection import CallLimit, CircuitBreaker, RetryBudget
+from saltcart.composition.plan import DependencySpec
+from saltcart.composition.quantile_sketch import QuantileSketch
+from saltcart.composition.time_shares import TimeNeeded
 from saltcart.decision.outcome import Outcome
 
-UNKNOWN = Need(0.0, 0.02, 0.2)  # a dependency of which nothing is known yet is taken for an ordinary one
+UNKNOWN = TimeNeeded(
+    0.0, 0.02, 0.2
+)  # a dependency of which nothing is known yet is taken for an ordinary one
 EVIDENCE = 3.0  # recent calls that are needed to tell more
 LOOK = 0.05  # seconds for which a need that was worked out holds
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
 # Names of the counts that operators are shown.
-ENDED = {
+OUTCOME_COUNTERS = {
     Outcome.SUCCEEDED: "ok",
     Outcome.FAILED: "error",
     Outcome.CANCELLED: "cancelled",
@@ -31,23 +33,23 @@
 LOST = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.TIMED_OUT)  # signs of a crowd there
 
 
-class Dependency:
+class DependencyState:
     """Times, limit, breaker and allowance of one dependency, and the calls that wait for a place at it."""
 
-    def __init__(self, spec: Spec, rng: random.Random) -> None:
-        self.spec, self.times = spec, Quantiles()
-        self.limit, self.breaker = Limit(spec.least, spec.most), Breaker(rng)
-        self.allowance = Allowance(spec.attempts)
-        self.waiting = deque[Part]()
+    def __init__(self, spec: DependencySpec, rng: random.Random) -> None:
+        self.spec, self.times = spec, QuantileSketch()
+        self.limit, self.breaker = CallLimit(spec.least, spec.most), CircuitBreaker(rng)
+        self.allowance = RetryBudget(spec.attempts)
+        self.waiting = deque[SubRequest]()
         self.counts = Counter[str]()
         self.looked, self.known = -inf, UNKNOWN
 
-    def need(self, now: float) -> Need:
+    def need(self, now: float) -> TimeNeeded:
         """What a call has needed lately, in seconds; worked out anew every so often."""
         if now >= self.looked + LOOK or now < self.looked:
             self.looked = now
             known = self.times.count(now) >= EVIDENCE
-            self.known = Need(*self.times.at_levels()) if known else UNKNOWN
+            self.known = TimeNeeded(*self.times.at_levels()) if known else UNKNOWN
         return self.known
 
     def free(self, now: float) -> bool:
@@ -64,7 +66,7 @@
     def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         """An attempt is over; CANCELLED: it was given up for a reason that is not the dependency's."""
         self.limit.used -= 1
-        self.counts[ENDED[outcome]] += 1
+        self.counts[OUTCOME_COUNTERS[outcome]] += 1
         took = max(0.0, now - attempt.begun)
         if outcome is Outcome.CANCELLED:
             self.times.add(now, took, cut=True)
--- a/saltcart/composition/overload_protection.py
+++ b/saltcart/composition/overload_protection.py
@@ -9,7 +9,7 @@
 import random
 
 
-class Limit:
+class CallLimit:
     """Calls at once by additive increase and multiplicative decrease (Chiu and Jain, 1989).
 
     It acts on losses (calls that ran out of a fair time, or were turned away), not on delay: a dependency
@@ -35,7 +35,7 @@
             self.value = min(float(self.most), self.value + 1 / self.value)
 
 
-class Circuit(enum.Enum):
+class CircuitState(enum.Enum):
     """The states of a breaker, as in Nygard's Release It!."""
 
     CLOSED = "closed"
@@ -43,7 +43,7 @@
     HALF_OPEN = "half open"
 
 
-class Breaker:
+class CircuitBreaker:
     """Stops calls to what nearly always fails, and lets single ones out to see whether it is back."""
 
     SHARE, LEAST, HALF_LIFE = 0.7, 8.0, 1.0  # failures of so many recent calls; seconds
@@ -51,53 +51,55 @@
     PROBES = 2  # successes in a row that close it
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng, self.state = rng, Circuit.CLOSED
+        self.rng, self.state = rng, CircuitState.CLOSED
         self.good = self.bad = self.at = 0.0
         self.until, self.wait, self.probing, self.passed = 0.0, self.FIRST, 0, 0
 
     def allows(self, now: float) -> bool:
         """May a call be made?  One that is made must be told of by ``begun``."""
-        if self.state is Circuit.OPEN and now >= self.until:
-            self.state, self.probing, self.passed = Circuit.HALF_OPEN, 0, 0
-        return self.state is Circuit.CLOSED or (self.state is Circuit.HALF_OPEN and self.probing == 0)
+        if self.state is CircuitState.OPEN and now >= self.until:
+            self.state, self.probing, self.passed = CircuitState.HALF_OPEN, 0, 0
+        return self.state is CircuitState.CLOSED or (
+            self.state is CircuitState.HALF_OPEN and self.probing == 0
+        )
 
     def begun(self) -> bool:
         """A call is made; True if it is a probe."""
-        if self.state is Circuit.HALF_OPEN:
+        if self.state is CircuitState.HALF_OPEN:
             self.probing += 1
             return True
         return False
 
     def dropped(self, probe: bool) -> None:
         """A call was given up for another reason than its time: nothing is known of the dependency."""
-        if probe and self.state is Circuit.HALF_OPEN:
+        if probe and self.state is CircuitState.HALF_OPEN:
             self.probing -= 1
 
     def ended(self, now: float, ok: bool, probe: bool) -> None:
         fade = 2.0 ** ((self.at - now) / self.HALF_LIFE)
         self.good, self.bad, self.at = self.good * fade + ok, self.bad * fade + (not ok), now
-        if self.state is Circuit.HALF_OPEN and probe:
+        if self.state is CircuitState.HALF_OPEN and probe:
             self.probing -= 1
             self.passed += ok
             if not ok:
                 self._open(now)
             elif self.passed >= self.PROBES:
-                self.state, self.wait = Circuit.CLOSED, self.FIRST
+                self.state, self.wait = CircuitState.CLOSED, self.FIRST
                 self.good = self.bad = 0.0
         elif (
-            self.state is Circuit.CLOSED
+            self.state is CircuitState.CLOSED
             and self.bad >= self.LEAST
             and (self.bad >= self.SHARE * (self.good + self.bad))
         ):
             self._open(now)
 
     def _open(self, now: float) -> None:
-        self.state = Circuit.OPEN
+        self.state = CircuitState.OPEN
         self.until = now + self.wait * (1 + self.SPREAD * (2 * self.rng.random() - 1))
         self.wait = min(self.LONGEST, 2 * self.wait)
 
 
-class Allowance:
+class RetryBudget:
     """Further attempts, as a share of first ones: what is slow must not get more load for being slow."""
 
     BURST = 5.0
--- a/saltcart/composition/plan.py
+++ b/saltcart/composition/plan.py
@@ -26,7 +26,7 @@
     """A plan that can't stand; the text names the field and the reason."""
 
 
-class Dependency(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class DependencySpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One service that plans call."""
 
     name: Name
@@ -40,7 +40,7 @@
     attempts: Share = 0.1  # further attempts and hedges, as a share of first attempts
 
 
-class Call(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class CallSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One call of a stage."""
 
     dependency: Name
@@ -54,44 +54,44 @@
     sends: Literal["request", "answers"] = "request"  # the request's body, or it with the answers so far
 
 
-class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StageSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Calls that are made side by side; the next stage begins when all of them are settled."""
 
-    call: Annotated[list[Call], Meta(min_length=1)]
+    call: Annotated[list[CallSpec], Meta(min_length=1)]
 
 
-class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"klass": "class"}):
+class PlanSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"klass": "class"}):
     """How one class's answers are composed."""
 
     klass: Name
-    stage: Annotated[list[Stage], Meta(min_length=1)]
+    stage: Annotated[list[StageSpec], Meta(min_length=1)]
     partial: bool = False  # an answer may leave optional calls out
     answer: Name | None = None  # the dependency whose reply is the answer; without it all of them, as JSON
     reserve_ms: Annotated[float, Meta(ge=0.0, le=60_000.0)] = 20.0  # for composing and sending the answer
 
-    def calls(self) -> list[Call]:
+    def calls(self) -> list[CallSpec]:
         return [call for stage in self.stage for call in stage.call]
 
 
-class Memory(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StaleCacheSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Bounds of the last good answers that are kept."""
 
     entries: Annotated[int, Meta(ge=0, le=1_000_000)] = 4096
     kb: Annotated[float, Meta(ge=0.0, le=1_000_000.0)] = 4096.0
 
 
-class Plans(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class CompositionSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The parts of a deployment file that this package reads."""
 
-    dependency: list[Dependency] = []
-    plan: list[Plan] = []
-    memory: Memory = Memory()
+    dependency: list[DependencySpec] = []
+    plan: list[PlanSpec] = []
+    memory: StaleCacheSpec = StaleCacheSpec()
 
 
-def read_plans(raw: Mapping[str, Any], upstreams: Iterable[str] = ()) -> Plans:
+def read_plans(raw: Mapping[str, Any], upstreams: Iterable[str] = ()) -> CompositionSpec:
     """Plans out of their TOML tables; ``PlanError`` says which field is wrong and why."""
     try:
-        plans = msgspec.convert(dict(raw), Plans)
+        plans = msgspec.convert(dict(raw), CompositionSpec)
     except msgspec.ValidationError as error:
         reason, _, where = str(error).partition(" - at `$")
         field = re.sub(r"^\.", "", where.rstrip("`")) or "deployment"
@@ -106,8 +106,8 @@
     return plans
 
 
-def _check_dependencies(plans: Plans, upstreams: set[str]) -> None:
-    by_name = dict[str, Dependency]()
+def _check_dependencies(plans: CompositionSpec, upstreams: set[str]) -> None:
+    by_name = dict[str, DependencySpec]()
     for n, d in enumerate(plans.dependency):
         where = f"dependency[{n}]"
         if d.name in by_name:
@@ -136,7 +136,7 @@
             at = by_name[at.fallback]
 
 
-def _check_plan(plan: Plan, where: str, known: set[str]) -> None:
+def _check_plan(plan: PlanSpec, where: str, known: set[str]) -> None:
     lost, used = 0.0, set[str]()
     for s, stage in enumerate(plan.stage):
         for c, call in enumerate(stage.call):
@@ -164,7 +164,7 @@
             raise PlanError(f"{where}.answer: {plan.answer} may be left out")
 
 
-def check_classes(plans: Plans, classes: Iterable[ClassSpec]) -> None:
+def check_classes(plans: CompositionSpec, classes: Iterable[ClassSpec]) -> None:
     """What holds of plan and class together: effects are never partial, the write comes last and alone."""
     known = {c.name: c for c in classes}
     for n, plan in enumerate(plans.plan):
--- a/saltcart/composition/quantile_sketch.py
+++ b/saltcart/composition/quantile_sketch.py
@@ -15,7 +15,7 @@
 HEAVY = 40  # half-lives after which weights are scaled down, far from where they overflow
 
 
-class Quantiles:
+class QuantileSketch:
     """Quantiles at fixed ``levels`` of values in seconds, each value halved in weight every ``half_life``."""
 
     __slots__ = (
--- a/saltcart/composition/slot_value.py
+++ b/saltcart/composition/slot_value.py
@@ -5,7 +5,7 @@
 FADE = 0.98  # a run's weight with each one that ends after it
 
 
-class Yield:
+class SlotValue:
     """Worth earned for each second of a slot, over the runs of late."""
 
     def __init__(self) -> None:
--- a/saltcart/composition/stale_cache.py
+++ b/saltcart/composition/stale_cache.py
@@ -9,17 +9,17 @@
 OVERHEAD = 200  # bytes of an entry beside its body, as measured with tracemalloc
 
 
-class Kept(NamedTuple):
+class CachedResponse(NamedTuple):
     at: float
     body: bytes
 
 
-class LastGood:
+class StaleCache:
     """Least recently used answers go first, and from the tenant that holds the most bytes."""
 
     def __init__(self, entries: int, kb: float) -> None:
         self.most, self.most_bytes = entries, int(kb * 1024)
-        self.by_tenant: dict[str, OrderedDict[bytes, Kept]] = {}
+        self.by_tenant: dict[str, OrderedDict[bytes, CachedResponse]] = {}
         self.held: dict[str, int] = {}  # bytes by tenant
         self.count = self.bytes = 0
 
@@ -35,7 +35,7 @@
         if key in mine:
             self._remove(tenant, key)
             mine = self.by_tenant.setdefault(tenant, mine)
-        mine[key] = Kept(now, body)
+        mine[key] = CachedResponse(now, body)
         size = len(body) + OVERHEAD
         self.held[tenant] = self.held.get(tenant, 0) + size
         self.bytes, self.count = self.bytes + size, self.count + 1
--- a/saltcart/composition/time_shares.py
+++ b/saltcart/composition/time_shares.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Need(NamedTuple):
+class TimeNeeded(NamedTuple):
     """What a stage needs, in seconds: a lucky run of it, a typical one, and nearly all of them."""
 
     lucky: float
@@ -14,10 +14,10 @@
     most: float
 
 
-NOTHING = Need(0.0, 0.0, 0.0)
+NOTHING = TimeNeeded(0.0, 0.0, 0.0)
 
 
-def split(left: float, now: Need, later: Sequence[Need]) -> list[float] | None:
+def split(left: float, now: TimeNeeded, later: Sequence[TimeNeeded]) -> list[float] | None:
     """Shares of ``left`` for this stage and each later one, adding up to it; None where they can't fit.
 
     Later stages are kept what nearly all of their runs need; where that is too much for all, all come down
@@ -40,8 +40,8 @@
     return [max(0.0, left - sum(rest)), *rest]
 
 
-def side_by_side(needs: Sequence[Need]) -> Need:
+def side_by_side(needs: Sequence[TimeNeeded]) -> TimeNeeded:
     """The need of calls that are made together: at each level the longest."""
     if not needs:
         return NOTHING
-    return Need(max(n.lucky for n in needs), max(n.typical for n in needs), max(n.most for n in needs))
+    return TimeNeeded(max(n.lucky for n in needs), max(n.typical for n in needs), max(n.most for n in needs))
--- a/saltcart/composition/timeout_policy.py
+++ b/saltcart/composition/timeout_policy.py
@@ -7,40 +7,40 @@
 from math import inf
 from typing import NamedTuple
 
-from saltcart.composition.composed_run import ComposedRun, Part
-from saltcart.composition.dependency_state import EVIDENCE, Dependency
-from saltcart.composition.plan import Call, Stage
-from saltcart.composition.time_shares import Need, side_by_side, split
+from saltcart.composition.composed_run import ComposedRun, SubRequest
+from saltcart.composition.dependency_state import EVIDENCE, DependencyState
+from saltcart.composition.plan import CallSpec, StageSpec
+from saltcart.composition.time_shares import TimeNeeded, side_by_side, split
 
 LEAVE = 1.25  # of what later stages need at most, kept from calls that can be left out
 SURE = 1.2  # of what nearly all calls need: past the sketch's error, a call is slow
 PROBES = 0.05  # of the calls that seem not to fit are made: estimates must not last by themselves
 
 
-class Limits(NamedTuple):
+class StageDeadlines(NamedTuple):
     """When the calls of a stage are given up, by the desk's clock."""
 
     required: float
     optional: float
 
 
-class Judge:
+class TimeoutPolicy:
     """Budgets from what dependencies have lately needed."""
 
     guarded = True  # limits, breakers and allowances hold
 
     def __init__(
         self,
-        look: Callable[[str], Dependency],
+        look: Callable[[str], DependencyState],
         rng: random.Random,
         late: Callable[[str], bool] = lambda klass: False,
     ) -> None:
         self.look, self.rng, self.late = look, rng, late
 
-    def _need(self, now: float, stage: Stage) -> Need:
+    def _need(self, now: float, stage: StageSpec) -> TimeNeeded:
         return side_by_side([self.look(c.dependency).need(now) for c in stage.call if c.required])
 
-    def stage(self, now: float, run: ComposedRun) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
         """Limits for the stage that is about to begin; None where what must be called can't fit any more."""
         reserve = run.plan.reserve_ms / 1000
         horizon = run.aim_at - reserve
@@ -53,7 +53,7 @@
         if shares is None:
             if horizon <= now or self.rng.random() >= PROBES:
                 return None
-            return Limits(horizon, horizon)
+            return StageDeadlines(horizon, horizon)
         kept = sum(LEAVE * n.most if n.most < inf else share for n, share in zip(needs[1:], shares[1:]))
         optional = max(now, horizon - kept)
         required = now + shares[0]
@@ -61,9 +61,9 @@
             required = max(required, run.due_at - reserve)
         elif self.late(run.plan.klass):  # past the aim there is still something to earn
             required = max(required, run.due_at - reserve - sum(shares[1:]))
-        return Limits(required, optional)
+        return StageDeadlines(required, optional)
 
-    def fits(self, now: float, part: Part, dependency: Dependency) -> bool:
+    def fits(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         """Is there time for a lucky call at least?"""
         room = part.until - now
         if part.call.write and not self.late(part.run.plan.klass):  # it may end late, but not begin so
@@ -73,7 +73,7 @@
         return dependency.need(now).lucky <= room or self.rng.random() < PROBES
 
     def beside_at(
-        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+        self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
     ) -> float | None:
         """When a second attempt should begin beside one sent now: past what nearly all calls take.
 
@@ -88,7 +88,9 @@
             return now + SURE * need.most
         return None
 
-    def patience(self, now: float, part: Part, dependency: Dependency, worth: float, price: float) -> float:
+    def patience(
+        self, now: float, part: SubRequest, dependency: DependencyState, worth: float, price: float
+    ) -> float:
         """Seconds that a call which can be left out is still worth waiting for while others want the slot.
 
         ``worth`` is what its reply adds, ``price`` what a second of the slot earns elsewhere.  The best time
@@ -112,11 +114,11 @@
             before, last = value, alive
         return best
 
-    def again(self, now: float, part: Part, dependency: Dependency) -> bool:
+    def again(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         """Is there time for a typical call after one that failed?"""
         return dependency.need(now).typical <= part.until - now
 
 
-def optional_last(calls: list[Call]) -> list[Call]:
+def optional_last(calls: list[CallSpec]) -> list[CallSpec]:
     """Required calls first: places at a dependency go to them before those that can be left out."""
     return sorted(calls, key=lambda c: not c.required)
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -18,7 +18,7 @@
 from saltcart.field_reader import FieldReader, InvalidFieldError
 
 if TYPE_CHECKING:
-    from saltcart.composition.plan import Plans
+    from saltcart.composition.plan import CompositionSpec
     from saltcart.locality.settings import LocalitySettings
     from saltcart.membership.settings import MemberSettings
     from saltcart.retry_storm.settings import StormSettings
@@ -75,7 +75,7 @@
     admin: Admin | None = None
     upstreams: tuple[UpstreamConf, ...] = ()
     tenants: tuple[TenantConf, ...] = ()
-    plans: Plans | None = None  # how answers are composed of several dependencies' replies
+    plans: CompositionSpec | None = None  # how answers are composed of several dependencies' replies
     storm: StormSettings | None = None  # how retry storms are damped
     member: MemberSettings | None = None  # how the fleet's processes keep a view of each other
     locality: LocalitySettings | None = None  # how an upstream's work is spread over zones
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -10,11 +10,11 @@
 from math import sqrt
 from typing import Any
 
-from saltcart.composition.composed_run import CallAttempt, Part
-from saltcart.composition.dependency_state import Dependency
-from saltcart.composition.overload_protection import Breaker
-from saltcart.composition.quantile_sketch import Quantiles
-from saltcart.composition.timeout_policy import Judge
+from saltcart.composition.composed_run import CallAttempt, SubRequest
+from saltcart.composition.dependency_state import DependencyState
+from saltcart.composition.overload_protection import CircuitBreaker
+from saltcart.composition.quantile_sketch import QuantileSketch
+from saltcart.composition.timeout_policy import TimeoutPolicy
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices
 from saltcart.lab.budgets import FULL, QUICK, Play
@@ -22,7 +22,7 @@
 VARIANTS = ("whole", "no price", "survivors", "no breaker", "no second", "gradient")
 
 
-class Survivors(Quantiles):
+class Survivors(QuantileSketch):
     """Calls that were cut off are left out."""
 
     def add(self, now: float, value: float, cut: bool = False) -> None:
@@ -30,19 +30,19 @@
             super().add(now, value)
 
 
-class NeverOpen(Breaker):
+class NeverOpen(CircuitBreaker):
     def ended(self, now: float, ok: bool, probe: bool) -> None:
         return
 
 
-class NoSecond(Judge):
+class NoSecond(TimeoutPolicy):
     def beside_at(
-        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+        self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
     ) -> float | None:
         return None
 
 
-class Gradient(Dependency):
+class Gradient(DependencyState):
     SMOOTH = 0.1
 
     def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -22,11 +22,20 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from saltcart.composition.composed_run import ComposedRun, Ended, GiveUp, Mark, Order, Orders, Part, Send
-from saltcart.composition.composition_engine import Desk
-from saltcart.composition.dependency_state import Dependency
-from saltcart.composition.plan import Plans, check_classes, read_plans
-from saltcart.composition.timeout_policy import Judge, Limits
+from saltcart.composition.composed_run import (
+    ActionQueue,
+    CancelCall,
+    ComposedRun,
+    CompositionAction,
+    CompositionFinished,
+    SendCall,
+    SubRequest,
+    SubRequestState,
+)
+from saltcart.composition.composition_engine import CompositionEngine
+from saltcart.composition.dependency_state import DependencyState
+from saltcart.composition.plan import CompositionSpec, check_classes, read_plans
+from saltcart.composition.timeout_policy import StageDeadlines, TimeoutPolicy
 from saltcart.core.draining import STOP_MARGIN
 from saltcart.core.messages import FinalResponse, InboundRequest
 from saltcart.core.service import Service
@@ -48,39 +57,39 @@
 WITHIN = 2.0  # from the notice to drain to the stop, in seconds
 
 
-class FixedJudge(Judge):
+class FixedJudge(TimeoutPolicy):
     """Equal time-outs: every stage an equal part of the aim, whatever was needed and is left."""
 
     guarded = False
 
-    def stage(self, now: float, run: ComposedRun) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
         part = (run.aim_at - run.started - run.plan.reserve_ms / 1000) / len(run.plan.stage)
-        return Limits(now + part, now + part)
+        return StageDeadlines(now + part, now + part)
 
-    def fits(self, now: float, part: Part, dependency: Dependency) -> bool:
+    def fits(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         return now < part.until
 
     def beside_at(
-        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+        self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
     ) -> float | None:
         return None
 
-    def again(self, now: float, part: Part, dependency: Dependency) -> bool:
+    def again(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         return now < part.until
 
 
 class NoJudge(FixedJudge):
     """No budgets at all: each call is waited for as long as the caller waits."""
 
-    def stage(self, now: float, run: ComposedRun) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
         until = run.due_at - run.plan.reserve_ms / 1000
-        return Limits(until, until)
+        return StageDeadlines(until, until)
 
 
 class OracleJudge(FixedJudge):
     """Knows what would become of each call made now."""
 
-    def __init__(self, judge: Judge, places: dict[str, ModelDependency]) -> None:
+    def __init__(self, judge: TimeoutPolicy, places: dict[str, ModelDependency]) -> None:
         super().__init__(judge.look, judge.rng, judge.late)
         self.places = places
 
@@ -88,15 +97,15 @@
         fate = self.places[name].fate(now, request_of(run.ident))
         return fate.took if fate.took is not None and fate.outcome is Outcome.SUCCEEDED else 0.0
 
-    def stage(self, now: float, run: ComposedRun) -> Limits | None:
+    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
         horizon = run.aim_at - run.plan.reserve_ms / 1000
         later = sum(
             max((self._took(now, run, c.dependency) for c in stage.call if c.required), default=0.0)
             for stage in run.plan.stage[run.stage + 1 :]
         )
-        return Limits(horizon, horizon - later)
+        return StageDeadlines(horizon, horizon - later)
 
-    def fits(self, now: float, part: Part, dependency: Dependency) -> bool:
+    def fits(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         place, request = self.places[dependency.spec.name], request_of(part.run.ident)
         fates = [place.fate(now, request, ahead) for ahead in (0, 1)]
         if fates[0].outcome is not Outcome.SUCCEEDED and dependency.allowance.saved < 1:
@@ -104,11 +113,11 @@
         good = next((f for f in fates if f.outcome is Outcome.SUCCEEDED and f.took is not None), None)
         return good is not None and good.took is not None and now + good.took <= part.until
 
-    def again(self, now: float, part: Part, dependency: Dependency) -> bool:
+    def again(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         return self.fits(now, part, dependency) and dependency.allowance.take()
 
 
-def judge_for(policy: str, judge: Judge, places: dict[str, ModelDependency]) -> Judge:
+def judge_for(policy: str, judge: TimeoutPolicy, places: dict[str, ModelDependency]) -> TimeoutPolicy:
     match policy:
         case "fixed":
             return FixedJudge(judge.look, judge.rng, judge.late)
@@ -151,34 +160,34 @@
         self,
         events: Events,
         service: Service,
-        desk: Desk,
+        desk: CompositionEngine,
         places: dict[str, ModelDependency],
         tally: CompositionFigures,
     ) -> None:
         self.events, self.service, self.desk, self.places, self.tally = events, service, desk, places, tally
-        self.presses, self.orders = True, Orders(self._carry_out)
+        self.presses, self.orders = True, ActionQueue(self._carry_out)
         self.ticks = Ticks(events, desk.next_due, lambda: self.do(desk.tick, events.now))
 
-    def do(self, call: Callable[..., list[Order]], *args: Any) -> None:
+    def do(self, call: Callable[..., list[CompositionAction]], *args: Any) -> None:
         self.orders(call(*args))
         self.ticks.arm()
 
-    def _carry_out(self, order: Order) -> None:
+    def _carry_out(self, order: CompositionAction) -> None:
         match order:
-            case Send():
+            case SendCall():
                 self._send(order)
-            case Ended():
+            case CompositionFinished():
                 self.service.run_finished(
                     order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
                 )
-            case GiveUp():
+            case CancelCall():
                 pass  # the worker goes on with it; its reply finds nobody
 
-    def _send(self, order: Send) -> None:
+    def _send(self, order: SendCall) -> None:
         self.tally.calls += 1
         if order.once and order.run in self.desk.runs:
             replies = self.desk.runs[order.run].replies
-            self.tally.writes_partial += any(m is not Mark.DONE for m, _ in replies.values())
+            self.tally.writes_partial += any(m is not SubRequestState.DONE for m, _ in replies.values())
         self.places[order.dependency].call(
             self.events.now,
             request_of(order.run),
@@ -237,7 +246,7 @@
         }
         for name, trouble in day.troubles.items():
             self.places[name].troubles.append(trouble)
-        self.desk = Desk(plans, seed, self.settings.classes)
+        self.desk = CompositionEngine(plans, seed, self.settings.classes)
         self.desk.judge = judge_for(policy, self.desk.judge, self.places)
         self.runs = ModelRuns(events, self.service, self.desk, self.places, self.tally)
         self.service.ports.workers, self.runs.presses = self.runs, policy == "budgets"
@@ -318,7 +327,7 @@
             tally.by_second[int(begun - self.origin)] += worth
 
 
-def office_plans(settings: Settings, addresses: dict[str, str] | None = None) -> Plans:
+def office_plans(settings: Settings, addresses: dict[str, str] | None = None) -> CompositionSpec:
     raw = offices.tables(addresses)
     plans = read_plans({k: raw[k] for k in ("dependency", "plan")}, [u["name"] for u in raw["upstream"]])
     check_classes(plans, settings.classes)
@@ -395,11 +404,11 @@
     The processor time is that of the whole loop, so it is the desk's and a little more.
     """
     settings = read_settings(FieldReader(offices.SETTINGS, "settings"))
-    desk, rng = Desk(office_plans(settings), seed, settings.classes), random.Random(seed)
+    desk, rng = CompositionEngine(office_plans(settings), seed, settings.classes), random.Random(seed)
     replies, number, sent = list[tuple[float, int, bytes]](), itertools.count(), 0
     peaks, begun, now = list[int](), time.process_time(), 1_000.0
     kinds = rng.choices(offices.CLASSES, offices.MIX, k=1000)
-    orders: list[Order] = []
+    orders: list[CompositionAction] = []
     for n in range(runs):
         now += 1 / RATE
         while replies and replies[0][0] <= now:
@@ -408,7 +417,7 @@
         orders += desk.tick(now)
         orders += desk.start(now, b"%016x" % n, kinds[n % 1000], "", b'{"n":1}', now + 1, now + 2)
         for order in orders:
-            if isinstance(order, Send):
+            if isinstance(order, SendCall):
                 sent += 1
                 took = offices.PLACES[order.dependency].median * (0.5 + rng.random())
                 heapq.heappush(replies, (now + took, next(number), order.ident))
--- a/saltcart/lab/sketches.py
+++ b/saltcart/lab/sketches.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from saltcart.composition.quantile_sketch import Quantiles
+from saltcart.composition.quantile_sketch import QuantileSketch
 
 LEVELS = (0.1, 0.5, 0.95)
 WINDOW = 1000
@@ -76,7 +76,10 @@
     halves = draws[: count // 2], draws[count // 2 :]
     true = [[float(np.quantile(part, q)) for q in LEVELS] for part in halves]
     values = draws.tolist()
-    kinds: dict[str, Callable[[], Sketch]] = {"sketch": lambda: Quantiles(LEVELS), "window": SortedWindow}
+    kinds: dict[str, Callable[[], Sketch]] = {
+        "sketch": lambda: QuantileSketch(LEVELS),
+        "window": SortedWindow,
+    }
     rows, figures = [["", "bytes", "error", "us/value"]], dict[str, Any]()
     for name, make in kinds.items():
         error, cost = play(make, values, true)
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -9,9 +9,15 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from saltcart.composition.composed_run import Ended, GiveUp, Order, Orders, Send
-from saltcart.composition.composition_engine import Desk
-from saltcart.composition.plan import Dependency, Plans
+from saltcart.composition.composed_run import (
+    ActionQueue,
+    CancelCall,
+    CompositionAction,
+    CompositionFinished,
+    SendCall,
+)
+from saltcart.composition.composition_engine import CompositionEngine
+from saltcart.composition.plan import CompositionSpec, DependencySpec
 from saltcart.core.ports import Log, WorkerPoolEvents
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
@@ -22,7 +28,7 @@
 class IndexLines:
     """A dependency that speaks the index's lines; tells the composer how its calls end."""
 
-    def __init__(self, spec: Dependency, told: Callable[[bytes, Outcome, bytes], None], log: Log) -> None:
+    def __init__(self, spec: DependencySpec, told: Callable[[bytes, Outcome, bytes], None], log: Log) -> None:
         assert spec.address is not None
         self.client, self.told = IndexClient(spec.address, self, log, spec.most), told
 
@@ -35,7 +41,7 @@
 
     def __init__(
         self,
-        plans: Plans,
+        plans: CompositionSpec,
         classes: Iterable[ClassSpec],
         upstreams: Upstreams,
         events: WorkerPoolEvents,
@@ -45,13 +51,13 @@
         held: Callable[[], int],
         usable: Callable[[float, float], tuple[float, float]],
     ) -> None:
-        self.desk, self.held, self.usable = Desk(plans, seed, classes), held, usable
+        self.desk, self.held, self.usable = CompositionEngine(plans, seed, classes), held, usable
         self.upstreams, self.events, self.log, self.clock = upstreams, events, log, clock
         self.specs = {d.name: d for d in plans.dependency}
         self.lines = {d.name: IndexLines(d, self._told, log) for d in plans.dependency if d.kind == "index"}
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
-        self.now, self.orders = clock(), Orders(self._order)
+        self.now, self.orders = clock(), ActionQueue(self._order)
 
     def _time(self) -> float:
         self.now = max(self.now, self.clock())  # a clock that is set back must not turn back what was decided
@@ -118,25 +124,25 @@
 
     # ---- orders -------------------------------------------------------------------------------
 
-    def _carry_out(self, orders: list[Order]) -> None:
+    def _carry_out(self, orders: list[CompositionAction]) -> None:
         self.orders(orders)
         self._arm()
 
-    def _order(self, order: Order) -> None:
+    def _order(self, order: CompositionAction) -> None:
         match order:
-            case Send():
+            case SendCall():
                 self._send(order)
-            case GiveUp():
+            case CancelCall():
                 if order.dependency in self.lines:
                     self.lines[order.dependency].client.give_up(order.ident)
                 else:
                     self.upstreams.give_up(order.ident)
-            case Ended():
+            case CompositionFinished():
                 self.events.run_finished(
                     order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
                 )
 
-    def _send(self, order: Send) -> None:
+    def _send(self, order: SendCall) -> None:
         spec = self.specs[order.dependency]
         if spec.kind == "index":
             self.lines[spec.name].client.call(order.ident, order.within, order.body, order.once)
--- a/tests/test_composition_engine.py
+++ b/tests/test_composition_engine.py
@@ -9,9 +9,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltcart.composition.composed_run import Ended, GiveUp, Order, Orders, Send
-from saltcart.composition.composition_engine import MOST_TRIES, Desk
-from saltcart.composition.overload_protection import Circuit
+from saltcart.composition.composed_run import (
+    ActionQueue,
+    CancelCall,
+    CompositionAction,
+    CompositionFinished,
+    SendCall,
+)
+from saltcart.composition.composition_engine import MOST_TRIES, CompositionEngine
+from saltcart.composition.overload_protection import CircuitState
 from saltcart.composition.plan import check_classes, read_plans
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec, Effect
@@ -25,7 +31,7 @@
 OK, ERROR, REJECTED, TIMEOUT = Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED, Outcome.TIMED_OUT
 
 
-def desk(**dependencies: dict[str, Any]) -> Desk:
+def desk(**dependencies: dict[str, Any]) -> CompositionEngine:
     named = {
         name: {"name": name, "upstream": "u", **dependencies.get(name, {})}
         for name in ("must", "may", "spare", "write", *dependencies)
@@ -52,7 +58,7 @@
     }
     plans = read_plans(raw, ["u"])
     check_classes(plans, CLASSES)
-    return Desk(plans, 1, CLASSES)
+    return CompositionEngine(plans, 1, CLASSES)
 
 
 class Table:
@@ -60,23 +66,23 @@
 
     def __init__(self, **dependencies: dict[str, Any]) -> None:
         self.desk, self.now = desk(**dependencies), 100.0
-        self.sent, self.ended = list[Send](), dict[bytes, Ended]()
+        self.sent, self.ended = list[SendCall](), dict[bytes, CompositionFinished]()
         self.given_up = set[bytes]()
         self.acts: dict[str, tuple[float, Outcome] | None] = {}
         self.coming: list[tuple[float, bytes, Outcome]] = []
-        self.orders = Orders(self.carry_out)
+        self.orders = ActionQueue(self.carry_out)
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: CompositionAction) -> None:
         match order:
-            case Send():
+            case SendCall():
                 self.sent.append(order)
                 act = self.acts.get(order.dependency, (0.02, OK))
                 if act is not None:
                     self.coming.append((self.now + act[0], order.ident, act[1]))
-            case GiveUp():
+            case CancelCall():
                 assert order.ident in {s.ident for s in self.sent}  # never before it is sent
                 self.given_up.add(order.ident)
-            case Ended():
+            case CompositionFinished():
                 assert order.ident not in self.ended
                 self.ended[order.ident] = order
 
@@ -97,7 +103,7 @@
             self.orders(self.desk.tick(self.now))
         self.now = then
 
-    def play(self, klass: str = "read", **more: Any) -> Ended:
+    def play(self, klass: str = "read", **more: Any) -> CompositionFinished:
         ident = self.start(klass, **more)
         for _ in range(600):  # in small steps, so that the evidence is not old when the next one starts
             if ident in self.ended:
@@ -233,7 +239,7 @@
         table.start()
         table.until(table.now + 0.05)
     circuit = table.desk.dependencies["may"].breaker
-    assert circuit.state is Circuit.OPEN
+    assert circuit.state is CircuitState.OPEN
     before = len(table.sent)
     ident = table.start()
     assert [s.dependency for s in table.sent[before:]] == ["must"]
@@ -241,7 +247,7 @@
     table.until(circuit.until + 0.01)
     for _ in range(6):
         table.play()
-    assert circuit.state is not Circuit.OPEN and table.play().left_out == () and ident in table.ended
+    assert circuit.state is not CircuitState.OPEN and table.play().left_out == () and ident in table.ended
 
 
 def test_a_silent_dependency_with_a_fallback_costs_its_usual_time_and_no_more() -> None:
@@ -279,7 +285,7 @@
         "dependency": [{"name": "a", "upstream": "u"}],
         "plan": [{"class": "read", "stage": [{"call": [{"dependency": "a", "hedge": True}]}]}],
     }
-    table.desk = Desk(read_plans(raw, ["u"]), 1, CLASSES)
+    table.desk = CompositionEngine(read_plans(raw, ["u"]), 1, CLASSES)
     for _ in range(40):
         table.play()
     table.acts["a"] = None
@@ -334,13 +340,13 @@
 def test_orders_given_while_one_is_carried_out_wait_for_those_before_them() -> None:
     done = list[bytes]()
 
-    def carry_out(order: Order) -> None:
+    def carry_out(order: CompositionAction) -> None:
         done.append(order.ident)
         if order.ident == b"1":
-            orders([GiveUp(b"2", "a")])  # what the first one leads to comes after the second is sent
+            orders([CancelCall(b"2", "a")])  # what the first one leads to comes after the second is sent
 
-    orders = Orders(carry_out)
-    orders([Send(b"1", b"r", "a", "", b"", 1.0, False), Send(b"2", b"r", "a", "", b"", 1.0, False)])
+    orders = ActionQueue(carry_out)
+    orders([SendCall(b"1", b"r", "a", "", b"", 1.0, False), SendCall(b"2", b"r", "a", "", b"", 1.0, False)])
     assert done == [b"1", b"2", b"2"]
 
 
--- a/tests/test_composition_parts.py
+++ b/tests/test_composition_parts.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltcart.composition.overload_protection import Allowance, Breaker, Circuit, Limit
+from saltcart.composition.overload_protection import CallLimit, CircuitBreaker, CircuitState, RetryBudget
 from saltcart.composition.plan import PlanError, check_classes, read_plans
-from saltcart.composition.quantile_sketch import Quantiles
-from saltcart.composition.stale_cache import OVERHEAD, LastGood
-from saltcart.composition.time_shares import Need, side_by_side, split
+from saltcart.composition.quantile_sketch import QuantileSketch
+from saltcart.composition.stale_cache import OVERHEAD, StaleCache
+from saltcart.composition.time_shares import TimeNeeded, side_by_side, split
 from saltcart.decision.settings import ClassSpec, Effect
 
 SECONDS = st.floats(1e-3, 30.0)
@@ -24,7 +24,7 @@
 
 @given(st.lists(SECONDS, min_size=5, max_size=200))
 def test_quantiles_are_right_to_the_stated_error(values: list[float]) -> None:
-    sketch = Quantiles((0.1, 0.5, 0.95), half_life=1e9)
+    sketch = QuantileSketch((0.1, 0.5, 0.95), half_life=1e9)
     for value in values:
         sketch.add(0.0, value)
     ordered = sorted(values)
@@ -35,7 +35,7 @@
 
 
 def test_calls_that_were_cut_off_are_not_left_out_of_the_estimate() -> None:
-    sketch, survivors = Quantiles((0.5, 0.95)), Quantiles((0.5, 0.95))
+    sketch, survivors = QuantileSketch((0.5, 0.95)), QuantileSketch((0.5, 0.95))
     for n in range(200):
         took = 0.05 if n % 2 else 0.9  # half are slow, and given up after 0.2 s
         if took < 0.2:
@@ -46,14 +46,14 @@
 
 
 def test_calls_that_were_all_cut_off_early_do_not_pass_for_silence() -> None:
-    sketch = Quantiles((0.1, 0.5, 0.95))
+    sketch = QuantileSketch((0.1, 0.5, 0.95))
     for _ in range(50):
         sketch.add(0.0, 0.002, cut=True)  # overtaken by another attempt
     assert sketch.at_levels()[0] == pytest.approx(0.002, rel=0.06) and sketch.at_levels()[1:] == (inf, inf)
 
 
 def test_a_sketch_ages_and_outlives_any_rest() -> None:
-    sketch = Quantiles((0.5,), half_life=8.0)
+    sketch = QuantileSketch((0.5,), half_life=8.0)
     for start in (1.8e9, 1.8e9 + 30 * 86_400):  # Unix time, then after a month in which nothing came
         for n in range(100):
             sketch.add(start + n * 0.01, 0.1)
@@ -65,7 +65,7 @@
 
 
 def test_a_sketch_does_not_grow() -> None:
-    sketch, rng = Quantiles(), random.Random(1)
+    sketch, rng = QuantileSketch(), random.Random(1)
     size = len(sketch.ended)
     for n in range(20_000):
         sketch.add(n * 0.01, rng.expovariate(2), cut=rng.random() < 0.1)
@@ -74,12 +74,12 @@
 
 # ---- the arithmetic of time -------------------------------------------------------------------
 
-NEEDS = st.tuples(*[st.floats(0.0, 5.0)] * 3).map(lambda t: Need(*sorted(t)))
+NEEDS = st.tuples(*[st.floats(0.0, 5.0)] * 3).map(lambda t: TimeNeeded(*sorted(t)))
 
 
 @settings(max_examples=300)
 @given(st.floats(-1.0, 10.0), NEEDS, st.lists(NEEDS, max_size=5))
-def test_shares_add_up_and_are_never_negative(left: float, now: Need, later: list[Need]) -> None:
+def test_shares_add_up_and_are_never_negative(left: float, now: TimeNeeded, later: list[TimeNeeded]) -> None:
     shares = split(left, now, later)
     lucky = sum(n.lucky for n in (now, *later))
     if shares is None:
@@ -93,23 +93,29 @@
 
 
 def test_needs_that_cannot_be_told_still_leave_the_lucky_part() -> None:
-    shares = split(1.0, Need(0.1, 0.2, 0.3), [Need(0.2, inf, inf)])
+    shares = split(1.0, TimeNeeded(0.1, 0.2, 0.3), [TimeNeeded(0.2, inf, inf)])
     assert shares is not None and shares == pytest.approx([0.8, 0.2])
-    assert split(0.25, Need(0.1, 0.2, 0.3), [Need(0.2, inf, inf)]) is None
-    assert side_by_side([Need(1, 5, 6), Need(2, 3, 9)]) == Need(2, 5, 9) and side_by_side([]) == (0, 0, 0)
+    assert split(0.25, TimeNeeded(0.1, 0.2, 0.3), [TimeNeeded(0.2, inf, inf)]) is None
+    assert side_by_side([TimeNeeded(1, 5, 6), TimeNeeded(2, 3, 9)]) == TimeNeeded(2, 5, 9) and side_by_side(
+        []
+    ) == (0, 0, 0)
 
 
 # ---- guards -----------------------------------------------------------------------------------
 
 
 def test_a_breaker_opens_probes_one_at_a_time_and_closes_again() -> None:
-    breaker = Breaker(random.Random(3))
-    for _ in range(int(Breaker.LEAST)):
+    breaker = CircuitBreaker(random.Random(3))
+    for _ in range(int(CircuitBreaker.LEAST)):
         assert breaker.allows(0.0) and not breaker.begun()
         breaker.ended(0.0, False, False)
     assert breaker.state.value == "open" and not breaker.allows(0.1)
-    assert Breaker.FIRST * (1 - Breaker.SPREAD) <= breaker.until <= Breaker.FIRST * (1 + Breaker.SPREAD)
-    for n in range(Breaker.PROBES):
+    assert (
+        CircuitBreaker.FIRST * (1 - CircuitBreaker.SPREAD)
+        <= breaker.until
+        <= CircuitBreaker.FIRST * (1 + CircuitBreaker.SPREAD)
+    )
+    for n in range(CircuitBreaker.PROBES):
         at = breaker.until + n
         assert breaker.allows(at) and breaker.begun()
         assert not breaker.allows(at)  # one at a time
@@ -120,7 +126,7 @@
 def test_breakers_of_a_fleet_do_not_probe_in_step() -> None:
     ends = set[float]()
     for seed in range(20):
-        breaker = Breaker(random.Random(seed))
+        breaker = CircuitBreaker(random.Random(seed))
         for _ in range(10):
             breaker.ended(0.0, False, False)
         ends.add(round(breaker.until, 3))
@@ -129,12 +135,12 @@
 
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.booleans(), st.booleans()), max_size=150), st.integers(0, 99))
 def test_a_breaker_never_loses_a_probe(steps: list[tuple[float, bool, bool]], seed: int) -> None:
-    breaker, now, out = Breaker(random.Random(seed)), 0.0, list[bool]()
+    breaker, now, out = CircuitBreaker(random.Random(seed)), 0.0, list[bool]()
     for gap, ok, dropped in steps:
         now += gap
         if breaker.allows(now):
             out.append(breaker.begun())
-        assert sum(out) <= 1 or breaker.state is not Circuit.HALF_OPEN
+        assert sum(out) <= 1 or breaker.state is not CircuitState.HALF_OPEN
         if out and (dropped or len(out) > 3):
             probe = out.pop(0)
             if dropped and not ok:
@@ -142,8 +148,8 @@
             else:
                 breaker.ended(now, ok, probe)
         assert breaker.probing >= 0
-        if breaker.state is Circuit.OPEN:
-            assert breaker.until - now <= Breaker.LONGEST * (1 + Breaker.SPREAD)
+        if breaker.state is CircuitState.OPEN:
+            assert breaker.until - now <= CircuitBreaker.LONGEST * (1 + CircuitBreaker.SPREAD)
     now += 10
     for probe in out:
         breaker.dropped(probe)
@@ -151,10 +157,10 @@
 
 
 def test_a_limit_backs_off_once_for_a_burst_of_losses_and_grows_in_use() -> None:
-    limit = Limit(2, 64)
+    limit = CallLimit(2, 64)
     for _ in range(10):
         limit.ended(5.0, True, 0.2)
-    assert limit.value == pytest.approx(16 * Limit.CUT)
+    assert limit.value == pytest.approx(16 * CallLimit.CUT)
     idle = limit.value
     limit.ended(6.0, False, 0.2)
     assert limit.value == idle  # not in use: a success proves nothing
@@ -169,28 +175,28 @@
 
 @given(st.floats(0, 0.5), st.lists(st.booleans(), max_size=400))
 def test_further_attempts_stay_a_share_of_first_ones(share: float, firsts: list[bool]) -> None:
-    allowance, first, further = Allowance(share), 0, 0
+    allowance, first, further = RetryBudget(share), 0, 0
     for is_first in firsts:
         if is_first:
             allowance.first()
             first += 1
         elif allowance.take():
             further += 1
-    assert further <= share * first + (Allowance.BURST if share else 0) + 1e-6
+    assert further <= share * first + (RetryBudget.BURST if share else 0) + 1e-6
 
 
 # ---- last good answers ------------------------------------------------------------------------
 
 
 def test_last_good_answers_are_a_tenants_own_age_and_are_bounded() -> None:
-    kept = LastGood(3, 100.0)
-    key = LastGood.key("tarifa", b"sent")
+    kept = StaleCache(3, 100.0)
+    key = StaleCache.key("tarifa", b"sent")
     kept.put(10.0, "a", key, b"old")
     assert kept.get(15.0, "a", key, 5.0) == b"old" and kept.get(15.1, "a", key, 5.0) is None
     assert kept.get(11.0, "b", key, 5.0) is None  # no tenant is told what another was
-    assert LastGood.key("kvote", b"sent") != key
+    assert StaleCache.key("kvote", b"sent") != key
     for n in range(5):
-        kept.put(20.0, "a", LastGood.key("tarifa", b"%d" % n), b"x")
+        kept.put(20.0, "a", StaleCache.key("tarifa", b"%d" % n), b"x")
     assert kept.count == 3 and kept.bytes == 3 * (1 + OVERHEAD)
     kept.forget("a")
     assert (kept.count, kept.bytes, kept.held, kept.by_tenant) == (0, 0, {}, {})
@@ -198,7 +204,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 9), st.integers(0, 900)), max_size=120))
 def test_one_tenants_answers_do_not_push_out_a_smaller_tenants(puts: list[tuple[str, int, int]]) -> None:
-    kept = LastGood(1000, 4.0)
+    kept = StaleCache(1000, 4.0)
     for n, (tenant, key, size) in enumerate(puts):
         kept.put(float(n), tenant, b"%d" % key, bytes(size))
         assert kept.bytes <= 4096 and kept.bytes == sum(kept.held.values())
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -17,7 +17,7 @@
 import pytest
 
 from saltcart.admin.registry import Registry
-from saltcart.composition.dependency_state import ENDED
+from saltcart.composition.dependency_state import OUTCOME_COUNTERS
 from saltcart.core.idempotency_keys import KeyRecord, digest
 from saltcart.core.request import RequestPhase as RequestState
 from saltcart.decision.events import PredecessorLoad
@@ -201,7 +201,7 @@
     ],
 )
 def test_the_outcomes_of_calls_are_counted_under_the_names_of_before(outcome: Outcome, shown: str) -> None:
-    assert ENDED[outcome] == shown
+    assert OUTCOME_COUNTERS[outcome] == shown
 
 
 def test_the_states_of_requests_are_shown_under_the_names_of_before() -> None:
