--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -145,7 +145,7 @@
         return 200, out
 
     def dependencies(self) -> Reply:
-        return 200, {} if self.composer is None else self.composer.desk.state(
+        return 200, {} if self.composer is None else self.composer.engine.state(
             self.service.clock.read_seconds()
         )
 
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -160,7 +160,7 @@
                 self.deployment, service, self.upstreams, Path(admin.state) if admin.state else None
             )
             if self.composer is not None:
-                registry.forget = self.composer.desk.last_good.forget
+                registry.forget = self.composer.engine.stale_cache.remove_tenant
             api = Api(
                 service,
                 registry,
@@ -250,7 +250,7 @@
             service.loop.held_count,
             service.loop.usable_time,
         )
-        service.composed_classes = frozenset(self.composer.desk.plans)
+        service.composed_classes = frozenset(self.composer.engine.plans)
         service.figure_sources.append(self.composer.figures)
 
     async def _open_fronts(self, most: int) -> None:
@@ -299,7 +299,7 @@
             self.gossip.leave()
         within = max(0.0, self.conf.stop_after - ago)
         if self.composer is not None:
-            self.composer.hasten(within - STOP_MARGIN)
+            self.composer.shorten_deadlines(within - STOP_MARGIN)
         if self.takeover is None or not self.takeover.retire(within, done):
             self.service.start_drain(within, ago)
 
--- a/saltcart/composition/composed_run.py
+++ b/saltcart/composition/composed_run.py
@@ -16,31 +16,51 @@
     """How far one call of a plan has come."""
 
     WAITING = "waits for a place"
-    OUT = "an attempt is under way"
-    DONE = "answered"
-    REMEMBERED = "a last good answer stands in"
-    LEFT_OUT = "left out"
-    LOST = "required, and not to be had"
+    IN_FLIGHT = "an attempt is under way"
+    ANSWERED = "answered"
+    CACHED = "a last good answer stands in"
+    SKIPPED = "left out"
+    FAILED = "required, and not to be had"
 
 
-OPEN = (SubRequestState.WAITING, SubRequestState.OUT)
+OPEN = (SubRequestState.WAITING, SubRequestState.IN_FLIGHT)
 
 
 class CallAttempt:
     """One call that was sent, until its reply or its being given up."""
 
-    __slots__ = ("begun", "dependency", "fair", "further", "ident", "part", "probe", "slow_at")
+    __slots__ = (
+        "call_id",
+        "dependency_name",
+        "has_typical_time",
+        "hedge_at",
+        "is_additional",
+        "is_probe",
+        "started_at",
+        "sub_request",
+    )
 
     def __init__(
-        self, ident: bytes, part: SubRequest, dependency: str, begun: float, further: bool, fair: bool
+        self,
+        call_id: bytes,
+        sub_request: SubRequest,
+        dependency_name: str,
+        started_at: float,
+        is_additional: bool,
+        has_typical_time: bool,
     ) -> None:
-        self.ident, self.part, self.dependency, self.begun = ident, part, dependency, begun
-        self.further, self.fair, self.probe = further, fair, False
-        self.slow_at = inf  # when a second attempt begins beside it, if there is one to make
-
-    def slow(self, now: float) -> bool:
+        self.call_id, self.sub_request, self.dependency_name, self.started_at = (
+            call_id,
+            sub_request,
+            dependency_name,
+            started_at,
+        )
+        self.is_additional, self.has_typical_time, self.is_probe = is_additional, has_typical_time, False
+        self.hedge_at = inf  # when a second attempt begins beside it, if there is one to make
+
+    def is_slow(self, now: float) -> bool:
         """Has it been out for longer than nearly all calls are?"""
-        return now >= self.slow_at
+        return now >= self.hedge_at
 
 
 class SubRequest:
@@ -48,56 +68,63 @@
 
     __slots__ = (
         "attempts",
-        "beside",
+        "attempts_sent",
         "body",
-        "call",
-        "dependency",
-        "mark",
-        "passed",
+        "deadline",
+        "dependency_name",
+        "is_hedged",
         "reply",
         "run",
-        "sent",
-        "until",
+        "spec",
+        "state",
+        "tried_dependencies",
     )
 
-    def __init__(self, run: ComposedRun, call: CallSpec, until: float, body: bytes) -> None:
-        self.run, self.call, self.until = run, call, until
+    def __init__(self, run: ComposedRun, spec: CallSpec, deadline: float, body: bytes) -> None:
+        self.run, self.spec, self.deadline = run, spec, deadline
         self.body = body  # what every attempt sends, and what a last good answer is known by
-        self.dependency = call.dependency  # or the one that it has fallen back to
-        self.passed = {call.dependency}
-        self.mark, self.reply, self.sent = SubRequestState.WAITING, b"", 0
+        self.dependency_name = spec.dependency  # or the one that it has fallen back to
+        self.tried_dependencies = {spec.dependency}
+        self.state, self.reply, self.attempts_sent = SubRequestState.WAITING, b"", 0
         self.attempts: list[CallAttempt] = []
-        self.beside = False  # a second attempt was begun beside a slow first one
+        self.is_hedged = False  # a second attempt was begun beside a slow first one
 
 
 class ComposedRun:
     """A request whose answer is being composed.  Times are those of the clock that the desk is given."""
 
     __slots__ = (
-        "aim_at",
         "body",
-        "due_at",
-        "ident",
-        "over",
-        "parts",
+        "deadline",
+        "is_finished",
+        "is_starting_stage",
+        "next_stage",
+        "objective_at",
         "plan",
         "replies",
-        "stage",
-        "started",
-        "starting",
+        "request_id",
+        "started_at",
+        "sub_requests",
         "tenant",
     )
 
     def __init__(
-        self, ident: bytes, plan: PlanSpec, tenant: str, body: bytes, now: float, aim_at: float, due_at: float
+        self,
+        request_id: bytes,
+        plan: PlanSpec,
+        tenant: str,
+        body: bytes,
+        now: float,
+        objective_at: float,
+        deadline: float,
     ) -> None:
-        self.ident, self.plan, self.tenant, self.body = ident, plan, tenant, body
-        self.started, self.aim_at, self.due_at = now, aim_at, due_at
-        self.stage, self.parts = 0, list[SubRequest]()
+        self.request_id, self.plan, self.tenant, self.body = request_id, plan, tenant, body
+        self.started_at, self.objective_at, self.deadline = now, objective_at, deadline
+        self.next_stage, self.sub_requests = 0, list[SubRequest]()
         self.replies: dict[str, tuple[SubRequestState, bytes]] = {}  # of the stages that are over
-        self.starting = self.over = False
+        self.is_starting_stage = self.is_finished = False
 
-    def named(self, mark: SubRequestState) -> tuple[str, ...]:
+    def dependencies_in_state(self, mark: SubRequestState) -> tuple[str, ...]:
         """Dependencies that ended so."""
         return tuple(name for name, (found, _) in self.replies.items() if found is mark)
 
@@ -105,31 +132,31 @@
 class SendCall(NamedTuple):
     """Make a call.  ``once``: it must never be sent a second time; ``within``: seconds for its reply."""
 
-    ident: bytes
-    run: bytes  # the run that it is made for
+    id: bytes
+    request_id: bytes  # the run that it is made for
     dependency: str
     tenant: str
     body: bytes
-    within: float
-    once: bool
+    timeout: float
+    must_run_once: bool
 
 
 class CancelCall(NamedTuple):
     """Nobody waits for this call's reply any more."""
 
-    ident: bytes
+    id: bytes
     dependency: str
 
 
 class CompositionFinished(NamedTuple):
     """A composed run is over; NOT_STARTED: nothing with an effect was started."""
 
-    ident: bytes
+    id: bytes
     outcome: Outcome
-    took: float
+    seconds: float
     body: bytes = b""
-    left_out: tuple[str, ...] = ()
-    remembered: tuple[str, ...] = ()
+    skipped_dependencies: tuple[str, ...] = ()
+    cached_dependencies: tuple[str, ...] = ()
 
 
 CompositionAction = SendCall | CancelCall | CompositionFinished
--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -43,14 +43,14 @@
 
     def __init__(self, plans: CompositionSpec, seed: int, classes: Iterable[ClassSpec]) -> None:
         rng = random.Random(seed)
-        self.plans: dict[str, PlanSpec] = {p.klass: p for p in plans.plan}
+        self.plans: dict[str, PlanSpec] = {p.class_name: p for p in plans.plan}
         self.dependencies = {
             d.name: DependencyState(d, random.Random(rng.random())) for d in plans.dependency
         }
-        self.last_good = StaleCache(plans.memory.entries, plans.memory.kb)
+        self.stale_cache = StaleCache(plans.memory.entries, plans.memory.kb)
         self.worth = {c.name: c.priority_weight for c in classes}
         late = {c.name for c in classes if c.late_weight_share > 0}
-        self.judge = TimeoutPolicy(self.dependencies.__getitem__, rng, late.__contains__)
+        self.timeout_policy = TimeoutPolicy(self.dependencies.__getitem__, rng, late.__contains__)
         self.earns = SlotValue()
         self.runs: dict[bytes, ComposedRun] = {}
         self.attempts: dict[bytes, CallAttempt] = {}
@@ -72,41 +72,43 @@
         self._go_on(now, run)
         return self._take()
 
-    def reply(self, now: float, ident: bytes, outcome: Outcome, body: bytes = b"") -> list[CompositionAction]:
+    def call_finished(
+        self, now: float, ident: bytes, outcome: Outcome, body: bytes = b""
+    ) -> list[CompositionAction]:
         """An attempt is over.  One that nobody waits for any more changes nothing."""
         attempt = self.attempts.pop(ident, None)
         if attempt is not None:
-            part, dependency = attempt.part, self.dependencies[attempt.dependency]
+            part, dependency = attempt.sub_request, self.dependencies[attempt.dependency_name]
             part.attempts.remove(attempt)
-            if outcome in BROKEN_OFF and now >= part.until - AT_LIMIT:
+            if outcome in BROKEN_OFF and now >= part.deadline - AT_LIMIT:
                 outcome = Outcome.TIMED_OUT  # the host's own clock for the call ran out a little before ours
-            dependency.ended(now, attempt, outcome)
+            dependency.record_end(now, attempt, outcome)
             if outcome is Outcome.SUCCEEDED:
-                self._answered(now, part, attempt.dependency, body)
+                self._answered(now, part, attempt.dependency_name, body)
             else:
                 self._failed(now, part, attempt, outcome)
             self._let_in(now, dependency)
         return self._take()
 
-    def stop(self, now: float, ident: bytes) -> list[CompositionAction]:
+    def cancel(self, now: float, ident: bytes) -> list[CompositionAction]:
         """Nobody wants this run's answer any more."""
         run = self.runs.get(ident)
         if run is not None:
             self._end(now, run, Outcome.CANCELLED)
         return self._take()
 
-    def hasten(self, now: float, by: float) -> list[CompositionAction]:
+    def shorten_deadlines(self, now: float, by: float) -> list[CompositionAction]:
         """Everything has to be over by then: runs under way make do with what time there is."""
         for run in list(self.runs.values()):
-            run.aim_at, run.due_at = min(run.aim_at, by), min(run.due_at, by)
-            end = run.due_at - run.plan.reserve_ms / 1000
-            for part in run.parts:
-                if part.mark in OPEN and part.until > end:
-                    part.until = end
+            run.objective_at, run.deadline = min(run.objective_at, by), min(run.deadline, by)
+            end = run.deadline - run.plan.reserve_ms / 1000
+            for part in run.sub_requests:
+                if part.state in OPEN and part.deadline > end:
+                    part.deadline = end
                     self._at(end, self._expire, part)
         return self._take()
 
-    def press(self, now: float, held: int) -> list[CompositionAction]:
+    def release_slots(self, now: float, held: int) -> list[CompositionAction]:
         """``held`` requests wait for a slot.
 
         Runs that only wait for what can be left out make room, as far as a slot earns more elsewhere.
@@ -114,30 +116,32 @@
         price = self.earns.rate() * min(1.0, held / CROWD)
         if price > 0:
             for run in list(self.runs.values()):
-                parts = [part for part in run.parts if part.mark in OPEN]
-                if run.over or any(part.call.required for part in parts):
+                parts = [part for part in run.sub_requests if part.state in OPEN]
+                if run.is_finished or any(part.spec.required for part in parts):
                     continue
                 for part in parts:
-                    if part.mark in OPEN and not self._worth_waiting(now, part, price / len(parts)):
+                    if part.state in OPEN and not self._worth_waiting(now, part, price / len(parts)):
                         self.counts["pressed"] += 1
                         self._elsewhere(now, part)
         return self._take()
 
     def _worth_waiting(self, now: float, part: SubRequest, price: float) -> bool:
-        worth = self.worth.get(part.run.plan.klass, 0.0) * part.call.worth
-        dependency = self.dependencies[part.attempts[0].dependency if part.attempts else part.dependency]
-        return self.judge.patience(now, part, dependency, worth, price) > 0
+        worth = self.worth.get(part.run.plan.class_name, 0.0) * part.spec.worth
+        dependency = self.dependencies[
+            part.attempts[0].dependency_name if part.attempts else part.dependency_name
+        ]
+        return self.timeout_policy.seconds_worth_waiting(now, part, dependency, worth, price) > 0
 
     def tick(self, now: float) -> list[CompositionAction]:
         """Run what is due."""
         while self.due and self.due[0][0] <= now:
             _, _, act, part = heapq.heappop(self.due)
-            if part.mark in OPEN:
+            if part.state in OPEN:
                 act(now, part)
         return self._take()
 
-    def next_due(self) -> float | None:
-        while self.due and self.due[0][3].mark not in OPEN:  # settled since: no reason to wake anybody
+    def next_timer_at(self) -> float | None:
+        while self.due and self.due[0][3].state not in OPEN:  # settled since: no reason to wake anybody
             heapq.heappop(self.due)
         return self.due[0][0] if self.due else None
 
@@ -148,52 +152,59 @@
 
     def _go_on(self, now: float, run: ComposedRun) -> None:
         """Begin the next stage, and those after it as long as they are settled at once."""
-        while not run.over:
-            for part in run.parts:
-                run.replies[part.call.dependency] = part.mark, part.reply
-            run.parts = []
-            if run.stage == len(run.plan.stage):
+        while not run.is_finished:
+            for part in run.sub_requests:
+                run.replies[part.spec.dependency] = part.state, part.reply
+            run.sub_requests = []
+            if run.next_stage == len(run.plan.stage):
                 self._finish(now, run)
                 return
-            limits = self.judge.stage(now, run)
+            limits = self.timeout_policy.stage_deadlines(now, run)
             if limits is None:
                 self.counts["unfit"] += 1
                 self._end(now, run, Outcome.FAILED)
                 return
             self._begin_stage(now, run, limits)
-            if any(part.mark in OPEN for part in run.parts):
+            if any(part.state in OPEN for part in run.sub_requests):
                 return
 
     def _begin_stage(self, now: float, run: ComposedRun, limits: StageDeadlines) -> None:
-        calls = optional_last(run.plan.stage[run.stage].call)
-        run.stage += 1
-        run.parts = [
+        calls = optional_last(run.plan.stage[run.next_stage].call)
+        run.next_stage += 1
+        run.sub_requests = [
             SubRequest(run, c, limits.required if c.required else limits.optional, bodies.to_send(run, c))
             for c in calls
         ]
-        run.starting = True
-        for part in run.parts:
-            if run.over:
+        run.is_starting_stage = True
+        for part in run.sub_requests:
+            if run.is_finished:
                 return
             self._begin(now, part)
-        run.starting = False
+        run.is_starting_stage = False
 
     def _settle(self, now: float, part: SubRequest, mark: SubRequestState, reply: bytes = b"") -> None:
         """The one place where a call's fate is decided."""
-        run, part.mark, part.reply = part.run, mark, reply
+        run, part.state, part.reply = part.run, mark, reply
         for attempt in part.attempts:
-            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is SubRequestState.DONE)
+            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is SubRequestState.ANSWERED)
         part.attempts.clear()
-        if mark is SubRequestState.LOST:
+        if mark is SubRequestState.FAILED:
             self._end(now, run, Outcome.FAILED)
-        elif not run.starting and not run.over and not any(p.mark in OPEN for p in run.parts):
+        elif (
+            not run.is_starting_stage
+            and not run.is_finished
+            and not any(p.state in OPEN for p in run.sub_requests)
+        ):
             self._go_on(now, run)
 
     def _finish(self, now: float, run: ComposedRun) -> None:
-        left, remembered = run.named(SubRequestState.LEFT_OUT), run.named(SubRequestState.REMEMBERED)
+        left, remembered = (
+            run.dependencies_in_state(SubRequestState.SKIPPED),
+            run.dependencies_in_state(SubRequestState.CACHED),
+        )
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
-        self.earns.ended(self.worth.get(run.plan.klass, 0.0) * (1 - lost), now - run.started)
+        self.earns.ended(self.worth.get(run.plan.class_name, 0.0) * (1 - lost), now - run.started_at)
         self._end(now, run, Outcome.SUCCEEDED, bodies.answer(run), left, remembered)
 
     def _end(
@@ -206,108 +217,119 @@
         remembered: tuple[str, ...] = (),
     ) -> None:
         """The one place where a run is forgotten."""
-        if run.over:
+        if run.is_finished:
             return
-        run.over = True
-        del self.runs[run.ident]
-        writes = [part for part in run.parts if part.call.write]
-        if outcome is Outcome.FAILED and run.plan.stage[-1].call[0].write and not any(p.sent for p in writes):
+        run.is_finished = True
+        del self.runs[run.request_id]
+        writes = [part for part in run.sub_requests if part.spec.write]
+        if (
+            outcome is Outcome.FAILED
+            and run.plan.stage[-1].call[0].write
+            and not any(p.attempts_sent for p in writes)
+        ):
             outcome = Outcome.NOT_STARTED  # the write was never sent: a further try of the same key may run
-        for part in run.parts:
-            if part.mark in OPEN:
-                part.mark = SubRequestState.LOST
+        for part in run.sub_requests:
+            if part.state in OPEN:
+                part.state = SubRequestState.FAILED
             for attempt in part.attempts:
                 self._drop(now, attempt, Outcome.CANCELLED)
             part.attempts.clear()
-        self.orders.append(CompositionFinished(run.ident, outcome, now - run.started, body, left, remembered))
+        self.orders.append(
+            CompositionFinished(run.request_id, outcome, now - run.started_at, body, left, remembered)
+        )
 
     # ---- one call -----------------------------------------------------------------------------
 
     def _begin(self, now: float, part: SubRequest) -> None:
         """Call the part's dependency now, or when a place is free, or go elsewhere."""
-        dependency = self.dependencies[part.dependency]
-        if not self.judge.fits(now, part, dependency):
+        dependency = self.dependencies[part.dependency_name]
+        if not self.timeout_policy.has_time_for_call(now, part, dependency):
             dependency.counts["unfit"] += 1
             self._elsewhere(now, part)
-        elif not self.judge.guarded or dependency.free(now):
+        elif not self.timeout_policy.enforces_limits or dependency.free(now):
             self._send(now, part, dependency)
-        elif dependency.breaker.allows(now) and len(dependency.waiting) < dependency.spec.waiting:
-            part.mark = SubRequestState.WAITING
+        elif (
+            dependency.circuit_breaker.allows_call(now) and len(dependency.waiting) < dependency.spec.waiting
+        ):
+            part.state = SubRequestState.WAITING
             dependency.waiting.append(part)
-            self._at(part.until, self._expire, part)
+            self._at(part.deadline, self._expire, part)
         else:
             dependency.counts["shut"] += 1
             self._elsewhere(now, part)
 
     def _send(self, now: float, part: SubRequest, dependency: DependencyState, further: bool = False) -> None:
-        room = part.until - now
-        fair = room >= dependency.need(now).typical
+        room = part.deadline - now
+        fair = room >= dependency.time_needed(now).typical
         attempt = CallAttempt(b"%016x" % self.number, part, dependency.spec.name, now, further, fair)
         self.number = (self.number + 1) & MASK
-        dependency.begun(attempt)
-        part.mark, part.sent = SubRequestState.OUT, part.sent + 1
+        dependency.record_start(attempt)
+        part.state, part.attempts_sent = SubRequestState.IN_FLIGHT, part.attempts_sent + 1
         part.attempts.append(attempt)
-        self.attempts[attempt.ident] = attempt
+        self.attempts[attempt.call_id] = attempt
         self.orders.append(
             SendCall(
-                attempt.ident,
-                part.run.ident,
+                attempt.call_id,
+                part.run.request_id,
                 dependency.spec.name,
                 part.run.tenant,
                 part.body,
                 room,
-                part.call.write,
+                part.spec.write,
             )
         )
-        if part.sent == 1:
-            self._at(part.until, self._expire, part)
-        if not part.call.write and not part.beside:
+        if part.attempts_sent == 1:
+            self._at(part.deadline, self._expire, part)
+        if not part.spec.write and not part.is_hedged:
             other = dependency.spec.fallback
-            at = self.judge.beside_at(now, part, dependency, self.dependencies.get(other or ""))
-            if at is not None and at < part.until:
-                attempt.slow_at = at
+            at = self.timeout_policy.hedge_time(now, part, dependency, self.dependencies.get(other or ""))
+            if at is not None and at < part.deadline:
+                attempt.hedge_at = at
                 self._at(at, self._beside, part)
 
     def _beside(self, now: float, part: SubRequest) -> None:
         """The first attempt is slow: send a second one, to the fallback if there is one."""
-        if part.beside or len(part.attempts) != 1:
+        if part.is_hedged or len(part.attempts) != 1:
             return
-        dependency = self.dependencies[part.attempts[0].dependency]
+        dependency = self.dependencies[part.attempts[0].dependency_name]
         other = dependency.spec.fallback
-        if other is not None and other not in part.passed:
+        if other is not None and other not in part.tried_dependencies:
             target = self.dependencies[other]
-            if target.free(now) and self.judge.fits(now, part, target):
-                part.beside = True
-                part.passed.add(other)
+            if target.free(now) and self.timeout_policy.has_time_for_call(now, part, target):
+                part.is_hedged = True
+                part.tried_dependencies.add(other)
                 target.counts["fallback"] += 1
                 self._send(now, part, target)
-        elif part.call.hedge and dependency.free(now) and dependency.allowance.take():
-            part.beside = True
+        elif part.spec.hedge and dependency.free(now) and dependency.retry_budget.take_token():
+            part.is_hedged = True
             dependency.counts["hedge"] += 1
             self._send(now, part, dependency, further=True)
 
     def _answered(self, now: float, part: SubRequest, dependency: str, body: bytes) -> None:
-        if part.call.remember:
-            key = StaleCache.key(part.call.dependency, part.body)
-            self.last_good.put(now, part.run.tenant, key, body)
-        self._settle(now, part, SubRequestState.DONE, body)
+        if part.spec.remember:
+            key = StaleCache.key(part.spec.dependency, part.body)
+            self.stale_cache.put(now, part.run.tenant, key, body)
+        self._settle(now, part, SubRequestState.ANSWERED, body)
 
     def _failed(self, now: float, part: SubRequest, attempt: CallAttempt, outcome: Outcome) -> None:
-        call, never = part.call, outcome in NEVER_RAN
+        call, never = part.spec, outcome in NEVER_RAN
         if call.write and not never:
-            self._settle(now, part, SubRequestState.LOST)  # it may have had its effect: never sent again
+            self._settle(now, part, SubRequestState.FAILED)  # it may have had its effect: never sent again
             return
         if call.write:
-            part.sent -= 1  # proved: no effect
+            part.attempts_sent -= 1  # proved: no effect
         if part.attempts:
             return  # another attempt is under way
-        dependency = self.dependencies[attempt.dependency]
-        part.dependency = attempt.dependency
+        dependency = self.dependencies[attempt.dependency_name]
+        part.dependency_name = attempt.dependency_name
         if (
             (call.repeat or never)
-            and part.sent < MOST_TRIES
-            and self.judge.again(now, part, dependency)
-            and (not self.judge.guarded or (dependency.free(now) and dependency.allowance.take()))
+            and part.attempts_sent < MOST_TRIES
+            and self.timeout_policy.has_time_for_retry(now, part, dependency)
+            and (
+                not self.timeout_policy.enforces_limits
+                or (dependency.free(now) and dependency.retry_budget.take_token())
+            )
         ):
             self._send(now, part, dependency, further=True)
         else:
@@ -315,42 +337,44 @@
 
     def _elsewhere(self, now: float, part: SubRequest) -> None:
         """This dependency gives no answer: another, the last good one, or none."""
-        other = self.dependencies[part.dependency].spec.fallback
-        if other is not None and other not in part.passed:
-            part.dependency = other
-            part.passed.add(other)
+        other = self.dependencies[part.dependency_name].spec.fallback
+        if other is not None and other not in part.tried_dependencies:
+            part.dependency_name = other
+            part.tried_dependencies.add(other)
             self.dependencies[other].counts["fallback"] += 1
             self._begin(now, part)
             return
-        call = part.call
+        call = part.spec
         if call.remember:
             key = StaleCache.key(call.dependency, part.body)
-            kept = self.last_good.get(now, part.run.tenant, key, call.remember)
+            kept = self.stale_cache.get(now, part.run.tenant, key, call.remember)
             if kept is not None:
-                self._settle(now, part, SubRequestState.REMEMBERED, kept)
+                self._settle(now, part, SubRequestState.CACHED, kept)
                 return
-        self._settle(now, part, SubRequestState.LOST if call.required else SubRequestState.LEFT_OUT)
+        self._settle(now, part, SubRequestState.FAILED if call.required else SubRequestState.SKIPPED)
 
     def _expire(self, now: float, part: SubRequest) -> None:
         """The part's time is over."""
-        if now < part.until:
+        if now < part.deadline:
             return
         for attempt in part.attempts:
             self._drop(now, attempt, Outcome.TIMED_OUT)
         part.attempts.clear()
-        if part.call.write and part.sent:
-            self._settle(now, part, SubRequestState.LOST)
+        if part.spec.write and part.attempts_sent:
+            self._settle(now, part, SubRequestState.FAILED)
         else:
-            part.passed.update(self.dependencies)  # no time for another
+            part.tried_dependencies.update(self.dependencies)  # no time for another
             self._elsewhere(now, part)
 
     def _drop(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         """Give an attempt up; the caller takes it off its part."""
-        if self.attempts.pop(attempt.ident, None) is None:
+        if self.attempts.pop(attempt.call_id, None) is None:
             return  # its run has ended in the course of this very change
-        dependency = self.dependencies[attempt.dependency]
-        dependency.ended(now, attempt, outcome, overtaken and not attempt.further and attempt.slow(now))
-        self.orders.append(CancelCall(attempt.ident, attempt.dependency))
+        dependency = self.dependencies[attempt.dependency_name]
+        dependency.record_end(
+            now, attempt, outcome, overtaken and not attempt.is_additional and attempt.is_slow(now)
+        )
+        self.orders.append(CancelCall(attempt.call_id, attempt.dependency_name))
         self._let_in(now, dependency)
 
     def _let_in(self, now: float, dependency: DependencyState) -> None:
@@ -358,11 +382,13 @@
 
         Where the breaker has opened none will be: then all that wait go elsewhere at once.
         """
-        while dependency.waiting and (dependency.free(now) or dependency.breaker.state is CircuitState.OPEN):
+        while dependency.waiting and (
+            dependency.free(now) or dependency.circuit_breaker.state is CircuitState.OPEN
+        ):
             part = dependency.waiting.popleft()
-            if part.mark is not SubRequestState.WAITING or part.dependency != dependency.spec.name:
+            if part.state is not SubRequestState.WAITING or part.dependency_name != dependency.spec.name:
                 continue
-            if dependency.free(now) and self.judge.fits(now, part, dependency):
+            if dependency.free(now) and self.timeout_policy.has_time_for_call(now, part, dependency):
                 self._send(now, part, dependency)
             else:
                 self._elsewhere(now, part)
--- a/saltcart/composition/dependency_state.py
+++ b/saltcart/composition/dependency_state.py
@@ -37,67 +37,67 @@
     """Times, limit, breaker and allowance of one dependency, and the calls that wait for a place at it."""
 
     def __init__(self, spec: DependencySpec, rng: random.Random) -> None:
-        self.spec, self.times = spec, QuantileSketch()
-        self.limit, self.breaker = CallLimit(spec.least, spec.most), CircuitBreaker(rng)
-        self.allowance = RetryBudget(spec.attempts)
+        self.spec, self.durations = spec, QuantileSketch()
+        self.limit, self.circuit_breaker = CallLimit(spec.least, spec.most), CircuitBreaker(rng)
+        self.retry_budget = RetryBudget(spec.attempts)
         self.waiting = deque[SubRequest]()
         self.counts = Counter[str]()
         self.looked, self.known = -inf, UNKNOWN
 
-    def need(self, now: float) -> TimeNeeded:
+    def time_needed(self, now: float) -> TimeNeeded:
         """What a call has needed lately, in seconds; worked out anew every so often."""
         if now >= self.looked + LOOK or now < self.looked:
             self.looked = now
-            known = self.times.count(now) >= EVIDENCE
-            self.known = TimeNeeded(*self.times.at_levels()) if known else UNKNOWN
+            known = self.durations.recent_count(now) >= EVIDENCE
+            self.known = TimeNeeded(*self.durations.quantiles()) if known else UNKNOWN
         return self.known
 
     def free(self, now: float) -> bool:
         """May a call go out at once?"""
-        return self.limit.room() and self.breaker.allows(now)
+        return self.limit.has_capacity() and self.circuit_breaker.allows_call(now)
 
-    def begun(self, attempt: CallAttempt) -> None:
-        self.limit.used += 1
-        attempt.probe = self.breaker.begun()
-        self.counts["further" if attempt.further else "first"] += 1
-        if not attempt.further:
-            self.allowance.first()
+    def record_start(self, attempt: CallAttempt) -> None:
+        self.limit.in_flight += 1
+        attempt.is_probe = self.circuit_breaker.record_start()
+        self.counts["further" if attempt.is_additional else "first"] += 1
+        if not attempt.is_additional:
+            self.retry_budget.record_first_attempt()
 
-    def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def record_end(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         """An attempt is over; CANCELLED: it was given up for a reason that is not the dependency's."""
-        self.limit.used -= 1
+        self.limit.in_flight -= 1
         self.counts[OUTCOME_COUNTERS[outcome]] += 1
-        took = max(0.0, now - attempt.begun)
+        took = max(0.0, now - attempt.started_at)
         if outcome is Outcome.CANCELLED:
-            self.times.add(now, took, cut=True)
+            self.durations.add(now, took, censored=True)
             if overtaken:  # another answered first, well past the time that this one should have taken
-                self.breaker.ended(now, False, attempt.probe)
+                self.circuit_breaker.record_result(now, False, attempt.is_probe)
             else:
-                self.breaker.dropped(attempt.probe)
+                self.circuit_breaker.record_cancelled(attempt.is_probe)
             return
         if outcome is Outcome.SUCCEEDED:
-            self.times.add(now, took)
+            self.durations.add(now, took)
         elif outcome in (Outcome.TIMED_OUT, Outcome.BROKEN_OFF):
-            self.times.add(now, took, cut=True)
+            self.durations.add(now, took, censored=True)
         # A call that was given less than a typical one takes says nothing against the dependency.
-        if outcome is Outcome.TIMED_OUT and not attempt.fair:
-            self.breaker.dropped(attempt.probe)
+        if outcome is Outcome.TIMED_OUT and not attempt.has_typical_time:
+            self.circuit_breaker.record_cancelled(attempt.is_probe)
             return
-        self.breaker.ended(now, outcome is Outcome.SUCCEEDED, attempt.probe)
-        self.limit.ended(now, outcome in LOST, min(1.0, self.need(now).lucky))
+        self.circuit_breaker.record_result(now, outcome is Outcome.SUCCEEDED, attempt.is_probe)
+        self.limit.record_result(now, outcome in LOST, min(1.0, self.time_needed(now).lucky))
 
     def state(self, now: float) -> dict[str, float | str]:
         """What operators are shown; times in milliseconds, -1 where it can't be told."""
-        need = self.need(now)
+        need = self.time_needed(now)
         shown = {
             name: round(value * 1000, 1) if value != float("inf") else -1.0
             for name, value in need._asdict().items()
         }
         return {
             **shown,
-            "circuit": self.breaker.state.value,
+            "circuit": self.circuit_breaker.state.value,
             "limit": int(self.limit.value),
-            "used": self.limit.used,
+            "used": self.limit.in_flight,
             "waiting": len(self.waiting),
             **self.counts,
         }
--- a/saltcart/composition/overload_protection.py
+++ b/saltcart/composition/overload_protection.py
@@ -16,23 +16,23 @@
     that is slow for a reason of its own, not for our load, must not lose calls that would still come back.
     """
 
-    CUT, APART = 0.8, 0.1  # what a loss leaves, once in this many seconds at most
+    DECREASE_FACTOR, MIN_DECREASE_INTERVAL = 0.8, 0.1  # what a loss leaves, once in this many seconds at most
 
-    def __init__(self, least: int, most: int, start: int = 16) -> None:
-        self.least, self.most = least, most
-        self.value, self.used, self.cut_at = float(min(most, max(least, start))), 0, -1.0
+    def __init__(self, minimum: int, maximum: int, start: int = 16) -> None:
+        self.minimum, self.maximum = minimum, maximum
+        self.value, self.in_flight, self.next_decrease_at = float(min(maximum, max(minimum, start))), 0, -1.0
 
-    def room(self) -> bool:
-        return self.used < int(self.value)
+    def has_capacity(self) -> bool:
+        return self.in_flight < int(self.value)
 
-    def ended(self, now: float, lost: bool, wait: float) -> None:
+    def record_result(self, now: float, lost: bool, wait: float) -> None:
         """One call is over; ``wait``: a typical call's time, for one loss must not be counted many times."""
         if lost:
-            if now >= self.cut_at:
-                self.value = max(float(self.least), self.value * self.CUT)
-                self.cut_at = now + max(self.APART, wait)
-        elif self.used * 2 >= self.value:  # a limit that is not in use is not tested by a success
-            self.value = min(float(self.most), self.value + 1 / self.value)
+            if now >= self.next_decrease_at:
+                self.value = max(float(self.minimum), self.value * self.DECREASE_FACTOR)
+                self.next_decrease_at = now + max(self.MIN_DECREASE_INTERVAL, wait)
+        elif self.in_flight * 2 >= self.value:  # a limit that is not in use is not tested by a success
+            self.value = min(float(self.maximum), self.value + 1 / self.value)
 
 
 class CircuitState(enum.Enum):
@@ -46,57 +46,74 @@
 class CircuitBreaker:
     """Stops calls to what nearly always fails, and lets single ones out to see whether it is back."""
 
-    SHARE, LEAST, HALF_LIFE = 0.7, 8.0, 1.0  # failures of so many recent calls; seconds
-    FIRST, LONGEST, SPREAD = 0.25, 4.0, 0.3  # seconds open; each fleet member another time
-    PROBES = 2  # successes in a row that close it
+    FAILURE_RATIO, MIN_FAILURES, HALF_LIFE_SECONDS = (
+        0.7,
+        8.0,
+        1.0,
+    )  # failures of so many recent calls; seconds
+    FIRST_OPEN_SECONDS, MAX_OPEN_SECONDS, JITTER = (
+        0.25,
+        4.0,
+        0.3,
+    )  # seconds open; each fleet member another time
+    PROBES_TO_CLOSE = 2  # successes in a row that close it
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.state = rng, CircuitState.CLOSED
-        self.good = self.bad = self.at = 0.0
-        self.until, self.wait, self.probing, self.passed = 0.0, self.FIRST, 0, 0
+        self.successes = self.failures = self.decayed_at = 0.0
+        self.open_until, self.open_seconds, self.probes_in_flight, self.probes_succeeded = (
+            0.0,
+            self.FIRST_OPEN_SECONDS,
+            0,
+            0,
+        )
 
-    def allows(self, now: float) -> bool:
+    def allows_call(self, now: float) -> bool:
         """May a call be made?  One that is made must be told of by ``begun``."""
-        if self.state is CircuitState.OPEN and now >= self.until:
-            self.state, self.probing, self.passed = CircuitState.HALF_OPEN, 0, 0
+        if self.state is CircuitState.OPEN and now >= self.open_until:
+            self.state, self.probes_in_flight, self.probes_succeeded = CircuitState.HALF_OPEN, 0, 0
         return self.state is CircuitState.CLOSED or (
-            self.state is CircuitState.HALF_OPEN and self.probing == 0
+            self.state is CircuitState.HALF_OPEN and self.probes_in_flight == 0
         )
 
-    def begun(self) -> bool:
+    def record_start(self) -> bool:
         """A call is made; True if it is a probe."""
         if self.state is CircuitState.HALF_OPEN:
-            self.probing += 1
+            self.probes_in_flight += 1
             return True
         return False
 
-    def dropped(self, probe: bool) -> None:
+    def record_cancelled(self, probe: bool) -> None:
         """A call was given up for another reason than its time: nothing is known of the dependency."""
         if probe and self.state is CircuitState.HALF_OPEN:
-            self.probing -= 1
-
-    def ended(self, now: float, ok: bool, probe: bool) -> None:
-        fade = 2.0 ** ((self.at - now) / self.HALF_LIFE)
-        self.good, self.bad, self.at = self.good * fade + ok, self.bad * fade + (not ok), now
+            self.probes_in_flight -= 1
+
+    def record_result(self, now: float, ok: bool, probe: bool) -> None:
+        fade = 2.0 ** ((self.decayed_at - now) / self.HALF_LIFE_SECONDS)
+        self.successes, self.failures, self.decayed_at = (
+            self.successes * fade + ok,
+            self.failures * fade + (not ok),
+            now,
+        )
         if self.state is CircuitState.HALF_OPEN and probe:
-            self.probing -= 1
-            self.passed += ok
+            self.probes_in_flight -= 1
+            self.probes_succeeded += ok
             if not ok:
                 self._open(now)
-            elif self.passed >= self.PROBES:
-                self.state, self.wait = CircuitState.CLOSED, self.FIRST
-                self.good = self.bad = 0.0
+            elif self.probes_succeeded >= self.PROBES_TO_CLOSE:
+                self.state, self.open_seconds = CircuitState.CLOSED, self.FIRST_OPEN_SECONDS
+                self.successes = self.failures = 0.0
         elif (
             self.state is CircuitState.CLOSED
-            and self.bad >= self.LEAST
-            and (self.bad >= self.SHARE * (self.good + self.bad))
+            and self.failures >= self.MIN_FAILURES
+            and (self.failures >= self.FAILURE_RATIO * (self.successes + self.failures))
         ):
             self._open(now)
 
     def _open(self, now: float) -> None:
         self.state = CircuitState.OPEN
-        self.until = now + self.wait * (1 + self.SPREAD * (2 * self.rng.random() - 1))
-        self.wait = min(self.LONGEST, 2 * self.wait)
+        self.open_until = now + self.open_seconds * (1 + self.JITTER * (2 * self.rng.random() - 1))
+        self.open_seconds = min(self.MAX_OPEN_SECONDS, 2 * self.open_seconds)
 
 
 class RetryBudget:
@@ -105,13 +122,13 @@
     BURST = 5.0
 
     def __init__(self, share: float) -> None:
-        self.share, self.saved = share, self.BURST if share else 0.0
+        self.share, self.tokens = share, self.BURST if share else 0.0
 
-    def first(self) -> None:
-        self.saved = min(self.BURST, self.saved + self.share)
+    def record_first_attempt(self) -> None:
+        self.tokens = min(self.BURST, self.tokens + self.share)
 
-    def take(self) -> bool:
-        if self.saved < 1:
+    def take_token(self) -> bool:
+        if self.tokens < 1:
             return False
-        self.saved -= 1
+        self.tokens -= 1
         return True
--- a/saltcart/composition/plan.py
+++ b/saltcart/composition/plan.py
@@ -60,10 +60,10 @@
     call: Annotated[list[CallSpec], Meta(min_length=1)]
 
 
-class PlanSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"klass": "class"}):
+class PlanSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"class_name": "class"}):
     """How one class's answers are composed."""
 
-    klass: Name
+    class_name: Name
     stage: Annotated[list[StageSpec], Meta(min_length=1)]
     partial: bool = False  # an answer may leave optional calls out
     answer: Name | None = None  # the dependency whose reply is the answer; without it all of them, as JSON
@@ -99,9 +99,9 @@
     _check_dependencies(plans, set(upstreams))
     seen = set[str]()
     for n, plan in enumerate(plans.plan):
-        if plan.klass in seen:
-            raise PlanError(f"plan[{n}].class: {plan.klass} has a plan already")
-        seen.add(plan.klass)
+        if plan.class_name in seen:
+            raise PlanError(f"plan[{n}].class: {plan.class_name} has a plan already")
+        seen.add(plan.class_name)
         _check_plan(plan, f"plan[{n}]", {d.name for d in plans.dependency})
     return plans
 
@@ -168,17 +168,19 @@
     """What holds of plan and class together: effects are never partial, the write comes last and alone."""
     known = {c.name: c for c in classes}
     for n, plan in enumerate(plans.plan):
-        where, spec = f"plan[{n}]", known.get(plan.klass)
+        where, spec = f"plan[{n}]", known.get(plan.class_name)
         if spec is None:
-            raise PlanError(f"{where}.class: no such class: {plan.klass}")
+            raise PlanError(f"{where}.class: no such class: {plan.class_name}")
         if plan.reserve_ms / 1000 >= spec.latency_objective:
             raise PlanError(f"{where}.reserve_ms: leaves nothing of the aim of {spec.latency_objective} s")
         writes = [(s, c) for s, stage in enumerate(plan.stage) for c in stage.call if c.write]
         if spec.effect is Effect.SAFE:
             if writes:
-                raise PlanError(f"{where}.stage: {plan.klass} has no effects, so it makes no write")
+                raise PlanError(f"{where}.stage: {plan.class_name} has no effects, so it makes no write")
             continue
         if plan.partial:
-            raise PlanError(f"{where}.partial: {plan.klass} has effects and is never partial")
+            raise PlanError(f"{where}.partial: {plan.class_name} has effects and is never partial")
         if len(writes) != 1 or writes[0][0] != len(plan.stage) - 1 or len(plan.stage[-1].call) != 1:
-            raise PlanError(f"{where}.stage: {plan.klass} has effects: one write, alone in the last stage")
+            raise PlanError(
+                f"{where}.stage: {plan.class_name} has effects: one write, alone in the last stage"
+            )
--- a/saltcart/composition/quantile_sketch.py
+++ b/saltcart/composition/quantile_sketch.py
@@ -20,9 +20,9 @@
 
     __slots__ = (
         "cached",
+        "censored",
+        "completed",
         "curve",
-        "cut",
-        "ended",
         "error",
         "first",
         "fresh",
@@ -40,18 +40,18 @@
         self.levels, self.half_life, self.error = levels, half_life, error
         self.log_ratio = log((1 + error) / (1 - error))
         self.size = int(log(HIGH / LOW) / self.log_ratio) + 2
-        self.ended, self.cut = [0.0] * self.size, [0.0] * self.size
+        self.completed, self.censored = [0.0] * self.size, [0.0] * self.size
         self.total, self.since, self.first = 0.0, 0.0, self.size
         self.fresh, self.cached = inf, tuple[float, ...]()
         self.curve: list[tuple[float, float]] = []  # values, and the share of calls that take longer
 
-    def add(self, now: float, value: float, cut: bool = False) -> None:
+    def add(self, now: float, value: float, censored: bool = False) -> None:
         """A value came at ``now``; ``cut``: the true one is longer, by an unknown time."""
         if now - self.since > HEAVY * self.half_life:
             self._scale(now)
         weight: float = 2.0 ** ((now - self.since) / self.half_life)
         at = 0 if value <= LOW else min(self.size - 1, int(log(value / LOW) / self.log_ratio) + 1)
-        (self.cut if cut else self.ended)[at] += weight
+        (self.censored if censored else self.completed)[at] += weight
         self.total += weight
         self.fresh += weight
         self.first = min(self.first, at)
@@ -59,16 +59,16 @@
     def _scale(self, now: float) -> None:
         """Old weights to what they are worth now; after a long rest that is nothing at all."""
         fade = 2.0 ** ((self.since - now) / self.half_life)
-        self.ended = [w * fade for w in self.ended]
-        self.cut = [w * fade for w in self.cut]
+        self.completed = [w * fade for w in self.completed]
+        self.censored = [w * fade for w in self.censored]
         self.total, self.since, self.fresh = self.total * fade, now, inf
 
-    def count(self, now: float) -> float:
+    def recent_count(self, now: float) -> float:
         """How many recent values the evidence amounts to."""
         fade: float = 2.0 ** (min(0.0, self.since - now) / self.half_life)
         return self.total * fade
 
-    def at_levels(self) -> tuple[float, ...]:
+    def quantiles(self) -> tuple[float, ...]:
         """The values at the levels, in seconds; infinite where too much was cut off to tell.
 
         The first is then the longest that any was waited for: it takes that long at least, and more is not
@@ -78,22 +78,22 @@
             self.cached, self.fresh = self._work_out(), 0.0
         return self.cached
 
-    def survival(self) -> list[tuple[float, float]]:
+    def survival_curve(self) -> list[tuple[float, float]]:
         """The curve itself: ascending values in seconds, each with the share of calls that take longer."""
-        self.at_levels()
+        self.quantiles()
         return self.curve
 
     def _work_out(self) -> tuple[float, ...]:
         self.curve, left, alive, longest = [], self.total, 1.0, 0.0
         for at in range(self.first, self.size):
-            ended = self.ended[at]
+            ended = self.completed[at]
             if ended:
                 alive *= max(0.0, 1 - ended / left) if left > 0 else 0.0
                 self.curve.append((self._value(at), alive))
             # Cut at the same length as others ended: it was there until then.
-            if ended or self.cut[at]:
+            if ended or self.censored[at]:
                 longest = self._value(at)
-            left -= ended + self.cut[at]
+            left -= ended + self.censored[at]
             if left <= 1e-12 * self.total:
                 break
         first, *rest = (
--- a/saltcart/composition/time_shares.py
+++ b/saltcart/composition/time_shares.py
@@ -17,7 +17,7 @@
 NOTHING = TimeNeeded(0.0, 0.0, 0.0)
 
 
-def split(left: float, now: TimeNeeded, later: Sequence[TimeNeeded]) -> list[float] | None:
+def split_time(left: float, now: TimeNeeded, later: Sequence[TimeNeeded]) -> list[float] | None:
     """Shares of ``left`` for this stage and each later one, adding up to it; None where they can't fit.
 
     Later stages are kept what nearly all of their runs need; where that is too much for all, all come down
@@ -40,7 +40,7 @@
     return [max(0.0, left - sum(rest)), *rest]
 
 
-def side_by_side(needs: Sequence[TimeNeeded]) -> TimeNeeded:
+def parallel_time_needed(needs: Sequence[TimeNeeded]) -> TimeNeeded:
     """The need of calls that are made together: at each level the longest."""
     if not needs:
         return NOTHING
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -25,18 +25,18 @@
 class Survivors(QuantileSketch):
     """Calls that were cut off are left out."""
 
-    def add(self, now: float, value: float, cut: bool = False) -> None:
-        if not cut:
+    def add(self, now: float, value: float, censored: bool = False) -> None:
+        if not censored:
             super().add(now, value)
 
 
 class NeverOpen(CircuitBreaker):
-    def ended(self, now: float, ok: bool, probe: bool) -> None:
+    def record_result(self, now: float, ok: bool, probe: bool) -> None:
         return
 
 
 class NoSecond(TimeoutPolicy):
-    def beside_at(
+    def hedge_time(
         self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
     ) -> float | None:
         return None
@@ -45,16 +45,16 @@
 class Gradient(DependencyState):
     SMOOTH = 0.1
 
-    def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def record_end(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
         before = self.limit.value
-        super().ended(now, attempt, outcome, overtaken)
-        took, base = max(1e-4, now - attempt.begun), getattr(self, "base", 10.0)
+        super().record_end(now, attempt, outcome, overtaken)
+        took, base = max(1e-4, now - attempt.started_at), getattr(self, "base", 10.0)
         if outcome is Outcome.SUCCEEDED:
             self.base = base = min(base * 1.001, took)
         ratio = max(0.5, min(1.0, 2 * base / took))
         aimed = before * ratio + sqrt(before)
         self.limit.value = max(
-            float(self.limit.least), min(float(self.limit.most), before + self.SMOOTH * (aimed - before))
+            float(self.limit.minimum), min(float(self.limit.maximum), before + self.SMOOTH * (aimed - before))
         )
 
 
@@ -62,15 +62,17 @@
     desk = game.desk
     for name, d in desk.dependencies.items():
         if variant == "survivors":
-            d.times = Survivors()
+            d.durations = Survivors()
         elif variant == "no breaker":
-            d.breaker = NeverOpen(d.breaker.rng)
+            d.circuit_breaker = NeverOpen(d.circuit_breaker.rng)
         elif variant == "gradient":
-            desk.dependencies[name] = Gradient(d.spec, d.breaker.rng)
+            desk.dependencies[name] = Gradient(d.spec, d.circuit_breaker.rng)
     if variant == "no price":
         game.runs.presses = False
     elif variant == "no second":
-        desk.judge = NoSecond(desk.judge.look, desk.judge.rng, desk.judge.late)
+        desk.timeout_policy = NoSecond(
+            desk.timeout_policy.find_dependency, desk.timeout_policy.rng, desk.timeout_policy.earns_when_late
+        )
 
 
 def play(job: tuple[int, str, float, int]) -> float:
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -60,29 +60,29 @@
 class FixedJudge(TimeoutPolicy):
     """Equal time-outs: every stage an equal part of the aim, whatever was needed and is left."""
 
-    guarded = False
+    enforces_limits = False
 
-    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
-        part = (run.aim_at - run.started - run.plan.reserve_ms / 1000) / len(run.plan.stage)
+    def stage_deadlines(self, now: float, run: ComposedRun) -> StageDeadlines | None:
+        part = (run.objective_at - run.started_at - run.plan.reserve_ms / 1000) / len(run.plan.stage)
         return StageDeadlines(now + part, now + part)
 
-    def fits(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
-        return now < part.until
+    def has_time_for_call(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
+        return now < part.deadline
 
-    def beside_at(
+    def hedge_time(
         self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
     ) -> float | None:
         return None
 
-    def again(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
-        return now < part.until
+    def has_time_for_retry(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
+        return now < part.deadline
 
 
 class NoJudge(FixedJudge):
     """No budgets at all: each call is waited for as long as the caller waits."""
 
-    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
-        until = run.due_at - run.plan.reserve_ms / 1000
+    def stage_deadlines(self, now: float, run: ComposedRun) -> StageDeadlines | None:
+        until = run.deadline - run.plan.reserve_ms / 1000
         return StageDeadlines(until, until)
 
 
@@ -90,39 +90,39 @@
     """Knows what would become of each call made now."""
 
     def __init__(self, judge: TimeoutPolicy, places: dict[str, ModelDependency]) -> None:
-        super().__init__(judge.look, judge.rng, judge.late)
+        super().__init__(judge.find_dependency, judge.rng, judge.earns_when_late)
         self.places = places
 
     def _took(self, now: float, run: ComposedRun, name: str) -> float:
-        fate = self.places[name].fate(now, request_of(run.ident))
+        fate = self.places[name].fate(now, request_of(run.request_id))
         return fate.took if fate.took is not None and fate.outcome is Outcome.SUCCEEDED else 0.0
 
-    def stage(self, now: float, run: ComposedRun) -> StageDeadlines | None:
-        horizon = run.aim_at - run.plan.reserve_ms / 1000
+    def stage_deadlines(self, now: float, run: ComposedRun) -> StageDeadlines | None:
+        horizon = run.objective_at - run.plan.reserve_ms / 1000
         later = sum(
             max((self._took(now, run, c.dependency) for c in stage.call if c.required), default=0.0)
-            for stage in run.plan.stage[run.stage + 1 :]
+            for stage in run.plan.stage[run.next_stage + 1 :]
         )
         return StageDeadlines(horizon, horizon - later)
 
-    def fits(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
-        place, request = self.places[dependency.spec.name], request_of(part.run.ident)
+    def has_time_for_call(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
+        place, request = self.places[dependency.spec.name], request_of(part.run.request_id)
         fates = [place.fate(now, request, ahead) for ahead in (0, 1)]
-        if fates[0].outcome is not Outcome.SUCCEEDED and dependency.allowance.saved < 1:
+        if fates[0].outcome is not Outcome.SUCCEEDED and dependency.retry_budget.tokens < 1:
             return False
         good = next((f for f in fates if f.outcome is Outcome.SUCCEEDED and f.took is not None), None)
-        return good is not None and good.took is not None and now + good.took <= part.until
+        return good is not None and good.took is not None and now + good.took <= part.deadline
 
-    def again(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
-        return self.fits(now, part, dependency) and dependency.allowance.take()
+    def has_time_for_retry(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
+        return self.has_time_for_call(now, part, dependency) and dependency.retry_budget.take_token()
 
 
 def judge_for(policy: str, judge: TimeoutPolicy, places: dict[str, ModelDependency]) -> TimeoutPolicy:
     match policy:
         case "fixed":
-            return FixedJudge(judge.look, judge.rng, judge.late)
+            return FixedJudge(judge.find_dependency, judge.rng, judge.earns_when_late)
         case "none":
-            return NoJudge(judge.look, judge.rng, judge.late)
+            return NoJudge(judge.find_dependency, judge.rng, judge.earns_when_late)
         case "oracle":
             return OracleJudge(judge, places)
     return judge
@@ -166,7 +166,7 @@
     ) -> None:
         self.events, self.service, self.desk, self.places, self.tally = events, service, desk, places, tally
         self.presses, self.orders = True, ActionQueue(self._carry_out)
-        self.ticks = Ticks(events, desk.next_due, lambda: self.do(desk.tick, events.now))
+        self.ticks = Ticks(events, desk.next_timer_at, lambda: self.do(desk.tick, events.now))
 
     def do(self, call: Callable[..., list[CompositionAction]], *args: Any) -> None:
         self.orders(call(*args))
@@ -178,24 +178,29 @@
                 self._send(order)
             case CompositionFinished():
                 self.service.run_finished(
-                    order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
+                    order.id,
+                    order.outcome,
+                    order.seconds,
+                    order.body,
+                    order.skipped_dependencies,
+                    order.cached_dependencies,
                 )
             case CancelCall():
                 pass  # the worker goes on with it; its reply finds nobody
 
     def _send(self, order: SendCall) -> None:
         self.tally.calls += 1
-        if order.once and order.run in self.desk.runs:
-            replies = self.desk.runs[order.run].replies
-            self.tally.writes_partial += any(m is not SubRequestState.DONE for m, _ in replies.values())
+        if order.must_run_once and order.request_id in self.desk.runs:
+            replies = self.desk.runs[order.request_id].replies
+            self.tally.writes_partial += any(m is not SubRequestState.ANSWERED for m, _ in replies.values())
         self.places[order.dependency].call(
             self.events.now,
-            request_of(order.run),
-            lambda when, outcome: self.events.at(when, self._told, order.ident, outcome),
+            request_of(order.request_id),
+            lambda when, outcome: self.events.at(when, self._told, order.id, outcome),
         )
 
     def _told(self, ident: bytes, outcome: Outcome) -> None:
-        self.do(self.desk.reply, self.events.now, ident, outcome, b'{"ok":1}')
+        self.do(self.desk.call_finished, self.events.now, ident, outcome, b'{"ok":1}')
 
     def spawn(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
@@ -204,7 +209,7 @@
         self.do(self.desk.start, now, ident, klass, account, body, now + aim, now + within)
 
     def suspend(self, ident: bytes) -> None:
-        self.do(self.desk.stop, self.events.now, ident)
+        self.do(self.desk.cancel, self.events.now, ident)
 
     def proceed(self, ident: bytes) -> None: ...
     def supply(self, ident: bytes, reply: bytes) -> None: ...
@@ -213,7 +218,7 @@
     def poll(self) -> None:
         self.service.gauges_polled((0.0, 0.0))  # runs that wait leave the cores alone
         if self.presses:
-            self.do(self.desk.press, self.events.now, self.service.loop.held_count())
+            self.do(self.desk.release_slots, self.events.now, self.service.loop.held_count())
 
 
 class Play:
@@ -247,10 +252,10 @@
         for name, trouble in day.troubles.items():
             self.places[name].troubles.append(trouble)
         self.desk = CompositionEngine(plans, seed, self.settings.classes)
-        self.desk.judge = judge_for(policy, self.desk.judge, self.places)
+        self.desk.timeout_policy = judge_for(policy, self.desk.timeout_policy, self.places)
         self.runs = ModelRuns(events, self.service, self.desk, self.places, self.tally)
         self.service.ports.workers, self.runs.presses = self.runs, policy == "budgets"
-        self.worths = {p.klass: {c.dependency: c.worth for c in p.calls()} for p in plans.plan}
+        self.worths = {p.class_name: {c.dependency: c.worth for c in p.calls()} for p in plans.plan}
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.answered = Counter[int]()
 
@@ -278,7 +283,7 @@
 
     def _drain(self) -> None:
         self.service.start_drain(WITHIN)
-        self.runs.do(self.desk.hasten, self.events.now, self.events.now + WITHIN - STOP_MARGIN)
+        self.runs.do(self.desk.shorten_deadlines, self.events.now, self.events.now + WITHIN - STOP_MARGIN)
 
     def _arrive(self, n: int, nth: int) -> None:
         now, spec = self.events.now, self.settings.classes[self.kinds[n]]
@@ -413,14 +418,14 @@
         now += 1 / RATE
         while replies and replies[0][0] <= now:
             when, _, ident = heapq.heappop(replies)
-            orders += desk.tick(when) + desk.reply(when, ident, Outcome.SUCCEEDED, b'{"ok":1}')
+            orders += desk.tick(when) + desk.call_finished(when, ident, Outcome.SUCCEEDED, b'{"ok":1}')
         orders += desk.tick(now)
         orders += desk.start(now, b"%016x" % n, kinds[n % 1000], "", b'{"n":1}', now + 1, now + 2)
         for order in orders:
             if isinstance(order, SendCall):
                 sent += 1
                 took = offices.PLACES[order.dependency].median * (0.5 + rng.random())
-                heapq.heappush(replies, (now + took, next(number), order.ident))
+                heapq.heappush(replies, (now + took, next(number), order.id))
         orders = []
         if n % (runs // 4) == runs // 4 - 1:
             peaks.append(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)
--- a/saltcart/lab/sketches.py
+++ b/saltcart/lab/sketches.py
@@ -21,7 +21,7 @@
 
 class Sketch(Protocol):
     def add(self, now: float, value: float) -> None: ...
-    def at_levels(self) -> tuple[float, ...]: ...
+    def quantiles(self) -> tuple[float, ...]: ...
 
 
 class SortedWindow:
@@ -36,7 +36,7 @@
         if len(self.last) > WINDOW:
             del self.ordered[bisect.bisect_left(self.ordered, self.last.popleft())]
 
-    def at_levels(self) -> tuple[float, ...]:
+    def quantiles(self) -> tuple[float, ...]:
         return tuple(self.ordered[min(len(self.ordered) - 1, int(q * len(self.ordered)))] for q in LEVELS)
 
 
@@ -47,7 +47,7 @@
     sketch = make()
     for n, value in enumerate(values):
         sketch.add(n * 0.01, value)
-    sketch.at_levels()
+    sketch.quantiles()
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return size
@@ -59,7 +59,7 @@
     for n, value in enumerate(values):
         sketch.add(n * 0.01, value)
         if n % BATCH == BATCH - 1:
-            looks.append(sketch.at_levels())
+            looks.append(sketch.quantiles())
     took = time.process_time() - begun
     for n, look in enumerate(looks):
         right = true[(n + 1) * BATCH * 2 // (len(values) + BATCH)]
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -51,7 +51,7 @@
         held: Callable[[], int],
         usable: Callable[[float, float], tuple[float, float]],
     ) -> None:
-        self.desk, self.held, self.usable = CompositionEngine(plans, seed, classes), held, usable
+        self.engine, self.held, self.usable = CompositionEngine(plans, seed, classes), held, usable
         self.upstreams, self.events, self.log, self.clock = upstreams, events, log, clock
         self.specs = {d.name: d for d in plans.dependency}
         self.lines = {d.name: IndexLines(d, self._told, log) for d in plans.dependency if d.kind == "index"}
@@ -68,15 +68,15 @@
     def spawn(
         self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
     ) -> None:
-        if klass not in self.desk.plans:
+        if klass not in self.engine.plans:
             self.upstreams.spawn(ident, klass, account, body, once, within, aim)
-        elif ident not in self.desk.runs:
+        elif ident not in self.engine.runs:
             now, (aim, within) = self._time(), self.usable(aim, within)
-            self._carry_out(self.desk.start(now, ident, klass, account, body, now + aim, now + within))
+            self._carry_out(self.engine.start(now, ident, klass, account, body, now + aim, now + within))
 
     def suspend(self, ident: bytes) -> None:
-        if ident in self.desk.runs:
-            self._carry_out(self.desk.stop(self._time(), ident))
+        if ident in self.engine.runs:
+            self._carry_out(self.engine.cancel(self._time(), ident))
         else:
             self.upstreams.suspend(ident)
 
@@ -92,26 +92,26 @@
     def poll(self) -> None:
         """A run that waits for its dependencies keeps its slot and leaves the cores to others."""
         self.upstreams.poll()
-        if self.desk.runs:
-            self._carry_out(self.desk.press(self._time(), self.held()))
+        if self.engine.runs:
+            self._carry_out(self.engine.release_slots(self._time(), self.held()))
 
     # ---- the host -----------------------------------------------------------------------------
 
-    def hasten(self, within: float) -> None:
+    def shorten_deadlines(self, within: float) -> None:
         """The process is stopped soon: runs under way must be over by then."""
         now = self._time()
-        self._carry_out(self.desk.hasten(now, now + within))
+        self._carry_out(self.engine.shorten_deadlines(now, now + within))
 
     def figures(self) -> list[tuple[str, int]]:
         """Gauges for the operators: calls under way and allowed, waiting, and further attempts so far."""
         out = list[tuple[str, int]]()
-        for name, d in self.desk.dependencies.items():
+        for name, d in self.engine.dependencies.items():
             out += [
-                (f"dependency.{name}.used", d.limit.used),
+                (f"dependency.{name}.used", d.limit.in_flight),
                 (f"dependency.{name}.limit", int(d.limit.value)),
                 (f"dependency.{name}.waiting", len(d.waiting)),
                 (f"dependency.{name}.further", d.counts["further"]),
-                (f"dependency.{name}.circuit_open", int(d.breaker.state.value != "closed")),
+                (f"dependency.{name}.circuit_open", int(d.circuit_breaker.state.value != "closed")),
             ]
         return out
 
@@ -134,33 +134,38 @@
                 self._send(order)
             case CancelCall():
                 if order.dependency in self.lines:
-                    self.lines[order.dependency].client.give_up(order.ident)
+                    self.lines[order.dependency].client.give_up(order.id)
                 else:
-                    self.upstreams.give_up(order.ident)
+                    self.upstreams.give_up(order.id)
             case CompositionFinished():
                 self.events.run_finished(
-                    order.ident, order.outcome, order.took, order.body, order.left_out, order.remembered
+                    order.id,
+                    order.outcome,
+                    order.seconds,
+                    order.body,
+                    order.skipped_dependencies,
+                    order.cached_dependencies,
                 )
 
     def _send(self, order: SendCall) -> None:
         spec = self.specs[order.dependency]
         if spec.kind == "index":
-            self.lines[spec.name].client.call(order.ident, order.within, order.body, order.once)
+            self.lines[spec.name].client.call(order.id, order.timeout, order.body, order.must_run_once)
         elif not self.upstreams.call(
-            spec.upstream or "", order.ident, spec.name, order.tenant, order.body, order.within, self._told
+            spec.upstream or "", order.id, spec.name, order.tenant, order.body, order.timeout, self._told
         ):
             # In the next turn: the desk is told of ends after its orders, never among them.
-            self.loop.call_soon(self._told, order.ident, Outcome.NOT_STARTED, b"")
+            self.loop.call_soon(self._told, order.id, Outcome.NOT_STARTED, b"")
 
     def _told(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
-        self._carry_out(self.desk.reply(self._time(), ident, outcome, reply))
+        self._carry_out(self.engine.call_finished(self._time(), ident, outcome, reply))
 
     def _arm(self) -> None:
-        due = self.desk.next_due()
+        due = self.engine.next_timer_at()
         if self.timer is not None:
             self.timer.cancel()
         self.timer = None if due is None else self.loop.call_later(max(0.0, due - self.clock()), self._ring)
 
     def _ring(self) -> None:
         self.timer = None
-        self._carry_out(self.desk.tick(self._time()))
+        self._carry_out(self.engine.tick(self._time()))
--- a/tests/test_composed_responses.py
+++ b/tests/test_composed_responses.py
@@ -38,7 +38,7 @@
 
     def state(self, name: str) -> dict[str, Any]:
         assert self.app.composer is not None
-        return dict(self.app.composer.desk.state(self.app.service.clock.read_seconds())[name])
+        return dict(self.app.composer.engine.state(self.app.service.clock.read_seconds())[name])
 
 
 def tables(tariff: str, archive: str, ledger: str, spare: str, **more: Any) -> dict[str, Any]:
@@ -152,10 +152,10 @@
     async def test() -> None:
         async with site() as s:
             assert s.app.composer is not None
-            kept = s.app.composer.desk.last_good
+            kept = s.app.composer.engine.stale_cache
             kept.put(s.app.service.clock.read_seconds(), "acme", b"k", b"told")
             status, _ = await admin(s.app, "DELETE", "/v1/tenants/acme")
-            assert status == 204 and kept.count == 0
+            assert status == 204 and kept.entry_count == 0
 
     play(test)
 
@@ -260,7 +260,7 @@
             client.drop()
             await until(lambda: s.archive.given_up == [s.archive.asked[0].ident])
             await until(lambda: not s.tariff.connections)  # AJP has no word for it: the connection ends
-            assert s.app.composer is not None and not s.app.composer.desk.runs
+            assert s.app.composer is not None and not s.app.composer.engine.runs
 
     play(test)
 
--- a/tests/test_composition_engine.py
+++ b/tests/test_composition_engine.py
@@ -78,13 +78,13 @@
                 self.sent.append(order)
                 act = self.acts.get(order.dependency, (0.02, OK))
                 if act is not None:
-                    self.coming.append((self.now + act[0], order.ident, act[1]))
+                    self.coming.append((self.now + act[0], order.id, act[1]))
             case CancelCall():
-                assert order.ident in {s.ident for s in self.sent}  # never before it is sent
-                self.given_up.add(order.ident)
+                assert order.id in {s.id for s in self.sent}  # never before it is sent
+                self.given_up.add(order.id)
             case CompositionFinished():
-                assert order.ident not in self.ended
-                self.ended[order.ident] = order
+                assert order.id not in self.ended
+                self.ended[order.id] = order
 
     def start(self, klass: str = "read", aim: float = 1.0, due: float = 3.0, body: bytes = b"b") -> bytes:
         ident = b"%016x" % (len(self.ended) + len(self.desk.runs) + 1)
@@ -93,13 +93,13 @@
 
     def until(self, then: float) -> None:
         while True:
-            at = min([c[0] for c in self.coming] + [self.desk.next_due() or then + 1])
+            at = min([c[0] for c in self.coming] + [self.desk.next_timer_at() or then + 1])
             if at > then:
                 break
             self.now = max(self.now, at)
             for reply in [c for c in self.coming if c[0] <= self.now]:
                 self.coming.remove(reply)
-                self.orders(self.desk.reply(self.now, reply[1], reply[2], b'{"ok":1}'))
+                self.orders(self.desk.call_finished(self.now, reply[1], reply[2], b'{"ok":1}'))
             self.orders(self.desk.tick(self.now))
         self.now = then
 
@@ -122,7 +122,7 @@
 def test_a_whole_answer_has_every_reply() -> None:
     table = Table()
     ended = table.play()
-    assert (ended.outcome, ended.left_out) == (OK, ()) and ended.took == pytest.approx(0.02)
+    assert (ended.outcome, ended.skipped_dependencies) == (OK, ()) and ended.seconds == pytest.approx(0.02)
     assert orjson.loads(ended.body) == {"must": {"ok": 1}, "may": {"ok": 1}}
 
 
@@ -130,9 +130,13 @@
     table = Table()
     table.acts["may"] = None
     ended = table.play()
-    assert ended.outcome is OK and ended.left_out == ("may",) and ended.took == pytest.approx(0.98)
+    assert (
+        ended.outcome is OK
+        and ended.skipped_dependencies == ("may",)
+        and ended.seconds == pytest.approx(0.98)
+    )
     assert orjson.loads(ended.body) == {"must": {"ok": 1}, "may": None}
-    assert table.given_up == {s.ident for s in table.sent if s.dependency == "may"}
+    assert table.given_up == {s.id for s in table.sent if s.dependency == "may"}
 
 
 def test_without_what_is_required_there_is_no_answer() -> None:
@@ -147,10 +151,10 @@
     table = Table()
     table.play()
     table.acts["may"] = 0.01, ERROR
-    assert table.play().remembered == ("may",)
+    assert table.play().cached_dependencies == ("may",)
     table.now += 6.0
     ended = table.play()
-    assert (ended.remembered, ended.left_out) == ((), ("may",))
+    assert (ended.cached_dependencies, ended.skipped_dependencies) == ((), ("may",))
 
 
 def test_a_write_is_sent_once_and_never_again_whatever_becomes_of_it() -> None:
@@ -159,7 +163,7 @@
         table.acts["write"] = 0.05, outcome
         assert table.play("oddaja", aim=1.5, due=4.0).outcome is ERROR
         assert table.names() == ["must", "write"]
-        assert [s.once for s in table.sent] == [False, True]
+        assert [s.must_run_once for s in table.sent] == [False, True]
 
 
 def test_a_write_that_provably_never_ran_may_go_elsewhere() -> None:
@@ -200,16 +204,16 @@
     table.now += 7.0  # no last good answer stands in any more
     table.acts["may"] = None
     ended = table.play("two")
-    assert ended.outcome is OK and ended.left_out == ("may",) and ended.took <= 0.98
+    assert ended.outcome is OK and ended.skipped_dependencies == ("may",) and ended.seconds <= 0.98
     given = next(s for s in reversed(table.sent) if s.dependency == "may")
-    assert given.within == pytest.approx(1 - 0.02 - 1.25 * 0.4, abs=0.06)
+    assert given.timeout == pytest.approx(1 - 0.02 - 1.25 * 0.4, abs=0.06)
 
 
 def test_the_share_follows_an_earlier_stage_that_ended_early() -> None:
     table = Table()
     table.acts["must"] = 0.3, OK
     table.warm("two", 30)
-    within = [s.within for s in table.sent if s.dependency == "must"]
+    within = [s.timeout for s in table.sent if s.dependency == "must"]
     assert within[-1] == pytest.approx(1.48 - 0.02, abs=0.01)  # all that the quick first stage left
 
 
@@ -238,23 +242,27 @@
     for _ in range(20):
         table.start()
         table.until(table.now + 0.05)
-    circuit = table.desk.dependencies["may"].breaker
+    circuit = table.desk.dependencies["may"].circuit_breaker
     assert circuit.state is CircuitState.OPEN
     before = len(table.sent)
     ident = table.start()
     assert [s.dependency for s in table.sent[before:]] == ["must"]
     table.acts["may"] = 0.01, OK
-    table.until(circuit.until + 0.01)
+    table.until(circuit.open_until + 0.01)
     for _ in range(6):
         table.play()
-    assert circuit.state is not CircuitState.OPEN and table.play().left_out == () and ident in table.ended
+    assert (
+        circuit.state is not CircuitState.OPEN
+        and table.play().skipped_dependencies == ()
+        and ident in table.ended
+    )
 
 
 def test_a_silent_dependency_with_a_fallback_costs_its_usual_time_and_no_more() -> None:
     table = Table(must={"fallback": "spare"})
     table.warm(runs=60)
     table.acts["must"] = None
-    took = [table.play("oddaja", aim=1.5, due=4.0).took for _ in range(30)]
+    took = [table.play("oddaja", aim=1.5, due=4.0).seconds for _ in range(30)]
     assert max(took) < 0.6 and took[-1] < 0.2  # at first beside it, in the end in its place
     assert table.names().count("spare") >= 30
 
@@ -274,7 +282,7 @@
     table = Table(must={"most": 3})
     for _ in range(20):
         table.start()
-        assert table.desk.dependencies["must"].limit.used <= 3
+        assert table.desk.dependencies["must"].limit.in_flight <= 3
     table.until(table.now + 5)
     assert {e.outcome for e in table.ended.values()} == {OK}
 
@@ -293,26 +301,26 @@
     first = table.sent[-1]
     table.acts["a"] = 0.02, OK
     table.until(table.now + 1)
-    assert table.ended[ident].outcome is OK and table.ended[ident].took < 0.1
-    assert table.given_up == {first.ident}
+    assert table.ended[ident].outcome is OK and table.ended[ident].seconds < 0.1
+    assert table.given_up == {first.id}
 
 
 def test_a_reply_to_what_was_given_up_changes_nothing() -> None:
     table = Table()
     table.acts["may"] = 2.0, OK
     ended = table.play()
-    assert ended.left_out == ("may",)
-    assert table.desk.reply(table.now, table.sent[-1].ident, OK, b"late") == []
+    assert ended.skipped_dependencies == ("may",)
+    assert table.desk.call_finished(table.now, table.sent[-1].id, OK, b"late") == []
 
 
 def test_a_stopped_run_gives_all_its_calls_up() -> None:
     table = Table()
     table.acts |= {"must": None, "may": None}
     ident = table.start()
-    table.orders(table.desk.stop(table.now, ident))
+    table.orders(table.desk.cancel(table.now, ident))
     assert table.ended[ident].outcome is Outcome.CANCELLED and len(table.given_up) == 2
-    assert all(d.limit.used == 0 for d in table.desk.dependencies.values())
-    assert table.desk.stop(table.now, ident) == []
+    assert all(d.limit.in_flight == 0 for d in table.desk.dependencies.values())
+    assert table.desk.cancel(table.now, ident) == []
 
 
 def test_a_drain_cuts_what_can_be_left_out_and_keeps_the_answer() -> None:
@@ -320,9 +328,9 @@
     table.acts |= {"must": (0.3, OK), "may": None}
     ident = table.start()
     table.until(table.now + 0.1)
-    table.orders(table.desk.hasten(table.now, table.now + 0.4))
+    table.orders(table.desk.shorten_deadlines(table.now, table.now + 0.4))
     table.until(table.now + 0.4)
-    assert table.ended[ident].outcome is OK and table.ended[ident].left_out == ("may",)
+    assert table.ended[ident].outcome is OK and table.ended[ident].skipped_dependencies == ("may",)
 
 
 def test_a_run_makes_room_when_others_want_its_slot() -> None:
@@ -332,17 +340,17 @@
     for held, ended in ((0, False), (20, True)):
         ident = table.start(body=b"%d" % held)  # no last good answer is there for it
         table.until(table.now + 0.2)  # far past what the dependency ever needed
-        table.orders(table.desk.press(table.now, held))
+        table.orders(table.desk.release_slots(table.now, held))
         assert (ident in table.ended) == ended
-    assert table.ended[ident].left_out == ("may",)
+    assert table.ended[ident].skipped_dependencies == ("may",)
 
 
 def test_orders_given_while_one_is_carried_out_wait_for_those_before_them() -> None:
     done = list[bytes]()
 
     def carry_out(order: CompositionAction) -> None:
-        done.append(order.ident)
-        if order.ident == b"1":
+        done.append(order.id)
+        if order.id == b"1":
             orders([CancelCall(b"2", "a")])  # what the first one leads to comes after the second is sent
 
     orders = ActionQueue(carry_out)
@@ -371,19 +379,19 @@
             spec = next(c for c in CLASSES if c.name == klass)
             due[table.start(klass, spec.latency_objective, spec.deadline)] = table.now + spec.deadline
         elif what == "reply" and attempts:
-            table.orders(table.desk.reply(table.now, attempts[pick % len(attempts)], outcome, b"r"))
+            table.orders(table.desk.call_finished(table.now, attempts[pick % len(attempts)], outcome, b"r"))
         elif what == "stop" and due:
-            table.orders(table.desk.stop(table.now, list(due)[pick % len(due)]))
+            table.orders(table.desk.cancel(table.now, list(due)[pick % len(due)]))
         elif what == "press":
-            table.orders(table.desk.press(table.now, pick))
+            table.orders(table.desk.release_slots(table.now, pick))
         elif what == "hasten":
-            table.orders(table.desk.hasten(table.now, table.now + 1.0))
+            table.orders(table.desk.shorten_deadlines(table.now, table.now + 1.0))
         for ident, end in due.items():
             assert ident in table.ended or table.now <= end
     table.until(table.now + 5)
     assert set(table.ended) == set(due) and not table.desk.runs and not table.desk.attempts
-    assert all(d.limit.used == 0 for d in table.desk.dependencies.values())
+    assert all(d.limit.in_flight == 0 for d in table.desk.dependencies.values())
     for ident in due:
         # A write may go out again only after a proof that it never ran.
-        assert sum(s.run == ident and s.once for s in table.sent) <= MOST_TRIES
-    assert table.desk.next_due() is None
+        assert sum(s.request_id == ident and s.must_run_once for s in table.sent) <= MOST_TRIES
+    assert table.desk.next_timer_at() is None
--- a/tests/test_composition_parts.py
+++ b/tests/test_composition_parts.py
@@ -13,8 +13,8 @@
 from saltcart.composition.overload_protection import CallLimit, CircuitBreaker, CircuitState, RetryBudget
 from saltcart.composition.plan import PlanError, check_classes, read_plans
 from saltcart.composition.quantile_sketch import QuantileSketch
-from saltcart.composition.stale_cache import OVERHEAD, StaleCache
-from saltcart.composition.time_shares import TimeNeeded, side_by_side, split
+from saltcart.composition.stale_cache import ENTRY_OVERHEAD_BYTES, StaleCache
+from saltcart.composition.time_shares import TimeNeeded, parallel_time_needed, split_time
 from saltcart.decision.settings import ClassSpec, Effect
 
 SECONDS = st.floats(1e-3, 30.0)
@@ -28,7 +28,7 @@
     for value in values:
         sketch.add(0.0, value)
     ordered = sorted(values)
-    for level, found in zip((0.1, 0.5, 0.95), sketch.at_levels()):
+    for level, found in zip((0.1, 0.5, 0.95), sketch.quantiles()):
         # The least value that no more than the rest exceed, as the survival curve has it.
         exact = next(v for n, v in enumerate(ordered, 1) if n / len(ordered) >= level - 1e-9)
         assert abs(found - exact) <= 0.11 * exact
@@ -40,16 +40,16 @@
         took = 0.05 if n % 2 else 0.9  # half are slow, and given up after 0.2 s
         if took < 0.2:
             survivors.add(0.0, took)
-        sketch.add(0.0, min(took, 0.2), cut=took > 0.2)
-    assert survivors.at_levels()[1] < 0.06  # what a sketch of the survivors alone would say
-    assert sketch.at_levels()[0] == pytest.approx(0.05, rel=0.06) and sketch.at_levels()[1] == inf
+        sketch.add(0.0, min(took, 0.2), censored=took > 0.2)
+    assert survivors.quantiles()[1] < 0.06  # what a sketch of the survivors alone would say
+    assert sketch.quantiles()[0] == pytest.approx(0.05, rel=0.06) and sketch.quantiles()[1] == inf
 
 
 def test_calls_that_were_all_cut_off_early_do_not_pass_for_silence() -> None:
     sketch = QuantileSketch((0.1, 0.5, 0.95))
     for _ in range(50):
-        sketch.add(0.0, 0.002, cut=True)  # overtaken by another attempt
-    assert sketch.at_levels()[0] == pytest.approx(0.002, rel=0.06) and sketch.at_levels()[1:] == (inf, inf)
+        sketch.add(0.0, 0.002, censored=True)  # overtaken by another attempt
+    assert sketch.quantiles()[0] == pytest.approx(0.002, rel=0.06) and sketch.quantiles()[1:] == (inf, inf)
 
 
 def test_a_sketch_ages_and_outlives_any_rest() -> None:
@@ -57,19 +57,19 @@
     for start in (1.8e9, 1.8e9 + 30 * 86_400):  # Unix time, then after a month in which nothing came
         for n in range(100):
             sketch.add(start + n * 0.01, 0.1)
-        assert sketch.at_levels()[0] == pytest.approx(0.1, rel=0.06)
-        assert sketch.count(start + 1) > 90 and sketch.count(start + 81) < 1
+        assert sketch.quantiles()[0] == pytest.approx(0.1, rel=0.06)
+        assert sketch.recent_count(start + 1) > 90 and sketch.recent_count(start + 81) < 1
     for n in range(400):
         sketch.add(start + 20 + n * 0.01, 0.9)
-    assert sketch.at_levels()[0] == pytest.approx(0.9, rel=0.06)
+    assert sketch.quantiles()[0] == pytest.approx(0.9, rel=0.06)
 
 
 def test_a_sketch_does_not_grow() -> None:
     sketch, rng = QuantileSketch(), random.Random(1)
-    size = len(sketch.ended)
+    size = len(sketch.completed)
     for n in range(20_000):
-        sketch.add(n * 0.01, rng.expovariate(2), cut=rng.random() < 0.1)
-    assert len(sketch.ended) == len(sketch.cut) == size and len(sketch.survival()) <= size
+        sketch.add(n * 0.01, rng.expovariate(2), censored=rng.random() < 0.1)
+    assert len(sketch.completed) == len(sketch.censored) == size and len(sketch.survival_curve()) <= size
 
 
 # ---- the arithmetic of time -------------------------------------------------------------------
@@ -80,7 +80,7 @@
 @settings(max_examples=300)
 @given(st.floats(-1.0, 10.0), NEEDS, st.lists(NEEDS, max_size=5))
 def test_shares_add_up_and_are_never_negative(left: float, now: TimeNeeded, later: list[TimeNeeded]) -> None:
-    shares = split(left, now, later)
+    shares = split_time(left, now, later)
     lucky = sum(n.lucky for n in (now, *later))
     if shares is None:
         assert left < 0 or lucky > left
@@ -93,12 +93,12 @@
 
 
 def test_needs_that_cannot_be_told_still_leave_the_lucky_part() -> None:
-    shares = split(1.0, TimeNeeded(0.1, 0.2, 0.3), [TimeNeeded(0.2, inf, inf)])
+    shares = split_time(1.0, TimeNeeded(0.1, 0.2, 0.3), [TimeNeeded(0.2, inf, inf)])
     assert shares is not None and shares == pytest.approx([0.8, 0.2])
-    assert split(0.25, TimeNeeded(0.1, 0.2, 0.3), [TimeNeeded(0.2, inf, inf)]) is None
-    assert side_by_side([TimeNeeded(1, 5, 6), TimeNeeded(2, 3, 9)]) == TimeNeeded(2, 5, 9) and side_by_side(
-        []
-    ) == (0, 0, 0)
+    assert split_time(0.25, TimeNeeded(0.1, 0.2, 0.3), [TimeNeeded(0.2, inf, inf)]) is None
+    assert parallel_time_needed([TimeNeeded(1, 5, 6), TimeNeeded(2, 3, 9)]) == TimeNeeded(
+        2, 5, 9
+    ) and parallel_time_needed([]) == (0, 0, 0)
 
 
 # ---- guards -----------------------------------------------------------------------------------
@@ -106,20 +106,20 @@
 
 def test_a_breaker_opens_probes_one_at_a_time_and_closes_again() -> None:
     breaker = CircuitBreaker(random.Random(3))
-    for _ in range(int(CircuitBreaker.LEAST)):
-        assert breaker.allows(0.0) and not breaker.begun()
-        breaker.ended(0.0, False, False)
-    assert breaker.state.value == "open" and not breaker.allows(0.1)
+    for _ in range(int(CircuitBreaker.MIN_FAILURES)):
+        assert breaker.allows_call(0.0) and not breaker.record_start()
+        breaker.record_result(0.0, False, False)
+    assert breaker.state.value == "open" and not breaker.allows_call(0.1)
     assert (
-        CircuitBreaker.FIRST * (1 - CircuitBreaker.SPREAD)
-        <= breaker.until
-        <= CircuitBreaker.FIRST * (1 + CircuitBreaker.SPREAD)
+        CircuitBreaker.FIRST_OPEN_SECONDS * (1 - CircuitBreaker.JITTER)
+        <= breaker.open_until
+        <= CircuitBreaker.FIRST_OPEN_SECONDS * (1 + CircuitBreaker.JITTER)
     )
-    for n in range(CircuitBreaker.PROBES):
-        at = breaker.until + n
-        assert breaker.allows(at) and breaker.begun()
-        assert not breaker.allows(at)  # one at a time
-        breaker.ended(at, True, True)
+    for n in range(CircuitBreaker.PROBES_TO_CLOSE):
+        at = breaker.open_until + n
+        assert breaker.allows_call(at) and breaker.record_start()
+        assert not breaker.allows_call(at)  # one at a time
+        breaker.record_result(at, True, True)
     assert breaker.state.value == "closed"
 
 
@@ -128,8 +128,8 @@
     for seed in range(20):
         breaker = CircuitBreaker(random.Random(seed))
         for _ in range(10):
-            breaker.ended(0.0, False, False)
-        ends.add(round(breaker.until, 3))
+            breaker.record_result(0.0, False, False)
+        ends.add(round(breaker.open_until, 3))
     assert len(ends) > 15
 
 
@@ -138,38 +138,38 @@
     breaker, now, out = CircuitBreaker(random.Random(seed)), 0.0, list[bool]()
     for gap, ok, dropped in steps:
         now += gap
-        if breaker.allows(now):
-            out.append(breaker.begun())
+        if breaker.allows_call(now):
+            out.append(breaker.record_start())
         assert sum(out) <= 1 or breaker.state is not CircuitState.HALF_OPEN
         if out and (dropped or len(out) > 3):
             probe = out.pop(0)
             if dropped and not ok:
-                breaker.dropped(probe)
+                breaker.record_cancelled(probe)
             else:
-                breaker.ended(now, ok, probe)
-        assert breaker.probing >= 0
+                breaker.record_result(now, ok, probe)
+        assert breaker.probes_in_flight >= 0
         if breaker.state is CircuitState.OPEN:
-            assert breaker.until - now <= CircuitBreaker.LONGEST * (1 + CircuitBreaker.SPREAD)
+            assert breaker.open_until - now <= CircuitBreaker.MAX_OPEN_SECONDS * (1 + CircuitBreaker.JITTER)
     now += 10
     for probe in out:
-        breaker.dropped(probe)
-    assert breaker.allows(now)  # whatever came before, a call gets out in the end
+        breaker.record_cancelled(probe)
+    assert breaker.allows_call(now)  # whatever came before, a call gets out in the end
 
 
 def test_a_limit_backs_off_once_for_a_burst_of_losses_and_grows_in_use() -> None:
     limit = CallLimit(2, 64)
     for _ in range(10):
-        limit.ended(5.0, True, 0.2)
-    assert limit.value == pytest.approx(16 * CallLimit.CUT)
+        limit.record_result(5.0, True, 0.2)
+    assert limit.value == pytest.approx(16 * CallLimit.DECREASE_FACTOR)
     idle = limit.value
-    limit.ended(6.0, False, 0.2)
+    limit.record_result(6.0, False, 0.2)
     assert limit.value == idle  # not in use: a success proves nothing
-    limit.used = int(limit.value)
+    limit.in_flight = int(limit.value)
     for _ in range(1000):
-        limit.ended(6.0, False, 0.2)
+        limit.record_result(6.0, False, 0.2)
     assert limit.value > idle + 10 and limit.value <= 64
     for n in range(100):
-        limit.ended(10.0 + n, True, 0.2)
+        limit.record_result(10.0 + n, True, 0.2)
     assert limit.value == 2.0
 
 
@@ -178,9 +178,9 @@
     allowance, first, further = RetryBudget(share), 0, 0
     for is_first in firsts:
         if is_first:
-            allowance.first()
+            allowance.record_first_attempt()
             first += 1
-        elif allowance.take():
+        elif allowance.take_token():
             further += 1
     assert further <= share * first + (RetryBudget.BURST if share else 0) + 1e-6
 
@@ -197,9 +197,14 @@
     assert StaleCache.key("kvote", b"sent") != key
     for n in range(5):
         kept.put(20.0, "a", StaleCache.key("tarifa", b"%d" % n), b"x")
-    assert kept.count == 3 and kept.bytes == 3 * (1 + OVERHEAD)
-    kept.forget("a")
-    assert (kept.count, kept.bytes, kept.held, kept.by_tenant) == (0, 0, {}, {})
+    assert kept.entry_count == 3 and kept.total_bytes == 3 * (1 + ENTRY_OVERHEAD_BYTES)
+    kept.remove_tenant("a")
+    assert (kept.entry_count, kept.total_bytes, kept.bytes_by_tenant, kept.entries_by_tenant) == (
+        0,
+        0,
+        {},
+        {},
+    )
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 9), st.integers(0, 900)), max_size=120))
@@ -207,10 +212,10 @@
     kept = StaleCache(1000, 4.0)
     for n, (tenant, key, size) in enumerate(puts):
         kept.put(float(n), tenant, b"%d" % key, bytes(size))
-        assert kept.bytes <= 4096 and kept.bytes == sum(kept.held.values())
-        assert kept.count == sum(map(len, kept.by_tenant.values()))
+        assert kept.total_bytes <= 4096 and kept.total_bytes == sum(kept.bytes_by_tenant.values())
+        assert kept.entry_count == sum(map(len, kept.entries_by_tenant.values()))
         share = 4096 / 3  # a tenant that stays under it keeps its newest answer
-        if size + OVERHEAD < share:
+        if size + ENTRY_OVERHEAD_BYTES < share:
             assert kept.get(float(n), tenant, b"%d" % key, 1.0) is not None
 
 
