--- a/saltcart/composition/bodies.py
+++ b/saltcart/composition/bodies.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from saltcart.composition.composed_run import ComposedRun, SubRequestState
+from saltcart.composition.composed_run import ComposedRun, SubRequestStatus
 from saltcart.composition.plan import CallSpec
 
 
@@ -26,7 +26,7 @@
 def answers(run: ComposedRun) -> dict[str, Any]:
     """The replies so far by dependency; null for what was left out."""
     return {
-        name: None if mark is SubRequestState.SKIPPED else readable(body)
+        name: None if mark is SubRequestStatus.SKIPPED else readable(body)
         for name, (mark, body) in run.replies.items()
     }
 
--- a/saltcart/composition/composed_run.py
+++ b/saltcart/composition/composed_run.py
@@ -12,7 +12,7 @@
 from saltcart.decision.outcome import Outcome
 
 
-class SubRequestState(enum.Enum):
+class SubRequestStatus(enum.Enum):
     """How far one call of a plan has come."""
 
     WAITING = "waits for a place"
@@ -20,10 +20,10 @@
     ANSWERED = "answered"
     CACHED = "a last good answer stands in"
     SKIPPED = "left out"
-    FAILED = "required, and not to be had"
+    UNAVAILABLE = "required, and not to be had"
 
 
-OPEN = (SubRequestState.WAITING, SubRequestState.IN_FLIGHT)
+OPEN = (SubRequestStatus.WAITING, SubRequestStatus.IN_FLIGHT)
 
 
 class CallAttempt:
@@ -70,22 +70,22 @@
         "attempts",
         "attempts_sent",
         "body",
+        "call_spec",
         "deadline",
         "dependency_name",
         "is_hedged",
         "reply",
         "run",
-        "spec",
-        "state",
+        "status",
         "tried_dependencies",
     )
 
-    def __init__(self, run: ComposedRun, spec: CallSpec, deadline: float, body: bytes) -> None:
-        self.run, self.spec, self.deadline = run, spec, deadline
+    def __init__(self, run: ComposedRun, call_spec: CallSpec, deadline: float, body: bytes) -> None:
+        self.run, self.call_spec, self.deadline = run, call_spec, deadline
         self.body = body  # what every attempt sends, and what a last good answer is known by
-        self.dependency_name = spec.dependency  # or the one that it has fallen back to
-        self.tried_dependencies = {spec.dependency}
-        self.state, self.reply, self.attempts_sent = SubRequestState.WAITING, b"", 0
+        self.dependency_name = call_spec.dependency  # or the one that it has fallen back to
+        self.tried_dependencies = {call_spec.dependency}
+        self.status, self.reply, self.attempts_sent = SubRequestStatus.WAITING, b"", 0
         self.attempts: list[CallAttempt] = []
         self.is_hedged = False  # a second attempt was begun beside a slow first one
 
@@ -121,10 +121,10 @@
         self.request_id, self.plan, self.tenant, self.body = request_id, plan, tenant, body
         self.started_at, self.objective_at, self.deadline = now, objective_at, deadline
         self.next_stage, self.sub_requests = 0, list[SubRequest]()
-        self.replies: dict[str, tuple[SubRequestState, bytes]] = {}  # of the stages that are over
+        self.replies: dict[str, tuple[SubRequestStatus, bytes]] = {}  # of the stages that are over
         self.is_starting_stage = self.is_finished = False
 
-    def dependencies_in_state(self, mark: SubRequestState) -> tuple[str, ...]:
+    def dependencies_in_state(self, mark: SubRequestStatus) -> tuple[str, ...]:
         """Dependencies that ended so."""
         return tuple(name for name, (found, _) in self.replies.items() if found is mark)
 
--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -21,7 +21,7 @@
     CompositionFinished,
     SendCall,
     SubRequest,
-    SubRequestState,
+    SubRequestStatus,
 )
 from saltcart.composition.dependency_state import NEVER_RAN, DependencyState
 from saltcart.composition.overload_protection import CircuitState
@@ -103,7 +103,7 @@
             run.objective_at, run.deadline = min(run.objective_at, by), min(run.deadline, by)
             end = run.deadline - run.plan.reserve_ms / 1000
             for part in run.sub_requests:
-                if part.state in OPEN and part.deadline > end:
+                if part.status in OPEN and part.deadline > end:
                     part.deadline = end
                     self._at(end, self._expire, part)
         return self._take()
@@ -116,17 +116,17 @@
         price = self.earns.rate() * min(1.0, held / CROWD)
         if price > 0:
             for run in list(self.runs.values()):
-                parts = [part for part in run.sub_requests if part.state in OPEN]
-                if run.is_finished or any(part.spec.required for part in parts):
+                parts = [part for part in run.sub_requests if part.status in OPEN]
+                if run.is_finished or any(part.call_spec.required for part in parts):
                     continue
                 for part in parts:
-                    if part.state in OPEN and not self._worth_waiting(now, part, price / len(parts)):
+                    if part.status in OPEN and not self._worth_waiting(now, part, price / len(parts)):
                         self.counts["pressed"] += 1
                         self._elsewhere(now, part)
         return self._take()
 
     def _worth_waiting(self, now: float, part: SubRequest, price: float) -> bool:
-        worth = self.worth.get(part.run.plan.class_name, 0.0) * part.spec.worth
+        worth = self.worth.get(part.run.plan.class_name, 0.0) * part.call_spec.worth
         dependency = self.dependencies[
             part.attempts[0].dependency_name if part.attempts else part.dependency_name
         ]
@@ -136,12 +136,12 @@
         """Run what is due."""
         while self.due and self.due[0][0] <= now:
             _, _, act, part = heapq.heappop(self.due)
-            if part.state in OPEN:
+            if part.status in OPEN:
                 act(now, part)
         return self._take()
 
     def next_timer_at(self) -> float | None:
-        while self.due and self.due[0][3].state not in OPEN:  # settled since: no reason to wake anybody
+        while self.due and self.due[0][3].status not in OPEN:  # settled since: no reason to wake anybody
             heapq.heappop(self.due)
         return self.due[0][0] if self.due else None
 
@@ -154,7 +154,7 @@
         """Begin the next stage, and those after it as long as they are settled at once."""
         while not run.is_finished:
             for part in run.sub_requests:
-                run.replies[part.spec.dependency] = part.state, part.reply
+                run.replies[part.call_spec.dependency] = part.status, part.reply
             run.sub_requests = []
             if run.next_stage == len(run.plan.stage):
                 self._finish(now, run)
@@ -165,7 +165,7 @@
                 self._end(now, run, Outcome.FAILED)
                 return
             self._begin_stage(now, run, limits)
-            if any(part.state in OPEN for part in run.sub_requests):
+            if any(part.status in OPEN for part in run.sub_requests):
                 return
 
     def _begin_stage(self, now: float, run: ComposedRun, limits: StageDeadlines) -> None:
@@ -182,25 +182,25 @@
             self._begin(now, part)
         run.is_starting_stage = False
 
-    def _settle(self, now: float, part: SubRequest, mark: SubRequestState, reply: bytes = b"") -> None:
+    def _settle(self, now: float, part: SubRequest, mark: SubRequestStatus, reply: bytes = b"") -> None:
         """The one place where a call's fate is decided."""
-        run, part.state, part.reply = part.run, mark, reply
+        run, part.status, part.reply = part.run, mark, reply
         for attempt in part.attempts:
-            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is SubRequestState.ANSWERED)
+            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is SubRequestStatus.ANSWERED)
         part.attempts.clear()
-        if mark is SubRequestState.FAILED:
+        if mark is SubRequestStatus.UNAVAILABLE:
             self._end(now, run, Outcome.FAILED)
         elif (
             not run.is_starting_stage
             and not run.is_finished
-            and not any(p.state in OPEN for p in run.sub_requests)
+            and not any(p.status in OPEN for p in run.sub_requests)
         ):
             self._go_on(now, run)
 
     def _finish(self, now: float, run: ComposedRun) -> None:
         left, remembered = (
-            run.dependencies_in_state(SubRequestState.SKIPPED),
-            run.dependencies_in_state(SubRequestState.CACHED),
+            run.dependencies_in_state(SubRequestStatus.SKIPPED),
+            run.dependencies_in_state(SubRequestStatus.CACHED),
         )
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
@@ -221,7 +221,7 @@
             return
         run.is_finished = True
         del self.runs[run.request_id]
-        writes = [part for part in run.sub_requests if part.spec.write]
+        writes = [part for part in run.sub_requests if part.call_spec.write]
         if (
             outcome is Outcome.FAILED
             and run.plan.stage[-1].call[0].write
@@ -229,8 +229,8 @@
         ):
             outcome = Outcome.NOT_STARTED  # the write was never sent: a further try of the same key may run
         for part in run.sub_requests:
-            if part.state in OPEN:
-                part.state = SubRequestState.FAILED
+            if part.status in OPEN:
+                part.status = SubRequestStatus.UNAVAILABLE
             for attempt in part.attempts:
                 self._drop(now, attempt, Outcome.CANCELLED)
             part.attempts.clear()
@@ -251,7 +251,7 @@
         elif (
             dependency.circuit_breaker.allows_call(now) and len(dependency.waiting) < dependency.spec.waiting
         ):
-            part.state = SubRequestState.WAITING
+            part.status = SubRequestStatus.WAITING
             dependency.waiting.append(part)
             self._at(part.deadline, self._expire, part)
         else:
@@ -264,7 +264,7 @@
         attempt = CallAttempt(b"%016x" % self.number, part, dependency.spec.name, now, further, fair)
         self.number = (self.number + 1) & MASK
         dependency.record_start(attempt)
-        part.state, part.attempts_sent = SubRequestState.IN_FLIGHT, part.attempts_sent + 1
+        part.status, part.attempts_sent = SubRequestStatus.IN_FLIGHT, part.attempts_sent + 1
         part.attempts.append(attempt)
         self.attempts[attempt.call_id] = attempt
         self.orders.append(
@@ -275,12 +275,12 @@
                 part.run.tenant,
                 part.body,
                 room,
-                part.spec.write,
+                part.call_spec.write,
             )
         )
         if part.attempts_sent == 1:
             self._at(part.deadline, self._expire, part)
-        if not part.spec.write and not part.is_hedged:
+        if not part.call_spec.write and not part.is_hedged:
             other = dependency.spec.fallback
             at = self.timeout_policy.hedge_time(now, part, dependency, self.dependencies.get(other or ""))
             if at is not None and at < part.deadline:
@@ -300,21 +300,23 @@
                 part.tried_dependencies.add(other)
                 target.counts["fallback"] += 1
                 self._send(now, part, target)
-        elif part.spec.hedge and dependency.free(now) and dependency.retry_budget.take_token():
+        elif part.call_spec.hedge and dependency.free(now) and dependency.retry_budget.take_token():
             part.is_hedged = True
             dependency.counts["hedge"] += 1
             self._send(now, part, dependency, further=True)
 
     def _answered(self, now: float, part: SubRequest, dependency: str, body: bytes) -> None:
-        if part.spec.remember:
-            key = StaleCache.key(part.spec.dependency, part.body)
+        if part.call_spec.remember:
+            key = StaleCache.key(part.call_spec.dependency, part.body)
             self.stale_cache.put(now, part.run.tenant, key, body)
-        self._settle(now, part, SubRequestState.ANSWERED, body)
+        self._settle(now, part, SubRequestStatus.ANSWERED, body)
 
     def _failed(self, now: float, part: SubRequest, attempt: CallAttempt, outcome: Outcome) -> None:
-        call, never = part.spec, outcome in NEVER_RAN
+        call, never = part.call_spec, outcome in NEVER_RAN
         if call.write and not never:
-            self._settle(now, part, SubRequestState.FAILED)  # it may have had its effect: never sent again
+            self._settle(
+                now, part, SubRequestStatus.UNAVAILABLE
+            )  # it may have had its effect: never sent again
             return
         if call.write:
             part.attempts_sent -= 1  # proved: no effect
@@ -344,14 +346,14 @@
             self.dependencies[other].counts["fallback"] += 1
             self._begin(now, part)
             return
-        call = part.spec
+        call = part.call_spec
         if call.remember:
             key = StaleCache.key(call.dependency, part.body)
             kept = self.stale_cache.get(now, part.run.tenant, key, call.remember)
             if kept is not None:
-                self._settle(now, part, SubRequestState.CACHED, kept)
+                self._settle(now, part, SubRequestStatus.CACHED, kept)
                 return
-        self._settle(now, part, SubRequestState.FAILED if call.required else SubRequestState.SKIPPED)
+        self._settle(now, part, SubRequestStatus.UNAVAILABLE if call.required else SubRequestStatus.SKIPPED)
 
     def _expire(self, now: float, part: SubRequest) -> None:
         """The part's time is over."""
@@ -360,8 +362,8 @@
         for attempt in part.attempts:
             self._drop(now, attempt, Outcome.TIMED_OUT)
         part.attempts.clear()
-        if part.spec.write and part.attempts_sent:
-            self._settle(now, part, SubRequestState.FAILED)
+        if part.call_spec.write and part.attempts_sent:
+            self._settle(now, part, SubRequestStatus.UNAVAILABLE)
         else:
             part.tried_dependencies.update(self.dependencies)  # no time for another
             self._elsewhere(now, part)
@@ -386,7 +388,7 @@
             dependency.free(now) or dependency.circuit_breaker.state is CircuitState.OPEN
         ):
             part = dependency.waiting.popleft()
-            if part.state is not SubRequestState.WAITING or part.dependency_name != dependency.spec.name:
+            if part.status is not SubRequestStatus.WAITING or part.dependency_name != dependency.spec.name:
                 continue
             if dependency.free(now) and self.timeout_policy.has_time_for_call(now, part, dependency):
                 self._send(now, part, dependency)
--- a/saltcart/composition/timeout_policy.py
+++ b/saltcart/composition/timeout_policy.py
@@ -68,7 +68,7 @@
     def has_time_for_call(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
         """Is there time for a lucky call at least?"""
         room = part.deadline - now
-        if part.spec.write and not self.earns_when_late(
+        if part.call_spec.write and not self.earns_when_late(
             part.run.plan.class_name
         ):  # it may end late, but not begin so
             room = min(room, part.run.objective_at - now)
@@ -88,7 +88,7 @@
             # Of a dependency that hardly replies any more nothing is expected: both are asked at once.
             after = next((level for level in (SURE * need.most, 2 * need.typical) if level < inf), 0.0)
             return now + max(0.0, min(after, room - LEAVE * other.time_needed(now).most))
-        if part.spec.hedge and SURE * need.most + need.typical <= room:
+        if part.call_spec.hedge and SURE * need.most + need.typical <= room:
             return now + SURE * need.most
         return None
 
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -30,7 +30,7 @@
     CompositionFinished,
     SendCall,
     SubRequest,
-    SubRequestState,
+    SubRequestStatus,
 )
 from saltcart.composition.composition_engine import CompositionEngine
 from saltcart.composition.dependency_state import DependencyState
@@ -192,7 +192,7 @@
         self.tally.calls += 1
         if order.must_run_once and order.request_id in self.desk.runs:
             replies = self.desk.runs[order.request_id].replies
-            self.tally.writes_partial += any(m is not SubRequestState.ANSWERED for m, _ in replies.values())
+            self.tally.writes_partial += any(m is not SubRequestStatus.ANSWERED for m, _ in replies.values())
         self.places[order.dependency].call(
             self.events.now,
             request_of(order.request_id),
