--- a/saltcart/composition/__init__.py
+++ b/saltcart/composition/__init__.py
@@ -1,1 +1,1 @@
-"""Composed runs: a request's time shared among the dependencies that it needs.  Decisions alone, no I/O."""
+"""Composed responses: a request's time is shared among the dependencies it calls.  Decisions only, no I/O."""
--- a/saltcart/composition/bodies.py
+++ b/saltcart/composition/bodies.py
@@ -1,4 +1,4 @@
-"""What goes to a dependency and what comes out as the answer."""
+"""Bodies of the calls to dependencies, and of the composed response."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from saltcart.composition.plan import CallSpec
 
 
-def readable(body: bytes) -> Any:
-    """A reply as a JSON value: as it is if it is JSON, else as text, else in base 64."""
+def body_as_json(body: bytes) -> Any:
+    """Return a body as a JSON value: parsed if it is JSON, else as text, else in base 64."""
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError:
@@ -23,23 +23,23 @@
         return {"base64": base64.b64encode(body).decode()}
 
 
-def answers(run: ComposedRun) -> dict[str, Any]:
-    """The replies so far by dependency; null for what was left out."""
+def replies_by_dependency(run: ComposedRun) -> dict[str, Any]:
+    """Return the replies of the finished stages by dependency, with null for skipped calls."""
     return {
-        name: None if mark is SubRequestStatus.SKIPPED else readable(body)
-        for name, (mark, body) in run.replies.items()
+        name: None if status is SubRequestStatus.SKIPPED else body_as_json(body)
+        for name, (status, body) in run.replies.items()
     }
 
 
-def to_send(run: ComposedRun, call: CallSpec) -> bytes:
-    """The body of a call."""
+def call_body(run: ComposedRun, call: CallSpec) -> bytes:
+    """Return the body that a call sends."""
     if call.sends == "request":
         return run.body
-    return orjson.dumps({"request": readable(run.body), "answers": answers(run)})
+    return orjson.dumps({"request": body_as_json(run.body), "answers": replies_by_dependency(run)})
 
 
-def answer(run: ComposedRun) -> bytes:
-    """The body of the answer, once all stages are over."""
+def response_body(run: ComposedRun) -> bytes:
+    """Return the body of the response, once all stages are finished."""
     if run.plan.answer is not None:
         return run.replies[run.plan.answer][1]
-    return orjson.dumps(answers(run))
+    return orjson.dumps(replies_by_dependency(run))
--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -172,7 +172,7 @@
         calls = optional_last(run.plan.stage[run.next_stage].call)
         run.next_stage += 1
         run.sub_requests = [
-            SubRequest(run, c, limits.required if c.required else limits.optional, bodies.to_send(run, c))
+            SubRequest(run, c, limits.required if c.required else limits.optional, bodies.call_body(run, c))
             for c in calls
         ]
         run.is_starting_stage = True
@@ -205,7 +205,7 @@
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
         self.earns.ended(self.worth.get(run.plan.class_name, 0.0) * (1 - lost), now - run.started_at)
-        self._end(now, run, Outcome.SUCCEEDED, bodies.answer(run), left, remembered)
+        self._end(now, run, Outcome.SUCCEEDED, bodies.response_body(run), left, remembered)
 
     def _end(
         self,
--- a/tests/test_composition_parts.py
+++ b/tests/test_composition_parts.py
@@ -262,7 +262,7 @@
     (tables(plan("read", [A], [A])), "plan[0].stage[1].call[0].dependency", "called twice"),
     (tables(*[plan("read", [A])] * 2), "plan[1].class", "already"),
     (one({"worth": 0.1}), "worth", "can't be left out"),
-    (one(NO), "required", "no partial answer"),
+    (one(NO), "required", "no partial response"),
     (one({**NO, "worth": 0.6}, {"dependency": "b", **NO, "worth": 0.6}, partial=True), "stage", "add up"),
     (one({}, answer="z"), "answer", "calls no z"),
     (one(NO, answer="a", partial=True), "answer", "left out"),
@@ -272,7 +272,7 @@
     (tables(dependencies=({"name": "a"},)), "dependency[0].upstream", "names an upstream"),
     (tables(dependencies=({**LINES, "address": "h:70000"},)), "dependency[0].address", "port"),
     (tables(dependencies=({"name": "a", "kind": "index"},)), "dependency[0].address", "names an address"),
-    (tables(dependencies=({**AJP, "least": 9, "most": 3},)), "dependency[0].least", "over most"),
+    (tables(dependencies=({**AJP, "least": 9, "most": 3},)), "dependency[0].least", "greater than most"),
     (tables(dependencies=({**AJP, "fallback": "z"},)), "dependency[0].fallback", "no such dependency"),
     (tables(dependencies=({**AJP, "fallback": "b"}, {**LINES, "fallback": "a"})), "fallback", "a to b to a"),
 ]
@@ -291,7 +291,7 @@
     [
         (plan("none", [{"dependency": "a"}]), "no such class"),
         (plan("read", [{"dependency": "a", "write": True}]), "no effects"),
-        (plan("read", [{"dependency": "a"}], reserve_ms=1000), "nothing of the aim"),
+        (plan("read", [{"dependency": "a"}], reserve_ms=1000), "nothing of the latency objective"),
         (plan("oddaja", [{"dependency": "a"}]), "one write"),
         (plan("oddaja", [{"dependency": "a", "write": True}], [{"dependency": "b"}]), "alone in the last"),
         (plan("oddaja", [{"dependency": "b"}, {"dependency": "a", "write": True}]), "alone in the last"),
