--- a/saltcart/composition/composed_run.py
+++ b/saltcart/composition/composed_run.py
@@ -1,4 +1,4 @@
-"""One composed run and its pieces, and the orders that go out for it.  Data; the desk moves it on."""
+"""Data of a composed run, and the actions that the engine asks its host to carry out."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SubRequestStatus(enum.Enum):
-    """How far one call of a plan has come."""
+    """Status of one sub-request."""
 
     WAITING = "waits for a place"
     IN_FLIGHT = "an attempt is under way"
@@ -23,11 +23,18 @@
     UNAVAILABLE = "required, and not to be had"
 
 
-OPEN = (SubRequestStatus.WAITING, SubRequestStatus.IN_FLIGHT)
+UNSETTLED = (SubRequestStatus.WAITING, SubRequestStatus.IN_FLIGHT)
 
 
 class CallAttempt:
-    """One call that was sent, until its reply or its being given up."""
+    """One call that was sent, until its reply arrives or it is cancelled.
+
+    Attributes:
+        is_additional: Whether it is a retry or a hedged request, which the retry budget limits.
+        has_typical_time: Whether its timeout is no shorter than the time of a typical call.
+        is_probe: Whether the circuit breaker was half open when it was sent.
+        hedge_at: When a second attempt starts if this one has no reply yet; infinite if none does.
+    """
 
     __slots__ = (
         "call_id",
@@ -56,15 +63,22 @@
             started_at,
         )
         self.is_additional, self.has_typical_time, self.is_probe = is_additional, has_typical_time, False
-        self.hedge_at = inf  # when a second attempt begins beside it, if there is one to make
+        self.hedge_at = inf
 
     def is_slow(self, now: float) -> bool:
-        """Has it been out for longer than nearly all calls are?"""
+        """Return whether it has been in flight for longer than nearly all calls."""
         return now >= self.hedge_at
 
 
 class SubRequest:
-    """One call of the stage under way."""
+    """One call of the stage in progress, with its attempts.
+
+    Attributes:
+        body: What every attempt sends; the key of its cached reply depends on it as well.
+        dependency_name: The planned dependency, or the fallback that is called now.
+        tried_dependencies: Names of the dependencies that are not fallen back to any more.
+        is_hedged: Whether a second attempt was started because the first one was slow.
+    """
 
     __slots__ = (
         "attempts",
@@ -82,16 +96,26 @@
 
     def __init__(self, run: ComposedRun, call_spec: CallSpec, deadline: float, body: bytes) -> None:
         self.run, self.call_spec, self.deadline = run, call_spec, deadline
-        self.body = body  # what every attempt sends, and what a last good answer is known by
-        self.dependency_name = call_spec.dependency  # or the one that it has fallen back to
+        self.body = body
+        self.dependency_name = call_spec.dependency
         self.tried_dependencies = {call_spec.dependency}
         self.status, self.reply, self.attempts_sent = SubRequestStatus.WAITING, b"", 0
         self.attempts: list[CallAttempt] = []
-        self.is_hedged = False  # a second attempt was begun beside a slow first one
+        self.is_hedged = False
 
 
 class ComposedRun:
-    """A request whose answer is being composed.  Times are those of the clock that the desk is given."""
+    """A request whose response is being composed.
+
+    Times are seconds on the clock that the host passes to the engine.
+
+    Attributes:
+        objective_at: A response by then earns its full weight.
+        deadline: No response is useful after this time.
+        next_stage: Index of the stage that starts next.
+        replies: Statuses and replies of the finished stages, by dependency.
+        is_starting_stage: Whether the sub-requests of a stage are still being started.
+    """
 
     __slots__ = (
         "body",
@@ -121,19 +145,26 @@
         self.request_id, self.plan, self.tenant, self.body = request_id, plan, tenant, body
         self.started_at, self.objective_at, self.deadline = now, objective_at, deadline
         self.next_stage, self.sub_requests = 0, list[SubRequest]()
-        self.replies: dict[str, tuple[SubRequestStatus, bytes]] = {}  # of the stages that are over
+        self.replies: dict[str, tuple[SubRequestStatus, bytes]] = {}
         self.is_starting_stage = self.is_finished = False
 
-    def dependencies_in_state(self, mark: SubRequestStatus) -> tuple[str, ...]:
-        """Dependencies that ended so."""
-        return tuple(name for name, (found, _) in self.replies.items() if found is mark)
+    def dependencies_with_status(self, status: SubRequestStatus) -> tuple[str, ...]:
+        """Return the dependencies whose sub-requests ended with this status."""
+        return tuple(name for name, (final_status, _) in self.replies.items() if final_status is status)
 
 
 class SendCall(NamedTuple):
-    """Make a call.  ``once``: it must never be sent a second time; ``within``: seconds for its reply."""
+    """Make a call.
+
+    Attributes:
+        id: Identifies the call.
+        request_id: The composed run that the call belongs to.
+        timeout: Seconds to wait for the reply.
+        must_run_once: Whether the call must never be sent a second time.
+    """
 
     id: bytes
-    request_id: bytes  # the run that it is made for
+    request_id: bytes
     dependency: str
     tenant: str
     body: bytes
@@ -142,14 +173,23 @@
 
 
 class CancelCall(NamedTuple):
-    """Nobody waits for this call's reply any more."""
+    """Cancel the call with this id: its reply is not needed any more."""
 
     id: bytes
     dependency: str
 
 
 class CompositionFinished(NamedTuple):
-    """A composed run is over; NOT_STARTED: nothing with an effect was started."""
+    """Finish a composed run.
+
+    Attributes:
+        id: Identifies the request.
+        outcome: ``NOT_STARTED`` where the run failed before its write was sent.
+        seconds: Duration of the run.
+        body: Body of the response; empty unless the run succeeded.
+        skipped_dependencies: Dependencies without whose replies the response was composed.
+        cached_dependencies: Dependencies of which cached replies were used.
+    """
 
     id: bytes
     outcome: Outcome
@@ -163,22 +203,23 @@
 
 
 class ActionQueue:
-    """Carries orders out one after the other, in the order in which they were given.
+    """Carries out actions one at a time, in the order in which they were queued.
 
-    What an order leads to may give further ones before it returns; they wait for those that came before
-    them, or a call could be given up before it is sent.
+    Carrying out an action may queue further ones before it returns.  These wait for the ones queued earlier;
+    otherwise a call could be cancelled before it is sent.
     """
 
     def __init__(self, carry_out: Callable[[CompositionAction], None]) -> None:
-        self.carry_out, self.queue, self.busy = carry_out, deque[CompositionAction](), False
+        self.carry_out, self.queue, self.is_running = carry_out, deque[CompositionAction](), False
 
-    def __call__(self, orders: list[CompositionAction]) -> None:
-        self.queue.extend(orders)
-        if self.busy:
+    def __call__(self, actions: list[CompositionAction]) -> None:
+        """Queue actions, and carry out the queue unless that is in progress already."""
+        self.queue.extend(actions)
+        if self.is_running:
             return
-        self.busy = True
+        self.is_running = True
         try:
             while self.queue:
                 self.carry_out(self.queue.popleft())
         finally:
-            self.busy = False
+            self.is_running = False
--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -13,7 +13,7 @@
 
 from saltcart.composition import bodies
 from saltcart.composition.composed_run import (
-    OPEN,
+    UNSETTLED,
     CallAttempt,
     CancelCall,
     ComposedRun,
@@ -51,7 +51,7 @@
         self.worth = {c.name: c.priority_weight for c in classes}
         late = {c.name for c in classes if c.late_weight_share > 0}
         self.timeout_policy = TimeoutPolicy(self.dependencies.__getitem__, rng, late.__contains__)
-        self.earns = SlotValue()
+        self.slot_value = SlotValue()
         self.runs: dict[bytes, ComposedRun] = {}
         self.attempts: dict[bytes, CallAttempt] = {}
         self.number = rng.getrandbits(64)  # of the next attempt: two processes never name theirs alike
@@ -103,7 +103,7 @@
             run.objective_at, run.deadline = min(run.objective_at, by), min(run.deadline, by)
             end = run.deadline - run.plan.reserve_ms / 1000
             for part in run.sub_requests:
-                if part.status in OPEN and part.deadline > end:
+                if part.status in UNSETTLED and part.deadline > end:
                     part.deadline = end
                     self._at(end, self._expire, part)
         return self._take()
@@ -113,14 +113,14 @@
 
         Runs that only wait for what can be left out make room, as far as a slot earns more elsewhere.
         """
-        price = self.earns.rate() * min(1.0, held / CROWD)
+        price = self.slot_value.per_second() * min(1.0, held / CROWD)
         if price > 0:
             for run in list(self.runs.values()):
-                parts = [part for part in run.sub_requests if part.status in OPEN]
+                parts = [part for part in run.sub_requests if part.status in UNSETTLED]
                 if run.is_finished or any(part.call_spec.required for part in parts):
                     continue
                 for part in parts:
-                    if part.status in OPEN and not self._worth_waiting(now, part, price / len(parts)):
+                    if part.status in UNSETTLED and not self._worth_waiting(now, part, price / len(parts)):
                         self.counts["pressed"] += 1
                         self._elsewhere(now, part)
         return self._take()
@@ -136,12 +136,12 @@
         """Run what is due."""
         while self.due and self.due[0][0] <= now:
             _, _, act, part = heapq.heappop(self.due)
-            if part.status in OPEN:
+            if part.status in UNSETTLED:
                 act(now, part)
         return self._take()
 
     def next_timer_at(self) -> float | None:
-        while self.due and self.due[0][3].status not in OPEN:  # settled since: no reason to wake anybody
+        while self.due and self.due[0][3].status not in UNSETTLED:  # settled since: no reason to wake anybody
             heapq.heappop(self.due)
         return self.due[0][0] if self.due else None
 
@@ -165,7 +165,7 @@
                 self._end(now, run, Outcome.FAILED)
                 return
             self._begin_stage(now, run, limits)
-            if any(part.status in OPEN for part in run.sub_requests):
+            if any(part.status in UNSETTLED for part in run.sub_requests):
                 return
 
     def _begin_stage(self, now: float, run: ComposedRun, limits: StageDeadlines) -> None:
@@ -193,18 +193,20 @@
         elif (
             not run.is_starting_stage
             and not run.is_finished
-            and not any(p.status in OPEN for p in run.sub_requests)
+            and not any(p.status in UNSETTLED for p in run.sub_requests)
         ):
             self._go_on(now, run)
 
     def _finish(self, now: float, run: ComposedRun) -> None:
         left, remembered = (
-            run.dependencies_in_state(SubRequestStatus.SKIPPED),
-            run.dependencies_in_state(SubRequestStatus.CACHED),
+            run.dependencies_with_status(SubRequestStatus.SKIPPED),
+            run.dependencies_with_status(SubRequestStatus.CACHED),
         )
         self.counts["partial" if left else "whole"] += 1
         lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
-        self.earns.ended(self.worth.get(run.plan.class_name, 0.0) * (1 - lost), now - run.started_at)
+        self.slot_value.record_run(
+            self.worth.get(run.plan.class_name, 0.0) * (1 - lost), now - run.started_at
+        )
         self._end(now, run, Outcome.SUCCEEDED, bodies.response_body(run), left, remembered)
 
     def _end(
@@ -229,7 +231,7 @@
         ):
             outcome = Outcome.NOT_STARTED  # the write was never sent: a further try of the same key may run
         for part in run.sub_requests:
-            if part.status in OPEN:
+            if part.status in UNSETTLED:
                 part.status = SubRequestStatus.UNAVAILABLE
             for attempt in part.attempts:
                 self._drop(now, attempt, Outcome.CANCELLED)
--- a/saltcart/composition/slot_value.py
+++ b/saltcart/composition/slot_value.py
@@ -1,20 +1,21 @@
-"""What a slot earns: the price at which a run that waits for little keeps others from running."""
+"""Value of a slot: what runs that wait for optional replies cost the requests that wait for a slot."""
 
 from __future__ import annotations
 
-FADE = 0.98  # a run's weight with each one that ends after it
+RUN_DECAY = 0.98  # factor on a run's weight with each run that ends after it
 
 
 class SlotValue:
-    """Worth earned for each second of a slot, over the runs of late."""
+    """Value that composed runs earn per second of a slot, averaged over recent runs."""
 
     def __init__(self) -> None:
-        self.worth = self.seconds = 0.0
+        self.value = self.seconds = 0.0
 
-    def ended(self, worth: float, took: float) -> None:
-        self.worth = FADE * self.worth + worth
-        self.seconds = FADE * self.seconds + max(1e-3, took)
+    def record_run(self, value: float, seconds: float) -> None:
+        """Record the value and the duration of a finished run."""
+        self.value = RUN_DECAY * self.value + value
+        self.seconds = RUN_DECAY * self.seconds + max(1e-3, seconds)
 
-    def rate(self) -> float:
-        """Worth a second; 0 while nothing has ended."""
-        return self.worth / self.seconds if self.seconds else 0.0
+    def per_second(self) -> float:
+        """Return the value per second; 0 before the first run has ended."""
+        return self.value / self.seconds if self.seconds else 0.0
--- a/saltcart/composition/stale_cache.py
+++ b/saltcart/composition/stale_cache.py
@@ -1,4 +1,4 @@
-"""The last good answers of dependencies: bounded in number, size and age, and each tenant's its own."""
+"""Cache of the last successful replies of dependencies, bounded in entries, size and age."""
 
 from __future__ import annotations
 
@@ -6,54 +6,60 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-ENTRY_OVERHEAD_BYTES = 200  # bytes of an entry beside its body, as measured with tracemalloc
+ENTRY_OVERHEAD_BYTES = 200  # memory of an entry without its body, according to tracemalloc
 
 
-class CachedResponse(NamedTuple):
-    at: float
+class CachedReply(NamedTuple):
+    """The last successful reply to one call."""
+
+    stored_at: float
     body: bytes
 
 
 class StaleCache:
-    """Least recently used answers go first, and from the tenant that holds the most bytes."""
+    """Cached replies, separate for each tenant.
+
+    When the cache is full, the least recently used reply of the tenant that holds the most bytes is evicted.
+    """
 
-    def __init__(self, entries: int, kb: float) -> None:
-        self.most, self.most_bytes = entries, int(kb * 1024)
-        self.entries_by_tenant: dict[str, OrderedDict[bytes, CachedResponse]] = {}
-        self.bytes_by_tenant: dict[str, int] = {}  # bytes by tenant
+    def __init__(self, max_entries: int, max_kb: float) -> None:
+        self.max_entries, self.max_bytes = max_entries, int(max_kb * 1024)
+        self.entries_by_tenant: dict[str, OrderedDict[bytes, CachedReply]] = {}
+        self.bytes_by_tenant: dict[str, int] = {}
         self.entry_count = self.total_bytes = 0
 
     @staticmethod
-    def key(dependency: str, sent: bytes) -> bytes:
-        """What the answer answers: the dependency and all that was sent to it."""
-        return blake2b(sent, digest_size=16, key=dependency.encode()[:64]).digest()
+    def key(dependency: str, call_body: bytes) -> bytes:
+        """Return the key of a reply: a digest of the dependency and of all that was sent to it."""
+        return blake2b(call_body, digest_size=16, key=dependency.encode()[:64]).digest()
 
     def put(self, now: float, tenant: str, key: bytes, body: bytes) -> None:
-        if len(body) + ENTRY_OVERHEAD_BYTES > self.most_bytes or not self.most:
+        """Store a reply in place of an older one, unless it is larger than the whole cache."""
+        if len(body) + ENTRY_OVERHEAD_BYTES > self.max_bytes or not self.max_entries:
             return
-        mine = self.entries_by_tenant.setdefault(tenant, OrderedDict())
-        if key in mine:
+        entries = self.entries_by_tenant.setdefault(tenant, OrderedDict())
+        if key in entries:
             self._remove(tenant, key)
-            mine = self.entries_by_tenant.setdefault(tenant, mine)
-        mine[key] = CachedResponse(now, body)
+            entries = self.entries_by_tenant.setdefault(tenant, entries)
+        entries[key] = CachedReply(now, body)
         size = len(body) + ENTRY_OVERHEAD_BYTES
         self.bytes_by_tenant[tenant] = self.bytes_by_tenant.get(tenant, 0) + size
         self.total_bytes, self.entry_count = self.total_bytes + size, self.entry_count + 1
-        while self.total_bytes > self.most_bytes or self.entry_count > self.most:
-            most = max(self.bytes_by_tenant, key=self.bytes_by_tenant.__getitem__)
-            self._remove(most, next(iter(self.entries_by_tenant[most])))
+        while self.total_bytes > self.max_bytes or self.entry_count > self.max_entries:
+            largest_tenant = max(self.bytes_by_tenant, key=self.bytes_by_tenant.__getitem__)
+            self._remove(largest_tenant, next(iter(self.entries_by_tenant[largest_tenant])))
 
-    def get(self, now: float, tenant: str, key: bytes, age: float) -> bytes | None:
-        """An answer no older than ``age`` seconds."""
-        mine = self.entries_by_tenant.get(tenant)
-        kept = None if mine is None else mine.get(key)
-        if mine is None or kept is None or now - kept.at > age:
+    def get(self, now: float, tenant: str, key: bytes, max_age: float) -> bytes | None:
+        """Return a cached reply that is no older than ``max_age`` seconds."""
+        entries = self.entries_by_tenant.get(tenant)
+        cached = None if entries is None else entries.get(key)
+        if entries is None or cached is None or now - cached.stored_at > max_age:
             return None
-        mine.move_to_end(key)
-        return kept.body
+        entries.move_to_end(key)
+        return cached.body
 
     def remove_tenant(self, tenant: str) -> None:
-        """A tenant is gone, and with it all that it was told."""
+        """Remove all cached replies of a tenant."""
         for key in list(self.entries_by_tenant.get(tenant, ())):
             self._remove(tenant, key)
 
--- a/saltcart/composition/time_shares.py
+++ b/saltcart/composition/time_shares.py
@@ -1,4 +1,4 @@
-"""The arithmetic of a request's time: what each stage may have of what is left."""
+"""Shares of the time that is left for a request among the stages of its plan."""
 
 from __future__ import annotations
 
@@ -7,41 +7,63 @@
 
 
 class TimeNeeded(NamedTuple):
-    """What a stage needs, in seconds: a lucky run of it, a typical one, and nearly all of them."""
+    """Time that a call or a stage needs, in seconds.
+
+    Attributes:
+        lucky: A low quantile: even fast calls need that long.
+        typical: The median.
+        most: A high quantile: nearly all calls end in it.
+    """
 
     lucky: float
     typical: float
     most: float
 
 
-NOTHING = TimeNeeded(0.0, 0.0, 0.0)
+NO_TIME = TimeNeeded(0.0, 0.0, 0.0)
+
+
+def split_time(left: float, current: TimeNeeded, later: Sequence[TimeNeeded]) -> list[float] | None:
+    """Split the time that is left among the current stage and the later ones.
 
+    Later stages are reserved the time that nearly all of their runs need.  Where that is too much for all
+    stages together, all are reduced in proportion: from ``most`` towards ``typical``, and from there towards
+    ``lucky``.  The current stage gets all that is not reserved.
 
-def split_time(left: float, now: TimeNeeded, later: Sequence[TimeNeeded]) -> list[float] | None:
-    """Shares of ``left`` for this stage and each later one, adding up to it; None where they can't fit.
+    Args:
+        left: Seconds until the last stage must have ended.
+        current: What the current stage needs.
+        later: What each later stage needs.
 
-    Later stages are kept what nearly all of their runs need; where that is too much for all, all come down
-    together, from the most to the typical and from there to the lucky; this stage has all that is not kept.
+    Returns:
+        Seconds for the current stage and for each later one, which add up to ``left``; None if ``left`` is
+        less than the sum of the ``lucky`` times.
     """
-    levels = list(zip(now, *later))  # lucky, typical, most; each of all stages
+    levels = list(zip(current, *later))  # the lucky, typical and most times, each of all stages
     sums = [sum(level) for level in levels]
     if left < 0 or sums[0] > left:
         return None
     below = levels[0]
     for n in (1, 2):
-        if sums[n] > left:  # between two levels: the same share of the way for all
-            part = (left - sums[n - 1]) / (sums[n] - sums[n - 1]) if sums[n] != float("inf") else 0.0
-            shares = [a + part * (b - a) if part else a for a, b in zip(below, levels[n])]
+        if sums[n] > left:  # between two levels: every stage gets the same fraction of its difference
+            fraction = (left - sums[n - 1]) / (sums[n] - sums[n - 1]) if sums[n] != float("inf") else 0.0
+            shares = [
+                low + fraction * (high - low) if fraction else low for low, high in zip(below, levels[n])
+            ]
             break
         below = levels[n]
     else:
         shares = list(below)
-    rest = shares[1:]
-    return [max(0.0, left - sum(rest)), *rest]
+    later_shares = shares[1:]
+    return [max(0.0, left - sum(later_shares)), *later_shares]
 
 
 def parallel_time_needed(needs: Sequence[TimeNeeded]) -> TimeNeeded:
-    """The need of calls that are made together: at each level the longest."""
+    """Return the time needed by calls that are made in parallel: the longest at each level."""
     if not needs:
-        return NOTHING
-    return TimeNeeded(max(n.lucky for n in needs), max(n.typical for n in needs), max(n.most for n in needs))
+        return NO_TIME
+    return TimeNeeded(
+        max(need.lucky for need in needs),
+        max(need.typical for need in needs),
+        max(need.most for need in needs),
+    )
