--- a/saltcart/composition/dependency_state.py
+++ b/saltcart/composition/dependency_state.py
@@ -73,7 +73,7 @@
             if overtaken:  # another answered first, well past the time that this one should have taken
                 self.circuit_breaker.record_result(now, False, attempt.is_probe)
             else:
-                self.circuit_breaker.record_cancelled(attempt.is_probe)
+                self.circuit_breaker.record_inconclusive(attempt.is_probe)
             return
         if outcome is Outcome.SUCCEEDED:
             self.durations.add(now, took)
@@ -81,7 +81,7 @@
             self.durations.add(now, took, censored=True)
         # A call that was given less than a typical one takes says nothing against the dependency.
         if outcome is Outcome.TIMED_OUT and not attempt.has_typical_time:
-            self.circuit_breaker.record_cancelled(attempt.is_probe)
+            self.circuit_breaker.record_inconclusive(attempt.is_probe)
             return
         self.circuit_breaker.record_result(now, outcome is Outcome.SUCCEEDED, attempt.is_probe)
         self.limit.record_result(now, outcome in LOST, min(1.0, self.time_needed(now).lucky))
--- a/saltcart/composition/quantile_sketch.py
+++ b/saltcart/composition/quantile_sketch.py
@@ -1,37 +1,50 @@
-"""How long a dependency has lately needed: a quantile sketch that ages and knows of calls that were cut off.
+"""Quantiles of recent call durations, by a sketch that ages and takes censored values into account.
 
-Buckets grow by a constant ratio, so each quantile is right to a relative ``error`` (the idea of DDSketch,
-Masson et al. 2019).  A call given up tells only that it would have taken longer; leaving it out would leave
-the survivors, so quantiles are those of Kaplan and Meier (1958) over both kinds.  Old values count for less
-by forward decay (Cormode et al. 2009): a new one weighs more, and nothing is touched again for its age.
+Buckets grow by a constant ratio, so each quantile has a bounded relative ``error`` (the idea of DDSketch,
+Masson et al. 2019).  The duration of a cancelled call is censored: all that is known is that the call would
+have taken longer.  Leaving such calls out would bias the quantiles towards the calls that ended early, so they
+are estimated from both kinds as by Kaplan and Meier (1958).  Old values lose weight by forward decay (Cormode
+et al. 2009): new values get a higher weight, so stored ones need no update as they age.
 """
 
 from __future__ import annotations
 
 from math import exp, inf, log
 
-LOW, HIGH = 1e-4, 60.0  # seconds: what is shorter or longer is told apart no further
-STALE = 0.1  # share of the weight that may come in before the quantiles are worked out again
-HEAVY = 40  # half-lives after which weights are scaled down, far from where they overflow
+MIN_SECONDS, MAX_SECONDS = 1e-4, 60.0  # shorter and longer values share the outermost buckets
+UPDATE_SHARE = 0.1  # share of the total weight that may be added before the quantiles are computed again
+RESCALE_HALF_LIVES = 40  # age at which weights are scaled down, long before they overflow
 
 
 class QuantileSketch:
-    """Quantiles at fixed ``levels`` of values in seconds, each value halved in weight every ``half_life``."""
+    """Quantiles at fixed levels of values in seconds, whose weight halves with every half-life.
+
+    Attributes:
+        levels: Levels of the quantiles, ascending, from 0 to 1.
+        half_life: Seconds in which the weight of a value halves.
+        error: Relative error of a quantile.
+        completed: Weight of the exact values in each bucket.
+        censored: Weight of the censored values in each bucket.
+        first_bucket: Index of the lowest bucket in use.
+        epoch: Time at which a new value has weight 1.
+        added_weight: Weight added since the quantiles were computed.
+        curve: Values in seconds, ascending, each with the share of calls that take longer.
+    """
 
     __slots__ = (
-        "cached",
+        "added_weight",
+        "bucket_count",
+        "cached_quantiles",
         "censored",
         "completed",
         "curve",
+        "epoch",
         "error",
-        "first",
-        "fresh",
+        "first_bucket",
         "half_life",
         "levels",
         "log_ratio",
-        "since",
-        "size",
-        "total",
+        "total_weight",
     )
 
     def __init__(
@@ -39,69 +52,83 @@
     ) -> None:
         self.levels, self.half_life, self.error = levels, half_life, error
         self.log_ratio = log((1 + error) / (1 - error))
-        self.size = int(log(HIGH / LOW) / self.log_ratio) + 2
-        self.completed, self.censored = [0.0] * self.size, [0.0] * self.size
-        self.total, self.since, self.first = 0.0, 0.0, self.size
-        self.fresh, self.cached = inf, tuple[float, ...]()
-        self.curve: list[tuple[float, float]] = []  # values, and the share of calls that take longer
+        self.bucket_count = int(log(MAX_SECONDS / MIN_SECONDS) / self.log_ratio) + 2
+        self.completed, self.censored = [0.0] * self.bucket_count, [0.0] * self.bucket_count
+        self.total_weight, self.epoch, self.first_bucket = 0.0, 0.0, self.bucket_count
+        self.added_weight, self.cached_quantiles = inf, tuple[float, ...]()
+        self.curve: list[tuple[float, float]] = []
 
     def add(self, now: float, value: float, censored: bool = False) -> None:
-        """A value came at ``now``; ``cut``: the true one is longer, by an unknown time."""
-        if now - self.since > HEAVY * self.half_life:
-            self._scale(now)
-        weight: float = 2.0 ** ((now - self.since) / self.half_life)
-        at = 0 if value <= LOW else min(self.size - 1, int(log(value / LOW) / self.log_ratio) + 1)
-        (self.censored if censored else self.completed)[at] += weight
-        self.total += weight
-        self.fresh += weight
-        self.first = min(self.first, at)
-
-    def _scale(self, now: float) -> None:
-        """Old weights to what they are worth now; after a long rest that is nothing at all."""
-        fade = 2.0 ** ((self.since - now) / self.half_life)
-        self.completed = [w * fade for w in self.completed]
-        self.censored = [w * fade for w in self.censored]
-        self.total, self.since, self.fresh = self.total * fade, now, inf
+        """Add a value.
+
+        Args:
+            now: The time, in seconds.
+            value: The value, in seconds.
+            censored: Whether the true value is longer, by an unknown time.
+        """
+        if now - self.epoch > RESCALE_HALF_LIVES * self.half_life:
+            self._rescale(now)
+        weight: float = 2.0 ** ((now - self.epoch) / self.half_life)
+        bucket = (
+            0
+            if value <= MIN_SECONDS
+            else min(self.bucket_count - 1, int(log(value / MIN_SECONDS) / self.log_ratio) + 1)
+        )
+        (self.censored if censored else self.completed)[bucket] += weight
+        self.total_weight += weight
+        self.added_weight += weight
+        self.first_bucket = min(self.first_bucket, bucket)
+
+    def _rescale(self, now: float) -> None:
+        """Scale the weights so that a new value has weight 1; after a long pause the old ones become 0."""
+        decay = 2.0 ** ((self.epoch - now) / self.half_life)
+        self.completed = [weight * decay for weight in self.completed]
+        self.censored = [weight * decay for weight in self.censored]
+        self.total_weight, self.epoch, self.added_weight = self.total_weight * decay, now, inf
 
     def recent_count(self, now: float) -> float:
-        """How many recent values the evidence amounts to."""
-        fade: float = 2.0 ** (min(0.0, self.since - now) / self.half_life)
-        return self.total * fade
+        """Return the number of new values that would have the same weight as all stored ones."""
+        decay: float = 2.0 ** (min(0.0, self.epoch - now) / self.half_life)
+        return self.total_weight * decay
 
     def quantiles(self) -> tuple[float, ...]:
-        """The values at the levels, in seconds; infinite where too much was cut off to tell.
+        """Return the values at the levels, in seconds; infinite where too many values are censored.
 
-        The first is then the longest that any was waited for: it takes that long at least, and more is not
-        known.  Calls that were all cut off early must not pass for a dependency that never replies.
+        The first one is never infinite: it is then the longest stored value, as a lower bound.  Calls that
+        were all cancelled early must not look like a dependency that never replies.
         """
-        if self.fresh > STALE * self.total:
-            self.cached, self.fresh = self._work_out(), 0.0
-        return self.cached
+        if self.added_weight > UPDATE_SHARE * self.total_weight:
+            self.cached_quantiles, self.added_weight = self._compute(), 0.0
+        return self.cached_quantiles
 
     def survival_curve(self) -> list[tuple[float, float]]:
-        """The curve itself: ascending values in seconds, each with the share of calls that take longer."""
+        """Return values in seconds, ascending, each with the share of calls that take longer."""
         self.quantiles()
         return self.curve
 
-    def _work_out(self) -> tuple[float, ...]:
-        self.curve, left, alive, longest = [], self.total, 1.0, 0.0
-        for at in range(self.first, self.size):
-            ended = self.completed[at]
-            if ended:
-                alive *= max(0.0, 1 - ended / left) if left > 0 else 0.0
-                self.curve.append((self._value(at), alive))
-            # Cut at the same length as others ended: it was there until then.
-            if ended or self.censored[at]:
-                longest = self._value(at)
-            left -= ended + self.censored[at]
-            if left <= 1e-12 * self.total:
+    def _compute(self) -> tuple[float, ...]:
+        self.curve, remaining, surviving, longest = [], self.total_weight, 1.0, 0.0
+        for bucket in range(self.first_bucket, self.bucket_count):
+            completed = self.completed[bucket]
+            if completed:
+                surviving *= max(0.0, 1 - completed / remaining) if remaining > 0 else 0.0
+                self.curve.append((self._bucket_value(bucket), surviving))
+            # Values censored in a bucket count as remaining for those that completed in it.
+            if completed or self.censored[bucket]:
+                longest = self._bucket_value(bucket)
+            remaining -= completed + self.censored[bucket]
+            if remaining <= 1e-12 * self.total_weight:
                 break
         first, *rest = (
-            next((value for value, alive in self.curve if 1 - alive >= level - 1e-12), inf)
+            next((value for value, surviving in self.curve if 1 - surviving >= level - 1e-12), inf)
             for level in self.levels
         )
         return (min(first, longest), *rest)
 
-    def _value(self, at: int) -> float:
-        """The middle of a bucket by ratio, which is right to ``error`` for all in it."""
-        return LOW if at == 0 else LOW * exp((at - 1) * self.log_ratio) * (1 + self.error)
+    def _bucket_value(self, bucket: int) -> float:
+        """Return the middle of a bucket by ratio, within the relative error of all its values."""
+        return (
+            MIN_SECONDS
+            if bucket == 0
+            else MIN_SECONDS * exp((bucket - 1) * self.log_ratio) * (1 + self.error)
+        )
--- a/tests/test_composition_parts.py
+++ b/tests/test_composition_parts.py
@@ -144,7 +144,7 @@
         if out and (dropped or len(out) > 3):
             probe = out.pop(0)
             if dropped and not ok:
-                breaker.record_cancelled(probe)
+                breaker.record_inconclusive(probe)
             else:
                 breaker.record_result(now, ok, probe)
         assert breaker.probes_in_flight >= 0
@@ -152,7 +152,7 @@
             assert breaker.open_until - now <= CircuitBreaker.MAX_OPEN_SECONDS * (1 + CircuitBreaker.JITTER)
     now += 10
     for probe in out:
-        breaker.record_cancelled(probe)
+        breaker.record_inconclusive(probe)
     assert breaker.allows_call(now)  # whatever came before, a call gets out in the end
 
 
