--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -28,7 +28,7 @@
 from saltcart.composition.plan import CompositionSpec, PlanSpec
 from saltcart.composition.slot_value import SlotValue
 from saltcart.composition.stale_cache import StaleCache
-from saltcart.composition.timeout_policy import StageDeadlines, TimeoutPolicy, optional_last
+from saltcart.composition.timeout_policy import StageDeadlines, TimeoutPolicy, required_first
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
 
@@ -169,7 +169,7 @@
                 return
 
     def _begin_stage(self, now: float, run: ComposedRun, limits: StageDeadlines) -> None:
-        calls = optional_last(run.plan.stage[run.next_stage].call)
+        calls = required_first(run.plan.stage[run.next_stage].call)
         run.next_stage += 1
         run.sub_requests = [
             SubRequest(run, c, limits.required if c.required else limits.optional, bodies.call_body(run, c))
@@ -248,7 +248,7 @@
         if not self.timeout_policy.has_time_for_call(now, part, dependency):
             dependency.counts["unfit"] += 1
             self._elsewhere(now, part)
-        elif not self.timeout_policy.enforces_limits or dependency.free(now):
+        elif not self.timeout_policy.enforces_limits or dependency.allows_call(now):
             self._send(now, part, dependency)
         elif (
             dependency.circuit_breaker.allows_call(now) and len(dependency.waiting) < dependency.spec.waiting
@@ -297,12 +297,12 @@
         other = dependency.spec.fallback
         if other is not None and other not in part.tried_dependencies:
             target = self.dependencies[other]
-            if target.free(now) and self.timeout_policy.has_time_for_call(now, part, target):
+            if target.allows_call(now) and self.timeout_policy.has_time_for_call(now, part, target):
                 part.is_hedged = True
                 part.tried_dependencies.add(other)
                 target.counts["fallback"] += 1
                 self._send(now, part, target)
-        elif part.call_spec.hedge and dependency.free(now) and dependency.retry_budget.take_token():
+        elif part.call_spec.hedge and dependency.allows_call(now) and dependency.retry_budget.take_token():
             part.is_hedged = True
             dependency.counts["hedge"] += 1
             self._send(now, part, dependency, further=True)
@@ -332,7 +332,7 @@
             and self.timeout_policy.has_time_for_retry(now, part, dependency)
             and (
                 not self.timeout_policy.enforces_limits
-                or (dependency.free(now) and dependency.retry_budget.take_token())
+                or (dependency.allows_call(now) and dependency.retry_budget.take_token())
             )
         ):
             self._send(now, part, dependency, further=True)
@@ -387,12 +387,12 @@
         Where the breaker has opened none will be: then all that wait go elsewhere at once.
         """
         while dependency.waiting and (
-            dependency.free(now) or dependency.circuit_breaker.state is CircuitState.OPEN
+            dependency.allows_call(now) or dependency.circuit_breaker.state is CircuitState.OPEN
         ):
             part = dependency.waiting.popleft()
             if part.status is not SubRequestStatus.WAITING or part.dependency_name != dependency.spec.name:
                 continue
-            if dependency.free(now) and self.timeout_policy.has_time_for_call(now, part, dependency):
+            if dependency.allows_call(now) and self.timeout_policy.has_time_for_call(now, part, dependency):
                 self._send(now, part, dependency)
             else:
                 self._elsewhere(now, part)
--- a/saltcart/composition/dependency_state.py
+++ b/saltcart/composition/dependency_state.py
@@ -1,4 +1,4 @@
-"""All that is known of one dependency, and the one place where a call's beginning and end are booked."""
+"""State of one dependency: call durations, limits, waiting calls and counters."""
 
 from __future__ import annotations
 
@@ -13,13 +13,11 @@
 from saltcart.composition.time_shares import TimeNeeded
 from saltcart.decision.outcome import Outcome
 
-UNKNOWN = TimeNeeded(
-    0.0, 0.02, 0.2
-)  # a dependency of which nothing is known yet is taken for an ordinary one
-EVIDENCE = 3.0  # recent calls that are needed to tell more
-LOOK = 0.05  # seconds for which a need that was worked out holds
+DEFAULT_TIME_NEEDED = TimeNeeded(0.0, 0.02, 0.2)  # of a dependency with too few recent calls
+MIN_RECENT_CALLS = 3.0  # for an estimate of the time needed
+ESTIMATE_LIFETIME = 0.05  # seconds
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_STARTED)
-# Names of the counts that operators are shown.
+# Names of the counters that operators are shown.
 OUTCOME_COUNTERS = {
     Outcome.SUCCEEDED: "ok",
     Outcome.FAILED: "error",
@@ -30,11 +28,14 @@
     Outcome.TIMED_OUT: "timeout",
     Outcome.BROKEN_OFF: "broken",
 }
-LOST = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.TIMED_OUT)  # signs of a crowd there
+OVERLOAD_OUTCOMES = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.TIMED_OUT)
 
 
 class DependencyState:
-    """Times, limit, breaker and allowance of one dependency, and the calls that wait for a place at it."""
+    """Durations, concurrency limit, circuit breaker and retry budget of a dependency, and its waiting calls.
+
+    Every attempt is recorded here once when it starts and once when it ends.
+    """
 
     def __init__(self, spec: DependencySpec, rng: random.Random) -> None:
         self.spec, self.durations = spec, QuantileSketch()
@@ -42,59 +43,72 @@
         self.retry_budget = RetryBudget(spec.attempts)
         self.waiting = deque[SubRequest]()
         self.counts = Counter[str]()
-        self.looked, self.known = -inf, UNKNOWN
+        self.estimated_at, self.estimate = -inf, DEFAULT_TIME_NEEDED
 
     def time_needed(self, now: float) -> TimeNeeded:
-        """What a call has needed lately, in seconds; worked out anew every so often."""
-        if now >= self.looked + LOOK or now < self.looked:
-            self.looked = now
-            known = self.durations.recent_count(now) >= EVIDENCE
-            self.known = TimeNeeded(*self.durations.quantiles()) if known else UNKNOWN
-        return self.known
+        """Return what recent calls needed; the estimate is computed again when it is too old."""
+        if now >= self.estimated_at + ESTIMATE_LIFETIME or now < self.estimated_at:
+            self.estimated_at = now
+            has_enough_calls = self.durations.recent_count(now) >= MIN_RECENT_CALLS
+            self.estimate = (
+                TimeNeeded(*self.durations.quantiles()) if has_enough_calls else DEFAULT_TIME_NEEDED
+            )
+        return self.estimate
 
-    def free(self, now: float) -> bool:
-        """May a call go out at once?"""
+    def allows_call(self, now: float) -> bool:
+        """Return whether the concurrency limit and the circuit breaker allow a call now."""
         return self.limit.has_capacity() and self.circuit_breaker.allows_call(now)
 
     def record_start(self, attempt: CallAttempt) -> None:
+        """Record an attempt that is sent, and mark it if it is a probe of the circuit breaker."""
         self.limit.in_flight += 1
         attempt.is_probe = self.circuit_breaker.record_start()
         self.counts["further" if attempt.is_additional else "first"] += 1
         if not attempt.is_additional:
             self.retry_budget.record_first_attempt()
 
-    def record_end(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
-        """An attempt is over; CANCELLED: it was given up for a reason that is not the dependency's."""
+    def record_end(
+        self, now: float, attempt: CallAttempt, outcome: Outcome, was_overtaken: bool = False
+    ) -> None:
+        """Record the end of an attempt.
+
+        Args:
+            now: The time, in seconds.
+            attempt: The attempt.
+            outcome: ``CANCELLED`` if it was cancelled for a reason that is not the dependency's.
+            was_overtaken: Whether another attempt was answered first, at a time at which nearly all calls
+                would have ended.
+        """
         self.limit.in_flight -= 1
         self.counts[OUTCOME_COUNTERS[outcome]] += 1
-        took = max(0.0, now - attempt.started_at)
+        duration = max(0.0, now - attempt.started_at)
         if outcome is Outcome.CANCELLED:
-            self.durations.add(now, took, censored=True)
-            if overtaken:  # another answered first, well past the time that this one should have taken
+            self.durations.add(now, duration, censored=True)
+            if was_overtaken:  # a call that is too slow counts as a failure
                 self.circuit_breaker.record_result(now, False, attempt.is_probe)
             else:
                 self.circuit_breaker.record_inconclusive(attempt.is_probe)
             return
         if outcome is Outcome.SUCCEEDED:
-            self.durations.add(now, took)
+            self.durations.add(now, duration)
         elif outcome in (Outcome.TIMED_OUT, Outcome.BROKEN_OFF):
-            self.durations.add(now, took, censored=True)
-        # A call that was given less than a typical one takes says nothing against the dependency.
+            self.durations.add(now, duration, censored=True)
+        # A timeout shorter than the time of a typical call is no failure of the dependency.
         if outcome is Outcome.TIMED_OUT and not attempt.has_typical_time:
             self.circuit_breaker.record_inconclusive(attempt.is_probe)
             return
         self.circuit_breaker.record_result(now, outcome is Outcome.SUCCEEDED, attempt.is_probe)
-        self.limit.record_result(now, outcome in LOST, min(1.0, self.time_needed(now).lucky))
+        self.limit.record_result(now, outcome in OVERLOAD_OUTCOMES, min(1.0, self.time_needed(now).lucky))
 
     def state(self, now: float) -> dict[str, float | str]:
-        """What operators are shown; times in milliseconds, -1 where it can't be told."""
+        """Return what operators are shown; times are milliseconds, -1 where there is no estimate."""
         need = self.time_needed(now)
-        shown = {
+        milliseconds = {
             name: round(value * 1000, 1) if value != float("inf") else -1.0
             for name, value in need._asdict().items()
         }
         return {
-            **shown,
+            **milliseconds,
             "circuit": self.circuit_breaker.state.value,
             "limit": int(self.limit.value),
             "used": self.limit.in_flight,
--- a/saltcart/composition/overload_protection.py
+++ b/saltcart/composition/overload_protection.py
@@ -27,19 +27,19 @@
         """Return whether one more call may be in flight."""
         return self.in_flight < int(self.value)
 
-    def record_result(self, now: float, is_lost: bool, typical_seconds: float) -> None:
+    def record_result(self, now: float, is_lost: bool, call_seconds: float) -> None:
         """Adapt the limit to the end of a call.
 
         Args:
             now: The time, in seconds.
             is_lost: Whether the call timed out or was rejected.
-            typical_seconds: Duration of a typical call; the limit is decreased once in this time at most,
-                so that one overload, which loses many calls, counts once.
+            call_seconds: Time that a call needs.  The limit is decreased once in this time at most, because
+                one overload loses many calls and must not count many times.
         """
         if is_lost:
             if now >= self.next_decrease_at:
                 self.value = max(float(self.minimum), self.value * self.DECREASE_FACTOR)
-                self.next_decrease_at = now + max(self.MIN_DECREASE_INTERVAL, typical_seconds)
+                self.next_decrease_at = now + max(self.MIN_DECREASE_INTERVAL, call_seconds)
         elif (
             self.in_flight * 2 >= self.value
         ):  # success below half of the limit does not justify a higher one
--- a/saltcart/composition/quantile_sketch.py
+++ b/saltcart/composition/quantile_sketch.py
@@ -2,9 +2,9 @@
 
 Buckets grow by a constant ratio, so each quantile has a bounded relative ``error`` (the idea of DDSketch,
 Masson et al. 2019).  The duration of a cancelled call is censored: all that is known is that the call would
-have taken longer.  Leaving such calls out would bias the quantiles towards the calls that ended early, so they
-are estimated from both kinds as by Kaplan and Meier (1958).  Old values lose weight by forward decay (Cormode
-et al. 2009): new values get a higher weight, so stored ones need no update as they age.
+have taken longer.  Leaving such calls out would bias the quantiles towards calls that ended early; so they
+are estimated from both kinds, as by Kaplan and Meier (1958).  Old values lose weight by forward decay (Cormode
+et al. 2009): new values get a higher weight, and stored ones need no update as they age.
 """
 
 from __future__ import annotations
@@ -94,8 +94,8 @@
     def quantiles(self) -> tuple[float, ...]:
         """Return the values at the levels, in seconds; infinite where too many values are censored.
 
-        The first one is never infinite: it is then the longest stored value, as a lower bound.  Calls that
-        were all cancelled early must not look like a dependency that never replies.
+        The first one is never infinite: in that case it is the longest stored value, a lower bound.  Calls
+        that were all cancelled early must not look like a dependency that never replies.
         """
         if self.added_weight > UPDATE_SHARE * self.total_weight:
             self.cached_quantiles, self.added_weight = self._compute(), 0.0
@@ -113,7 +113,7 @@
             if completed:
                 surviving *= max(0.0, 1 - completed / remaining) if remaining > 0 else 0.0
                 self.curve.append((self._bucket_value(bucket), surviving))
-            # Values censored in a bucket count as remaining for those that completed in it.
+            # Values that are censored in a bucket were at risk when the others in it completed.
             if completed or self.censored[bucket]:
                 longest = self._bucket_value(bucket)
             remaining -= completed + self.censored[bucket]
--- a/saltcart/composition/timeout_policy.py
+++ b/saltcart/composition/timeout_policy.py
@@ -1,4 +1,7 @@
-"""How long each call may take, and whether it is worth beginning; an object, so that others can stand in."""
+"""Timeouts of calls, and whether there is enough time for a call.
+
+The policy is an object, so that the engine can run with another one.
+"""
 
 from __future__ import annotations
 
@@ -8,121 +11,163 @@
 from typing import NamedTuple
 
 from saltcart.composition.composed_run import ComposedRun, SubRequest
-from saltcart.composition.dependency_state import EVIDENCE, DependencyState
+from saltcart.composition.dependency_state import MIN_RECENT_CALLS, DependencyState
 from saltcart.composition.plan import CallSpec, StageSpec
 from saltcart.composition.time_shares import TimeNeeded, parallel_time_needed, split_time
 
-LEAVE = 1.25  # of what later stages need at most, kept from calls that can be left out
-SURE = 1.2  # of what nearly all calls need: past the sketch's error, a call is slow
-PROBES = 0.05  # of the calls that seem not to fit are made: estimates must not last by themselves
+RESERVE_FACTOR = 1.25  # on the time that nearly all calls need, when it is reserved for later calls
+SLOW_FACTOR = 1.2  # a call is slow after this multiple of that time; covers the sketch's error
+# Probability of a call for which there seems to be no time: without any, a high estimate would never change.
+PROBE_PROBABILITY = 0.05
 
 
 class StageDeadlines(NamedTuple):
-    """When the calls of a stage are given up, by the desk's clock."""
+    """Times at which the required and the optional calls of a stage are cancelled."""
 
     required: float
     optional: float
 
 
 class TimeoutPolicy:
-    """Budgets from what dependencies have lately needed."""
+    """Derives timeouts from the time that recent calls of the dependencies needed.
+
+    Attributes:
+        enforces_limits: Whether concurrency limits, circuit breakers and retry budgets apply.
+    """
 
-    enforces_limits = True  # limits, breakers and allowances hold
+    enforces_limits = True
 
     def __init__(
         self,
-        look: Callable[[str], DependencyState],
+        find_dependency: Callable[[str], DependencyState],
         rng: random.Random,
-        late: Callable[[str], bool] = lambda klass: False,
+        earns_when_late: Callable[[str], bool] = lambda class_name: False,
     ) -> None:
-        self.find_dependency, self.rng, self.earns_when_late = look, rng, late
+        self.find_dependency, self.rng, self.earns_when_late = find_dependency, rng, earns_when_late
 
-    def _need(self, now: float, stage: StageSpec) -> TimeNeeded:
+    def _time_needed(self, now: float, stage: StageSpec) -> TimeNeeded:
+        """Return the time that the required calls of a stage need."""
         return parallel_time_needed(
-            [self.find_dependency(c.dependency).time_needed(now) for c in stage.call if c.required]
+            [self.find_dependency(call.dependency).time_needed(now) for call in stage.call if call.required]
         )
 
     def stage_deadlines(self, now: float, run: ComposedRun) -> StageDeadlines | None:
-        """Limits for the stage that is about to begin; None where what must be called can't fit any more."""
+        """Return the deadlines of the stage that starts next; None if the required calls lack time."""
         reserve = run.plan.reserve_ms / 1000
         horizon = run.objective_at - reserve
         stages = run.plan.stage[run.next_stage :]
-        needs = [self._need(now, stage) for stage in stages]
+        needs = [self._time_needed(now, stage) for stage in stages]
         shares = split_time(horizon - now, needs[0], needs[1:])
-        if shares is None and self.earns_when_late(run.plan.class_name):  # late is worth something
+        if shares is None and self.earns_when_late(run.plan.class_name):
             horizon = run.deadline - reserve
             shares = split_time(horizon - now, needs[0], needs[1:])
         if shares is None:
-            if horizon <= now or self.rng.random() >= PROBES:
+            if horizon <= now or self.rng.random() >= PROBE_PROBABILITY:
                 return None
             return StageDeadlines(horizon, horizon)
-        kept = sum(LEAVE * n.most if n.most < inf else share for n, share in zip(needs[1:], shares[1:]))
-        optional = max(now, horizon - kept)
+        reserved = sum(
+            RESERVE_FACTOR * need.most if need.most < inf else share
+            for need, share in zip(needs[1:], shares[1:])
+        )
+        optional = max(now, horizon - reserved)
         required = now + shares[0]
-        if any(c.write for c in stages[0].call):  # once sent, only its answer tells what became of it
+        if any(call.write for call in stages[0].call):  # once it is sent, only its reply shows its effect
             required = max(required, run.deadline - reserve)
-        elif self.earns_when_late(run.plan.class_name):  # past the aim there is still something to earn
+        elif self.earns_when_late(run.plan.class_name):
             required = max(required, run.deadline - reserve - sum(shares[1:]))
         return StageDeadlines(required, optional)
 
-    def has_time_for_call(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
-        """Is there time for a lucky call at least?"""
-        room = part.deadline - now
-        if part.call_spec.write and not self.earns_when_late(
-            part.run.plan.class_name
-        ):  # it may end late, but not begin so
-            room = min(room, part.run.objective_at - now)
-        if room <= 0:
+    def has_time_for_call(self, now: float, sub_request: SubRequest, dependency: DependencyState) -> bool:
+        """Return whether there is time for a fast call at least."""
+        time_left = sub_request.deadline - now
+        # A write may end after the objective, but must not start without time to end before it.
+        if sub_request.call_spec.write and not self.earns_when_late(sub_request.run.plan.class_name):
+            time_left = min(time_left, sub_request.run.objective_at - now)
+        if time_left <= 0:
             return False
-        return dependency.time_needed(now).lucky <= room or self.rng.random() < PROBES
+        return dependency.time_needed(now).lucky <= time_left or self.rng.random() < PROBE_PROBABILITY
 
     def hedge_time(
-        self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
+        self,
+        now: float,
+        sub_request: SubRequest,
+        dependency: DependencyState,
+        fallback: DependencyState | None,
     ) -> float | None:
-        """When a second attempt should begin beside one sent now: past what nearly all calls take.
+        """Return when a second attempt should start if the one that is sent now has no reply yet.
+
+        That is after the time that nearly all calls need, but early enough for a call to the fallback.
 
-        Where another dependency can stand in, it is left the time that it needs.
+        Returns:
+            The time, in seconds; None if no second attempt should start.
         """
-        need, room = dependency.time_needed(now), part.deadline - now
-        if other is not None:
-            # Of a dependency that hardly replies any more nothing is expected: both are asked at once.
-            after = next((level for level in (SURE * need.most, 2 * need.typical) if level < inf), 0.0)
-            return now + max(0.0, min(after, room - LEAVE * other.time_needed(now).most))
-        if part.call_spec.hedge and SURE * need.most + need.typical <= room:
-            return now + SURE * need.most
+        need, time_left = dependency.time_needed(now), sub_request.deadline - now
+        if fallback is not None:
+            # Where hardly any call of the dependency is answered, the fallback is called at once.
+            delay = next((level for level in (SLOW_FACTOR * need.most, 2 * need.typical) if level < inf), 0.0)
+            return now + max(0.0, min(delay, time_left - RESERVE_FACTOR * fallback.time_needed(now).most))
+        if sub_request.call_spec.hedge and SLOW_FACTOR * need.most + need.typical <= time_left:
+            return now + SLOW_FACTOR * need.most
         return None
 
     def seconds_worth_waiting(
-        self, now: float, part: SubRequest, dependency: DependencyState, worth: float, price: float
+        self,
+        now: float,
+        sub_request: SubRequest,
+        dependency: DependencyState,
+        reply_value: float,
+        slot_price: float,
     ) -> float:
-        """Seconds that a call which can be left out is still worth waiting for while others want the slot.
+        """Return for how long it is worth waiting for an optional reply while other requests want the slot.
+
+        That is the time at which the value of the reply, times the probability that it has arrived, less the
+        price of the expected wait, is greatest.
 
-        ``worth`` is what its reply adds, ``price`` what a second of the slot earns elsewhere.  The best time
-        to stop is where worth times the chance of a reply, less the price of the wait, is greatest.
+        Args:
+            now: The time, in seconds.
+            sub_request: The optional sub-request.
+            dependency: The dependency that it calls.
+            reply_value: What the reply adds to the value of the response.
+            slot_price: What a second of the slot would earn for other requests.
+
+        Returns:
+            Seconds from now; 0 if the wait should end now.
         """
-        if dependency.durations.recent_count(now) < EVIDENCE:
-            return part.deadline - now
-        elapsed = now - part.attempts[0].started_at if part.attempts else 0.0
-        here, last, best, best_gain, spent, before = 1.0, 1.0, 0.0, 0.0, 0.0, elapsed
-        for value, alive in dependency.durations.survival_curve():
+        if dependency.durations.recent_count(now) < MIN_RECENT_CALLS:
+            return sub_request.deadline - now
+        elapsed = now - sub_request.attempts[0].started_at if sub_request.attempts else 0.0
+        surviving_now, last_surviving, best_wait, best_gain, expected_wait, last_value = (
+            1.0,
+            1.0,
+            0.0,
+            0.0,
+            0.0,
+            elapsed,
+        )
+        for value, surviving in dependency.durations.survival_curve():
             if value <= elapsed:
-                here = alive
+                surviving_now = surviving
                 continue
-            if here <= 0 or now + value - elapsed > part.deadline:
+            if surviving_now <= 0 or now + value - elapsed > sub_request.deadline:
                 break
-            # ``spent``: expected wait until then, for the share that is still out at each step.
-            spent += (value - before) * (last if before > elapsed else here)
-            gain = worth * (here - alive) / here - price * spent / here
+            # Each step adds its length, weighted by the share of calls that are still in flight in it.
+            expected_wait += (value - last_value) * (
+                last_surviving if last_value > elapsed else surviving_now
+            )
+            gain = (
+                reply_value * (surviving_now - surviving) / surviving_now
+                - slot_price * expected_wait / surviving_now
+            )
             if gain > best_gain:
-                best, best_gain = value - elapsed, gain
-            before, last = value, alive
-        return best
+                best_wait, best_gain = value - elapsed, gain
+            last_value, last_surviving = value, surviving
+        return best_wait
 
-    def has_time_for_retry(self, now: float, part: SubRequest, dependency: DependencyState) -> bool:
-        """Is there time for a typical call after one that failed?"""
-        return dependency.time_needed(now).typical <= part.deadline - now
+    def has_time_for_retry(self, now: float, sub_request: SubRequest, dependency: DependencyState) -> bool:
+        """Return whether there is time for a typical call."""
+        return dependency.time_needed(now).typical <= sub_request.deadline - now
 
 
-def optional_last(calls: list[CallSpec]) -> list[CallSpec]:
-    """Required calls first: places at a dependency go to them before those that can be left out."""
-    return sorted(calls, key=lambda c: not c.required)
+def required_first(calls: list[CallSpec]) -> list[CallSpec]:
+    """Sort calls so that the required ones reach a dependency's limit before the optional ones."""
+    return sorted(calls, key=lambda call: not call.required)
--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -45,9 +45,11 @@
 class Gradient(DependencyState):
     SMOOTH = 0.1
 
-    def record_end(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def record_end(
+        self, now: float, attempt: CallAttempt, outcome: Outcome, was_overtaken: bool = False
+    ) -> None:
         before = self.limit.value
-        super().record_end(now, attempt, outcome, overtaken)
+        super().record_end(now, attempt, outcome, was_overtaken)
         took, base = max(1e-4, now - attempt.started_at), getattr(self, "base", 10.0)
         if outcome is Outcome.SUCCEEDED:
             self.base = base = min(base * 1.001, took)
