--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -1,7 +1,7 @@
-"""The desk moves composed runs on: fed with the time and with what happened, it says what to send and answer.
+"""State machine of composed runs.
 
-It does no I/O and knows no event loop.  Orders come back from every call, in the order in which they must be
-carried out; ``next_due`` says when ``tick`` wants to be called.
+The host passes the time and the events, and carries out the actions that are returned, in their order.  It
+calls ``tick`` at the time that ``next_timer_at`` returns.  The engine does no I/O and has no event loop.
 """
 
 from __future__ import annotations
@@ -32,377 +32,452 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
 
-MOST_TRIES = 3  # attempts of one call at one dependency, whatever the allowance
-CROWD = 4.0  # held requests from which a slot has its full price: one held for a moment loses nothing
-BROKEN_OFF, AT_LIMIT = (Outcome.FAILED, Outcome.BROKEN_OFF), 0.005  # seconds
-MASK = (1 << 64) - 1
+MAX_ATTEMPTS = 3  # of one sub-request; it is not retried any more, whatever the retry budget allows
+# Held requests from which a slot has its full price; a single one that is held briefly loses nothing.
+FULL_PRICE_HELD_REQUESTS = 4.0
+# Outcomes that are timeouts if they are reported at most so many seconds before the deadline.
+TIMEOUT_LIKE_OUTCOMES, TIMEOUT_TOLERANCE = (Outcome.FAILED, Outcome.BROKEN_OFF), 0.005
+CALL_ID_MASK = (1 << 64) - 1
 
 
 class CompositionEngine:
-    """Owns the runs, their attempts and the dependencies; the one place that forgets each."""
+    """Owns the composed runs, their attempts and the state of the dependencies."""
 
     def __init__(self, plans: CompositionSpec, seed: int, classes: Iterable[ClassSpec]) -> None:
         rng = random.Random(seed)
-        self.plans: dict[str, PlanSpec] = {p.class_name: p for p in plans.plan}
+        self.plans: dict[str, PlanSpec] = {plan.class_name: plan for plan in plans.plan}
         self.dependencies = {
-            d.name: DependencyState(d, random.Random(rng.random())) for d in plans.dependency
+            spec.name: DependencyState(spec, random.Random(rng.random())) for spec in plans.dependency
         }
         self.stale_cache = StaleCache(plans.memory.entries, plans.memory.kb)
-        self.worth = {c.name: c.priority_weight for c in classes}
-        late = {c.name for c in classes if c.late_weight_share > 0}
-        self.timeout_policy = TimeoutPolicy(self.dependencies.__getitem__, rng, late.__contains__)
+        self.priority_weights = {spec.name: spec.priority_weight for spec in classes}
+        earning_late = {spec.name for spec in classes if spec.late_weight_share > 0}
+        self.timeout_policy = TimeoutPolicy(self.dependencies.__getitem__, rng, earning_late.__contains__)
         self.slot_value = SlotValue()
         self.runs: dict[bytes, ComposedRun] = {}
         self.attempts: dict[bytes, CallAttempt] = {}
-        self.number = rng.getrandbits(64)  # of the next attempt: two processes never name theirs alike
-        self.due: list[tuple[float, int, Callable[[float, SubRequest], None], SubRequest]] = []
-        self.order = 0
-        self.orders: list[CompositionAction] = []
+        self.next_call_number = rng.getrandbits(64)  # random, so that no two processes use the same call id
+        self.timers: list[tuple[float, int, Callable[[float, SubRequest], None], SubRequest]] = []
+        self.timer_sequence = 0
+        self.actions: list[CompositionAction] = []
         self.counts = Counter[str]()
 
-    # ---- what the host tells ------------------------------------------------------------------
+    # ---- events from the host -----------------------------------------------------------------
 
     def start(
-        self, now: float, ident: bytes, klass: str, tenant: str, body: bytes, aim_at: float, due_at: float
+        self,
+        now: float,
+        request_id: bytes,
+        class_name: str,
+        tenant: str,
+        body: bytes,
+        objective_at: float,
+        deadline: float,
     ) -> list[CompositionAction]:
-        """A run begins; ``aim_at``: an answer by then is worth most, ``due_at``: by then it must be there."""
-        run = self.runs[ident] = ComposedRun(
-            ident, self.plans[klass], tenant, body, now, min(aim_at, due_at), due_at
+        """Start a run.
+
+        Args:
+            now: The time, in seconds.
+            request_id: Identifies the request.
+            class_name: Class of the request; it has a plan.
+            tenant: Tenant whose cached replies may be used.
+            body: Body of the request.
+            objective_at: A response by then earns its full weight.
+            deadline: The response is sent by then or not at all.
+        """
+        run = self.runs[request_id] = ComposedRun(
+            request_id, self.plans[class_name], tenant, body, now, min(objective_at, deadline), deadline
         )
-        self._go_on(now, run)
-        return self._take()
+        self._advance(now, run)
+        return self._take_actions()
 
     def call_finished(
-        self, now: float, ident: bytes, outcome: Outcome, body: bytes = b""
+        self, now: float, call_id: bytes, outcome: Outcome, body: bytes = b""
     ) -> list[CompositionAction]:
-        """An attempt is over.  One that nobody waits for any more changes nothing."""
-        attempt = self.attempts.pop(ident, None)
+        """Record the end of an attempt; that of a cancelled or unknown one is ignored."""
+        attempt = self.attempts.pop(call_id, None)
         if attempt is not None:
-            part, dependency = attempt.sub_request, self.dependencies[attempt.dependency_name]
-            part.attempts.remove(attempt)
-            if outcome in BROKEN_OFF and now >= part.deadline - AT_LIMIT:
-                outcome = Outcome.TIMED_OUT  # the host's own clock for the call ran out a little before ours
+            sub_request, dependency = attempt.sub_request, self.dependencies[attempt.dependency_name]
+            sub_request.attempts.remove(attempt)
+            if outcome in TIMEOUT_LIKE_OUTCOMES and now >= sub_request.deadline - TIMEOUT_TOLERANCE:
+                outcome = Outcome.TIMED_OUT  # the host's timer for the call fired shortly before the engine's
             dependency.record_end(now, attempt, outcome)
             if outcome is Outcome.SUCCEEDED:
-                self._answered(now, part, attempt.dependency_name, body)
+                self._call_succeeded(now, sub_request, attempt.dependency_name, body)
             else:
-                self._failed(now, part, attempt, outcome)
-            self._let_in(now, dependency)
-        return self._take()
+                self._call_failed(now, sub_request, attempt, outcome)
+            self._start_waiting_calls(now, dependency)
+        return self._take_actions()
 
-    def cancel(self, now: float, ident: bytes) -> list[CompositionAction]:
-        """Nobody wants this run's answer any more."""
-        run = self.runs.get(ident)
+    def cancel(self, now: float, request_id: bytes) -> list[CompositionAction]:
+        """Cancel a run: its response is not wanted any more."""
+        run = self.runs.get(request_id)
         if run is not None:
-            self._end(now, run, Outcome.CANCELLED)
-        return self._take()
+            self._end_run(now, run, Outcome.CANCELLED)
+        return self._take_actions()
 
-    def shorten_deadlines(self, now: float, by: float) -> list[CompositionAction]:
-        """Everything has to be over by then: runs under way make do with what time there is."""
+    def shorten_deadlines(self, now: float, latest: float) -> list[CompositionAction]:
+        """Shorten the deadlines of the runs in progress to ``latest``, such as the end of a drain."""
         for run in list(self.runs.values()):
-            run.objective_at, run.deadline = min(run.objective_at, by), min(run.deadline, by)
+            run.objective_at, run.deadline = min(run.objective_at, latest), min(run.deadline, latest)
             end = run.deadline - run.plan.reserve_ms / 1000
-            for part in run.sub_requests:
-                if part.status in UNSETTLED and part.deadline > end:
-                    part.deadline = end
-                    self._at(end, self._expire, part)
-        return self._take()
-
-    def release_slots(self, now: float, held: int) -> list[CompositionAction]:
-        """``held`` requests wait for a slot.
-
-        Runs that only wait for what can be left out make room, as far as a slot earns more elsewhere.
+            for sub_request in run.sub_requests:
+                if sub_request.status in UNSETTLED and sub_request.deadline > end:
+                    sub_request.deadline = end
+                    self._set_timer(end, self._expire, sub_request)
+        return self._take_actions()
+
+    def release_slots(self, now: float, held_count: int) -> list[CompositionAction]:
+        """End the wait for optional replies where the slot earns more with another request.
+
+        Args:
+            now: The time, in seconds.
+            held_count: Number of requests that are held until a slot is free.
         """
-        price = self.slot_value.per_second() * min(1.0, held / CROWD)
-        if price > 0:
+        slot_price = self.slot_value.per_second() * min(1.0, held_count / FULL_PRICE_HELD_REQUESTS)
+        if slot_price > 0:
             for run in list(self.runs.values()):
-                parts = [part for part in run.sub_requests if part.status in UNSETTLED]
-                if run.is_finished or any(part.call_spec.required for part in parts):
+                unsettled = [
+                    sub_request for sub_request in run.sub_requests if sub_request.status in UNSETTLED
+                ]
+                if run.is_finished or any(sub_request.call_spec.required for sub_request in unsettled):
                     continue
-                for part in parts:
-                    if part.status in UNSETTLED and not self._worth_waiting(now, part, price / len(parts)):
+                for sub_request in unsettled:
+                    if sub_request.status in UNSETTLED and not self._is_worth_waiting(
+                        now, sub_request, slot_price / len(unsettled)
+                    ):
                         self.counts["pressed"] += 1
-                        self._elsewhere(now, part)
-        return self._take()
+                        self._fall_back(now, sub_request)
+        return self._take_actions()
 
-    def _worth_waiting(self, now: float, part: SubRequest, price: float) -> bool:
-        worth = self.worth.get(part.run.plan.class_name, 0.0) * part.call_spec.worth
+    def _is_worth_waiting(self, now: float, sub_request: SubRequest, slot_price: float) -> bool:
+        reply_value = (
+            self.priority_weights.get(sub_request.run.plan.class_name, 0.0) * sub_request.call_spec.worth
+        )
         dependency = self.dependencies[
-            part.attempts[0].dependency_name if part.attempts else part.dependency_name
+            sub_request.attempts[0].dependency_name if sub_request.attempts else sub_request.dependency_name
         ]
-        return self.timeout_policy.seconds_worth_waiting(now, part, dependency, worth, price) > 0
+        return (
+            self.timeout_policy.seconds_worth_waiting(now, sub_request, dependency, reply_value, slot_price)
+            > 0
+        )
 
     def tick(self, now: float) -> list[CompositionAction]:
-        """Run what is due."""
-        while self.due and self.due[0][0] <= now:
-            _, _, act, part = heapq.heappop(self.due)
-            if part.status in UNSETTLED:
-                act(now, part)
-        return self._take()
+        """Run the timers that are due."""
+        while self.timers and self.timers[0][0] <= now:
+            _, _, callback, sub_request = heapq.heappop(self.timers)
+            if sub_request.status in UNSETTLED:
+                callback(now, sub_request)
+        return self._take_actions()
 
     def next_timer_at(self) -> float | None:
-        while self.due and self.due[0][3].status not in UNSETTLED:  # settled since: no reason to wake anybody
-            heapq.heappop(self.due)
-        return self.due[0][0] if self.due else None
+        """Return when the next timer is due; None if there is none."""
+        # Timers of sub-requests that are settled have no effect.
+        while self.timers and self.timers[0][3].status not in UNSETTLED:
+            heapq.heappop(self.timers)
+        return self.timers[0][0] if self.timers else None
 
     def state(self, now: float) -> dict[str, dict[str, float | str]]:
-        return {name: d.state(now) for name, d in self.dependencies.items()}
+        """Return what operators are shown of each dependency."""
+        return {name: dependency.state(now) for name, dependency in self.dependencies.items()}
 
     # ---- stages -------------------------------------------------------------------------------
 
-    def _go_on(self, now: float, run: ComposedRun) -> None:
-        """Begin the next stage, and those after it as long as they are settled at once."""
+    def _advance(self, now: float, run: ComposedRun) -> None:
+        """Start the next stage, and further ones while all sub-requests of a stage are settled at once."""
         while not run.is_finished:
-            for part in run.sub_requests:
-                run.replies[part.call_spec.dependency] = part.status, part.reply
+            for sub_request in run.sub_requests:
+                run.replies[sub_request.call_spec.dependency] = sub_request.status, sub_request.reply
             run.sub_requests = []
             if run.next_stage == len(run.plan.stage):
-                self._finish(now, run)
+                self._complete(now, run)
                 return
-            limits = self.timeout_policy.stage_deadlines(now, run)
-            if limits is None:
+            deadlines = self.timeout_policy.stage_deadlines(now, run)
+            if deadlines is None:
                 self.counts["unfit"] += 1
-                self._end(now, run, Outcome.FAILED)
+                self._end_run(now, run, Outcome.FAILED)
                 return
-            self._begin_stage(now, run, limits)
-            if any(part.status in UNSETTLED for part in run.sub_requests):
+            self._start_stage(now, run, deadlines)
+            if any(sub_request.status in UNSETTLED for sub_request in run.sub_requests):
                 return
 
-    def _begin_stage(self, now: float, run: ComposedRun, limits: StageDeadlines) -> None:
+    def _start_stage(self, now: float, run: ComposedRun, deadlines: StageDeadlines) -> None:
         calls = required_first(run.plan.stage[run.next_stage].call)
         run.next_stage += 1
         run.sub_requests = [
-            SubRequest(run, c, limits.required if c.required else limits.optional, bodies.call_body(run, c))
-            for c in calls
+            SubRequest(
+                run,
+                call,
+                deadlines.required if call.required else deadlines.optional,
+                bodies.call_body(run, call),
+            )
+            for call in calls
         ]
         run.is_starting_stage = True
-        for part in run.sub_requests:
+        for sub_request in run.sub_requests:
             if run.is_finished:
                 return
-            self._begin(now, part)
+            self._start_call(now, sub_request)
         run.is_starting_stage = False
 
-    def _settle(self, now: float, part: SubRequest, mark: SubRequestStatus, reply: bytes = b"") -> None:
-        """The one place where a call's fate is decided."""
-        run, part.status, part.reply = part.run, mark, reply
-        for attempt in part.attempts:
-            self._drop(now, attempt, Outcome.CANCELLED, overtaken=mark is SubRequestStatus.ANSWERED)
-        part.attempts.clear()
-        if mark is SubRequestStatus.UNAVAILABLE:
-            self._end(now, run, Outcome.FAILED)
+    def _settle(
+        self, now: float, sub_request: SubRequest, status: SubRequestStatus, reply: bytes = b""
+    ) -> None:
+        """Settle a sub-request, cancel its other attempts, and advance or fail the run.
+
+        No other method decides on the result of a sub-request.
+        """
+        run, sub_request.status, sub_request.reply = sub_request.run, status, reply
+        for attempt in sub_request.attempts:
+            self._cancel_attempt(
+                now, attempt, Outcome.CANCELLED, was_overtaken=status is SubRequestStatus.ANSWERED
+            )
+        sub_request.attempts.clear()
+        if status is SubRequestStatus.UNAVAILABLE:
+            self._end_run(now, run, Outcome.FAILED)
         elif (
             not run.is_starting_stage
             and not run.is_finished
-            and not any(p.status in UNSETTLED for p in run.sub_requests)
+            and not any(other.status in UNSETTLED for other in run.sub_requests)
         ):
-            self._go_on(now, run)
+            self._advance(now, run)
 
-    def _finish(self, now: float, run: ComposedRun) -> None:
-        left, remembered = (
+    def _complete(self, now: float, run: ComposedRun) -> None:
+        skipped, cached = (
             run.dependencies_with_status(SubRequestStatus.SKIPPED),
             run.dependencies_with_status(SubRequestStatus.CACHED),
         )
-        self.counts["partial" if left else "whole"] += 1
-        lost = sum(call.worth for call in run.plan.calls() if call.dependency in left)
+        self.counts["partial" if skipped else "whole"] += 1
+        lost_share = sum(call.worth for call in run.plan.calls() if call.dependency in skipped)
         self.slot_value.record_run(
-            self.worth.get(run.plan.class_name, 0.0) * (1 - lost), now - run.started_at
+            self.priority_weights.get(run.plan.class_name, 0.0) * (1 - lost_share), now - run.started_at
         )
-        self._end(now, run, Outcome.SUCCEEDED, bodies.response_body(run), left, remembered)
+        self._end_run(now, run, Outcome.SUCCEEDED, bodies.response_body(run), skipped, cached)
 
-    def _end(
+    def _end_run(
         self,
         now: float,
         run: ComposedRun,
         outcome: Outcome,
         body: bytes = b"",
-        left: tuple[str, ...] = (),
-        remembered: tuple[str, ...] = (),
+        skipped: tuple[str, ...] = (),
+        cached: tuple[str, ...] = (),
     ) -> None:
-        """The one place where a run is forgotten."""
+        """End a run and cancel its attempts.  No other method removes a run."""
         if run.is_finished:
             return
         run.is_finished = True
         del self.runs[run.request_id]
-        writes = [part for part in run.sub_requests if part.call_spec.write]
+        writes = [sub_request for sub_request in run.sub_requests if sub_request.call_spec.write]
         if (
             outcome is Outcome.FAILED
             and run.plan.stage[-1].call[0].write
-            and not any(p.attempts_sent for p in writes)
+            and not any(write.attempts_sent for write in writes)
         ):
-            outcome = Outcome.NOT_STARTED  # the write was never sent: a further try of the same key may run
-        for part in run.sub_requests:
-            if part.status in UNSETTLED:
-                part.status = SubRequestStatus.UNAVAILABLE
-            for attempt in part.attempts:
-                self._drop(now, attempt, Outcome.CANCELLED)
-            part.attempts.clear()
-        self.orders.append(
-            CompositionFinished(run.request_id, outcome, now - run.started_at, body, left, remembered)
+            outcome = Outcome.NOT_STARTED  # the write was never sent, so a retry with the same key may run
+        for sub_request in run.sub_requests:
+            if sub_request.status in UNSETTLED:
+                sub_request.status = SubRequestStatus.UNAVAILABLE
+            for attempt in sub_request.attempts:
+                self._cancel_attempt(now, attempt, Outcome.CANCELLED)
+            sub_request.attempts.clear()
+        self.actions.append(
+            CompositionFinished(run.request_id, outcome, now - run.started_at, body, skipped, cached)
         )
 
-    # ---- one call -----------------------------------------------------------------------------
+    # ---- sub-requests -------------------------------------------------------------------------
 
-    def _begin(self, now: float, part: SubRequest) -> None:
-        """Call the part's dependency now, or when a place is free, or go elsewhere."""
-        dependency = self.dependencies[part.dependency_name]
-        if not self.timeout_policy.has_time_for_call(now, part, dependency):
+    def _start_call(self, now: float, sub_request: SubRequest) -> None:
+        """Call the dependency now or once its limit allows it; fall back where neither is possible."""
+        dependency = self.dependencies[sub_request.dependency_name]
+        if not self.timeout_policy.has_time_for_call(now, sub_request, dependency):
             dependency.counts["unfit"] += 1
-            self._elsewhere(now, part)
-        elif not self.timeout_policy.enforces_limits or dependency.allows_call(now):
-            self._send(now, part, dependency)
+            self._fall_back(now, sub_request)
+        elif not self.timeout_policy.enforces_limits or dependency.can_start_call(now):
+            self._send_call(now, sub_request, dependency)
         elif (
             dependency.circuit_breaker.allows_call(now) and len(dependency.waiting) < dependency.spec.waiting
         ):
-            part.status = SubRequestStatus.WAITING
-            dependency.waiting.append(part)
-            self._at(part.deadline, self._expire, part)
+            sub_request.status = SubRequestStatus.WAITING
+            dependency.waiting.append(sub_request)
+            self._set_timer(sub_request.deadline, self._expire, sub_request)
         else:
             dependency.counts["shut"] += 1
-            self._elsewhere(now, part)
+            self._fall_back(now, sub_request)
 
-    def _send(self, now: float, part: SubRequest, dependency: DependencyState, further: bool = False) -> None:
-        room = part.deadline - now
-        fair = room >= dependency.time_needed(now).typical
-        attempt = CallAttempt(b"%016x" % self.number, part, dependency.spec.name, now, further, fair)
-        self.number = (self.number + 1) & MASK
+    def _send_call(
+        self, now: float, sub_request: SubRequest, dependency: DependencyState, is_additional: bool = False
+    ) -> None:
+        time_left = sub_request.deadline - now
+        has_typical_time = time_left >= dependency.time_needed(now).typical
+        attempt = CallAttempt(
+            b"%016x" % self.next_call_number,
+            sub_request,
+            dependency.spec.name,
+            now,
+            is_additional,
+            has_typical_time,
+        )
+        self.next_call_number = (self.next_call_number + 1) & CALL_ID_MASK
         dependency.record_start(attempt)
-        part.status, part.attempts_sent = SubRequestStatus.IN_FLIGHT, part.attempts_sent + 1
-        part.attempts.append(attempt)
+        sub_request.status, sub_request.attempts_sent = (
+            SubRequestStatus.IN_FLIGHT,
+            sub_request.attempts_sent + 1,
+        )
+        sub_request.attempts.append(attempt)
         self.attempts[attempt.call_id] = attempt
-        self.orders.append(
+        self.actions.append(
             SendCall(
                 attempt.call_id,
-                part.run.request_id,
+                sub_request.run.request_id,
                 dependency.spec.name,
-                part.run.tenant,
-                part.body,
-                room,
-                part.call_spec.write,
+                sub_request.run.tenant,
+                sub_request.body,
+                time_left,
+                sub_request.call_spec.write,
             )
         )
-        if part.attempts_sent == 1:
-            self._at(part.deadline, self._expire, part)
-        if not part.call_spec.write and not part.is_hedged:
-            other = dependency.spec.fallback
-            at = self.timeout_policy.hedge_time(now, part, dependency, self.dependencies.get(other or ""))
-            if at is not None and at < part.deadline:
-                attempt.hedge_at = at
-                self._at(at, self._beside, part)
-
-    def _beside(self, now: float, part: SubRequest) -> None:
-        """The first attempt is slow: send a second one, to the fallback if there is one."""
-        if part.is_hedged or len(part.attempts) != 1:
+        if sub_request.attempts_sent == 1:
+            self._set_timer(sub_request.deadline, self._expire, sub_request)
+        if not sub_request.call_spec.write and not sub_request.is_hedged:
+            fallback = dependency.spec.fallback
+            hedge_at = self.timeout_policy.hedge_time(
+                now, sub_request, dependency, self.dependencies.get(fallback or "")
+            )
+            if hedge_at is not None and hedge_at < sub_request.deadline:
+                attempt.hedge_at = hedge_at
+                self._set_timer(hedge_at, self._hedge, sub_request)
+
+    def _hedge(self, now: float, sub_request: SubRequest) -> None:
+        """Send a second attempt because the first one is slow, to the fallback if there is one."""
+        if sub_request.is_hedged or len(sub_request.attempts) != 1:
             return
-        dependency = self.dependencies[part.attempts[0].dependency_name]
-        other = dependency.spec.fallback
-        if other is not None and other not in part.tried_dependencies:
-            target = self.dependencies[other]
-            if target.allows_call(now) and self.timeout_policy.has_time_for_call(now, part, target):
-                part.is_hedged = True
-                part.tried_dependencies.add(other)
+        dependency = self.dependencies[sub_request.attempts[0].dependency_name]
+        fallback = dependency.spec.fallback
+        if fallback is not None and fallback not in sub_request.tried_dependencies:
+            target = self.dependencies[fallback]
+            if target.can_start_call(now) and self.timeout_policy.has_time_for_call(now, sub_request, target):
+                sub_request.is_hedged = True
+                sub_request.tried_dependencies.add(fallback)
                 target.counts["fallback"] += 1
-                self._send(now, part, target)
-        elif part.call_spec.hedge and dependency.allows_call(now) and dependency.retry_budget.take_token():
-            part.is_hedged = True
+                self._send_call(now, sub_request, target)
+        elif (
+            sub_request.call_spec.hedge
+            and dependency.can_start_call(now)
+            and dependency.retry_budget.take_token()
+        ):
+            sub_request.is_hedged = True
             dependency.counts["hedge"] += 1
-            self._send(now, part, dependency, further=True)
-
-    def _answered(self, now: float, part: SubRequest, dependency: str, body: bytes) -> None:
-        if part.call_spec.remember:
-            key = StaleCache.key(part.call_spec.dependency, part.body)
-            self.stale_cache.put(now, part.run.tenant, key, body)
-        self._settle(now, part, SubRequestStatus.ANSWERED, body)
-
-    def _failed(self, now: float, part: SubRequest, attempt: CallAttempt, outcome: Outcome) -> None:
-        call, never = part.call_spec, outcome in NEVER_RAN
-        if call.write and not never:
-            self._settle(
-                now, part, SubRequestStatus.UNAVAILABLE
-            )  # it may have had its effect: never sent again
+            self._send_call(now, sub_request, dependency, is_additional=True)
+
+    def _call_succeeded(self, now: float, sub_request: SubRequest, dependency_name: str, body: bytes) -> None:
+        if sub_request.call_spec.remember:
+            key = StaleCache.key(sub_request.call_spec.dependency, sub_request.body)
+            self.stale_cache.put(now, sub_request.run.tenant, key, body)
+        self._settle(now, sub_request, SubRequestStatus.ANSWERED, body)
+
+    def _call_failed(
+        self, now: float, sub_request: SubRequest, attempt: CallAttempt, outcome: Outcome
+    ) -> None:
+        call, never_ran = sub_request.call_spec, outcome in NEVER_RAN
+        if call.write and not never_ran:
+            # The write may have had its effect, so it is not sent again.
+            self._settle(now, sub_request, SubRequestStatus.UNAVAILABLE)
             return
         if call.write:
-            part.attempts_sent -= 1  # proved: no effect
-        if part.attempts:
-            return  # another attempt is under way
+            sub_request.attempts_sent -= 1  # it had no effect, so it may be sent again
+        if sub_request.attempts:
+            return  # another attempt is in flight
         dependency = self.dependencies[attempt.dependency_name]
-        part.dependency_name = attempt.dependency_name
+        sub_request.dependency_name = attempt.dependency_name
         if (
-            (call.repeat or never)
-            and part.attempts_sent < MOST_TRIES
-            and self.timeout_policy.has_time_for_retry(now, part, dependency)
+            (call.repeat or never_ran)
+            and sub_request.attempts_sent < MAX_ATTEMPTS
+            and self.timeout_policy.has_time_for_retry(now, sub_request, dependency)
             and (
                 not self.timeout_policy.enforces_limits
-                or (dependency.allows_call(now) and dependency.retry_budget.take_token())
+                or (dependency.can_start_call(now) and dependency.retry_budget.take_token())
             )
         ):
-            self._send(now, part, dependency, further=True)
+            self._send_call(now, sub_request, dependency, is_additional=True)
         else:
-            self._elsewhere(now, part)
-
-    def _elsewhere(self, now: float, part: SubRequest) -> None:
-        """This dependency gives no answer: another, the last good one, or none."""
-        other = self.dependencies[part.dependency_name].spec.fallback
-        if other is not None and other not in part.tried_dependencies:
-            part.dependency_name = other
-            part.tried_dependencies.add(other)
-            self.dependencies[other].counts["fallback"] += 1
-            self._begin(now, part)
+            self._fall_back(now, sub_request)
+
+    def _fall_back(self, now: float, sub_request: SubRequest) -> None:
+        """Use the fallback, else a cached reply, else settle the sub-request without a reply."""
+        fallback = self.dependencies[sub_request.dependency_name].spec.fallback
+        if fallback is not None and fallback not in sub_request.tried_dependencies:
+            sub_request.dependency_name = fallback
+            sub_request.tried_dependencies.add(fallback)
+            self.dependencies[fallback].counts["fallback"] += 1
+            self._start_call(now, sub_request)
             return
-        call = part.call_spec
+        call = sub_request.call_spec
         if call.remember:
-            key = StaleCache.key(call.dependency, part.body)
-            kept = self.stale_cache.get(now, part.run.tenant, key, call.remember)
-            if kept is not None:
-                self._settle(now, part, SubRequestStatus.CACHED, kept)
+            key = StaleCache.key(call.dependency, sub_request.body)
+            cached = self.stale_cache.get(now, sub_request.run.tenant, key, call.remember)
+            if cached is not None:
+                self._settle(now, sub_request, SubRequestStatus.CACHED, cached)
                 return
-        self._settle(now, part, SubRequestStatus.UNAVAILABLE if call.required else SubRequestStatus.SKIPPED)
+        self._settle(
+            now, sub_request, SubRequestStatus.UNAVAILABLE if call.required else SubRequestStatus.SKIPPED
+        )
 
-    def _expire(self, now: float, part: SubRequest) -> None:
-        """The part's time is over."""
-        if now < part.deadline:
+    def _expire(self, now: float, sub_request: SubRequest) -> None:
+        """End a sub-request whose deadline has passed."""
+        if now < sub_request.deadline:
             return
-        for attempt in part.attempts:
-            self._drop(now, attempt, Outcome.TIMED_OUT)
-        part.attempts.clear()
-        if part.call_spec.write and part.attempts_sent:
-            self._settle(now, part, SubRequestStatus.UNAVAILABLE)
+        for attempt in sub_request.attempts:
+            self._cancel_attempt(now, attempt, Outcome.TIMED_OUT)
+        sub_request.attempts.clear()
+        if sub_request.call_spec.write and sub_request.attempts_sent:
+            self._settle(now, sub_request, SubRequestStatus.UNAVAILABLE)
         else:
-            part.tried_dependencies.update(self.dependencies)  # no time for another
-            self._elsewhere(now, part)
+            sub_request.tried_dependencies.update(self.dependencies)  # there is no time for a fallback
+            self._fall_back(now, sub_request)
 
-    def _drop(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
-        """Give an attempt up; the caller takes it off its part."""
+    def _cancel_attempt(
+        self, now: float, attempt: CallAttempt, outcome: Outcome, was_overtaken: bool = False
+    ) -> None:
+        """Cancel an attempt; the caller removes it from its sub-request."""
         if self.attempts.pop(attempt.call_id, None) is None:
-            return  # its run has ended in the course of this very change
+            return  # cancelled already, when its run ended
         dependency = self.dependencies[attempt.dependency_name]
         dependency.record_end(
-            now, attempt, outcome, overtaken and not attempt.is_additional and attempt.is_slow(now)
+            now, attempt, outcome, was_overtaken and not attempt.is_additional and attempt.is_slow(now)
         )
-        self.orders.append(CancelCall(attempt.call_id, attempt.dependency_name))
-        self._let_in(now, dependency)
+        self.actions.append(CancelCall(attempt.call_id, attempt.dependency_name))
+        self._start_waiting_calls(now, dependency)
 
-    def _let_in(self, now: float, dependency: DependencyState) -> None:
-        """A place may be free: the call that has waited longest and still fits takes it.
+    def _start_waiting_calls(self, now: float, dependency: DependencyState) -> None:
+        """Start waiting calls, oldest first, while the dependency allows it.
 
-        Where the breaker has opened none will be: then all that wait go elsewhere at once.
+        All of them fall back at once if the circuit is open.
         """
         while dependency.waiting and (
-            dependency.allows_call(now) or dependency.circuit_breaker.state is CircuitState.OPEN
+            dependency.can_start_call(now) or dependency.circuit_breaker.state is CircuitState.OPEN
         ):
-            part = dependency.waiting.popleft()
-            if part.status is not SubRequestStatus.WAITING or part.dependency_name != dependency.spec.name:
+            sub_request = dependency.waiting.popleft()
+            if (
+                sub_request.status is not SubRequestStatus.WAITING
+                or sub_request.dependency_name != dependency.spec.name
+            ):
                 continue
-            if dependency.allows_call(now) and self.timeout_policy.has_time_for_call(now, part, dependency):
-                self._send(now, part, dependency)
+            if dependency.can_start_call(now) and self.timeout_policy.has_time_for_call(
+                now, sub_request, dependency
+            ):
+                self._send_call(now, sub_request, dependency)
             else:
-                self._elsewhere(now, part)
+                self._fall_back(now, sub_request)
 
-    # ---- bookkeeping --------------------------------------------------------------------------
+    # ---- timers and actions -------------------------------------------------------------------
 
-    def _at(self, when: float, act: Callable[[float, SubRequest], None], part: SubRequest) -> None:
-        self.order += 1
-        heapq.heappush(self.due, (when, self.order, act, part))
+    def _set_timer(
+        self, when: float, callback: Callable[[float, SubRequest], None], sub_request: SubRequest
+    ) -> None:
+        self.timer_sequence += 1
+        heapq.heappush(self.timers, (when, self.timer_sequence, callback, sub_request))
 
-    def _take(self) -> list[CompositionAction]:
-        orders, self.orders = self.orders, []
-        return orders
+    def _take_actions(self) -> list[CompositionAction]:
+        actions, self.actions = self.actions, []
+        return actions
--- a/saltcart/composition/dependency_state.py
+++ b/saltcart/composition/dependency_state.py
@@ -55,7 +55,7 @@
             )
         return self.estimate
 
-    def allows_call(self, now: float) -> bool:
+    def can_start_call(self, now: float) -> bool:
         """Return whether the concurrency limit and the circuit breaker allow a call now."""
         return self.limit.has_capacity() and self.circuit_breaker.allows_call(now)
 
--- a/saltcart/composition/quantile_sketch.py
+++ b/saltcart/composition/quantile_sketch.py
@@ -3,8 +3,8 @@
 Buckets grow by a constant ratio, so each quantile has a bounded relative ``error`` (the idea of DDSketch,
 Masson et al. 2019).  The duration of a cancelled call is censored: all that is known is that the call would
 have taken longer.  Leaving such calls out would bias the quantiles towards calls that ended early; so they
-are estimated from both kinds, as by Kaplan and Meier (1958).  Old values lose weight by forward decay (Cormode
-et al. 2009): new values get a higher weight, and stored ones need no update as they age.
+are estimated from both kinds, as by Kaplan and Meier (1958).  Old values lose weight by forward decay
+(Cormode et al. 2009): new values get a higher weight, and stored ones need no update as they age.
 """
 
 from __future__ import annotations
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -1,7 +1,7 @@
-"""The driver of composed runs: the runs port where a class's answer is made of several dependencies' replies.
+"""Worker pool port for classes whose responses are composed of the replies of several dependencies.
 
-It carries out the desk's orders on AJP upstreams and index lines, and rings it with one timer.  What has no
-plan goes on to the upstreams as before.
+It drives the composition engine with one timer, and carries out its actions on AJP upstreams and index
+connections.  Requests of classes without a plan are passed on to the upstreams.
 """
 
 from __future__ import annotations
@@ -25,19 +25,22 @@
 from saltcart.net.upstreams import Upstreams
 
 
-class IndexLines:
-    """A dependency that speaks the index's lines; tells the composer how its calls end."""
+class IndexDependency:
+    """Client of a dependency with the index's line protocol."""
 
-    def __init__(self, spec: DependencySpec, told: Callable[[bytes, Outcome, bytes], None], log: Log) -> None:
+    def __init__(
+        self, spec: DependencySpec, on_call_finished: Callable[[bytes, Outcome, bytes], None], log: Log
+    ) -> None:
         assert spec.address is not None
-        self.client, self.told = IndexClient(spec.address, self, log, spec.most), told
+        self.client, self.on_call_finished = IndexClient(spec.address, self, log, spec.most), on_call_finished
 
-    def call_finished(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
-        self.told(ident, outcome, reply)
+    def call_finished(self, request_id: bytes, outcome: Outcome, reply: bytes) -> None:
+        """Report the end of a call; to the client, the call id is the request id."""
+        self.on_call_finished(request_id, outcome, reply)
 
 
 class Composer:
-    """Owns the desk, its timer and the index connections of dependencies."""
+    """Owns the composition engine, its timer and the index connections of dependencies."""
 
     def __init__(
         self,
@@ -48,124 +51,172 @@
         log: Log,
         seed: int,
         clock: Callable[[], float],
-        held: Callable[[], int],
-        usable: Callable[[float, float], tuple[float, float]],
+        held_count: Callable[[], int],
+        usable_time: Callable[[float, float], tuple[float, float]],
     ) -> None:
-        self.engine, self.held, self.usable = CompositionEngine(plans, seed, classes), held, usable
+        self.engine, self.held_count, self.usable_time = (
+            CompositionEngine(plans, seed, classes),
+            held_count,
+            usable_time,
+        )
         self.upstreams, self.events, self.log, self.clock = upstreams, events, log, clock
-        self.specs = {d.name: d for d in plans.dependency}
-        self.lines = {d.name: IndexLines(d, self._told, log) for d in plans.dependency if d.kind == "index"}
+        self.specs = {spec.name: spec for spec in plans.dependency}
+        self.index_dependencies = {
+            spec.name: IndexDependency(spec, self._call_finished, log)
+            for spec in plans.dependency
+            if spec.kind == "index"
+        }
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
-        self.now, self.orders = clock(), ActionQueue(self._order)
+        self.now, self.action_queue = clock(), ActionQueue(self._dispatch)
 
-    def _time(self) -> float:
-        self.now = max(self.now, self.clock())  # a clock that is set back must not turn back what was decided
+    def _monotonic_time(self) -> float:
+        self.now = max(self.now, self.clock())  # a clock that is set back must not revoke decisions
         return self.now
 
-    # ---- the port -----------------------------------------------------------------------------
+    # ---- worker pool port ---------------------------------------------------------------------
 
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
-        if klass not in self.engine.plans:
-            self.upstreams.spawn(ident, klass, account, body, once, within, aim)
-        elif ident not in self.engine.runs:
-            now, (aim, within) = self._time(), self.usable(aim, within)
-            self._carry_out(self.engine.start(now, ident, klass, account, body, now + aim, now + within))
-
-    def suspend(self, ident: bytes) -> None:
-        if ident in self.engine.runs:
-            self._carry_out(self.engine.cancel(self._time(), ident))
+        """Start a composed run, or pass the request on where its class has no plan."""
+        if class_name not in self.engine.plans:
+            self.upstreams.spawn(
+                request_id, class_name, account, body, must_run_once, time_to_deadline, time_to_objective
+            )
+        elif request_id not in self.engine.runs:
+            now, (time_to_objective, time_to_deadline) = (
+                self._monotonic_time(),
+                self.usable_time(time_to_objective, time_to_deadline),
+            )
+            self._carry_out_all(
+                self.engine.start(
+                    now,
+                    request_id,
+                    class_name,
+                    account,
+                    body,
+                    now + time_to_objective,
+                    now + time_to_deadline,
+                )
+            )
+
+    def suspend(self, request_id: bytes) -> None:
+        """Cancel a composed run, or suspend the run of an upstream."""
+        if request_id in self.engine.runs:
+            self._carry_out_all(self.engine.cancel(self._monotonic_time(), request_id))
         else:
-            self.upstreams.suspend(ident)
+            self.upstreams.suspend(request_id)
 
-    def proceed(self, ident: bytes) -> None:
-        """Nothing is ever paused."""
+    def proceed(self, request_id: bytes) -> None:
+        """Do nothing: no run is ever paused."""
 
-    def supply(self, ident: bytes, reply: bytes) -> None:
-        """Nothing waits for a call of the module's."""
+    def supply(self, request_id: bytes, reply: bytes) -> None:
+        """Do nothing: no run waits for a call that the decision module admits."""
 
-    def skip(self, ident: bytes, notice: int) -> None:
-        """Nothing waits for a call of the module's."""
+    def skip(self, request_id: bytes, notice: int) -> None:
+        """Do nothing: no run waits for a call that the decision module admits."""
 
     def poll(self) -> None:
-        """A run that waits for its dependencies keeps its slot and leaves the cores to others."""
+        """Report the upstreams' gauges, and release slots for which held requests wait.
+
+        A run that waits for its dependencies keeps its slot but uses no core.
+        """
         self.upstreams.poll()
         if self.engine.runs:
-            self._carry_out(self.engine.release_slots(self._time(), self.held()))
+            self._carry_out_all(self.engine.release_slots(self._monotonic_time(), self.held_count()))
 
-    # ---- the host -----------------------------------------------------------------------------
+    # ---- calls from the service ---------------------------------------------------------------
 
-    def shorten_deadlines(self, within: float) -> None:
-        """The process is stopped soon: runs under way must be over by then."""
-        now = self._time()
-        self._carry_out(self.engine.shorten_deadlines(now, now + within))
+    def shorten_deadlines(self, seconds: float) -> None:
+        """Let the runs in progress end in so many seconds, before the process is stopped."""
+        now = self._monotonic_time()
+        self._carry_out_all(self.engine.shorten_deadlines(now, now + seconds))
 
     def figures(self) -> list[tuple[str, int]]:
-        """Gauges for the operators: calls under way and allowed, waiting, and further attempts so far."""
-        out = list[tuple[str, int]]()
-        for name, d in self.engine.dependencies.items():
-            out += [
-                (f"dependency.{name}.used", d.limit.in_flight),
-                (f"dependency.{name}.limit", int(d.limit.value)),
-                (f"dependency.{name}.waiting", len(d.waiting)),
-                (f"dependency.{name}.further", d.counts["further"]),
-                (f"dependency.{name}.circuit_open", int(d.circuit_breaker.state.value != "closed")),
+        """Return gauges of each dependency: calls in flight, allowed, waiting and additional, and the circuit."""
+        gauges = list[tuple[str, int]]()
+        for name, dependency in self.engine.dependencies.items():
+            gauges += [
+                (f"dependency.{name}.used", dependency.limit.in_flight),
+                (f"dependency.{name}.limit", int(dependency.limit.value)),
+                (f"dependency.{name}.waiting", len(dependency.waiting)),
+                (f"dependency.{name}.further", dependency.counts["further"]),
+                (f"dependency.{name}.circuit_open", int(dependency.circuit_breaker.state.value != "closed")),
             ]
-        return out
+        return gauges
 
     def close(self) -> None:
+        """Stop the timer and close the index connections."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        for lines in self.lines.values():
-            lines.client.close()
+        for dependency in self.index_dependencies.values():
+            dependency.client.close()
 
-    # ---- orders -------------------------------------------------------------------------------
+    # ---- actions of the engine ----------------------------------------------------------------
 
-    def _carry_out(self, orders: list[CompositionAction]) -> None:
-        self.orders(orders)
-        self._arm()
+    def _carry_out_all(self, actions: list[CompositionAction]) -> None:
+        self.action_queue(actions)
+        self._set_timer()
 
-    def _order(self, order: CompositionAction) -> None:
-        match order:
+    def _dispatch(self, action: CompositionAction) -> None:
+        match action:
             case SendCall():
-                self._send(order)
+                self._send_call(action)
             case CancelCall():
-                if order.dependency in self.lines:
-                    self.lines[order.dependency].client.give_up(order.id)
+                if action.dependency in self.index_dependencies:
+                    self.index_dependencies[action.dependency].client.give_up(action.id)
                 else:
-                    self.upstreams.give_up(order.id)
+                    self.upstreams.give_up(action.id)
             case CompositionFinished():
                 self.events.run_finished(
-                    order.id,
-                    order.outcome,
-                    order.seconds,
-                    order.body,
-                    order.skipped_dependencies,
-                    order.cached_dependencies,
+                    action.id,
+                    action.outcome,
+                    action.seconds,
+                    action.body,
+                    action.skipped_dependencies,
+                    action.cached_dependencies,
                 )
 
-    def _send(self, order: SendCall) -> None:
-        spec = self.specs[order.dependency]
+    def _send_call(self, action: SendCall) -> None:
+        spec = self.specs[action.dependency]
         if spec.kind == "index":
-            self.lines[spec.name].client.call(order.id, order.timeout, order.body, order.must_run_once)
+            self.index_dependencies[spec.name].client.call(
+                action.id, action.timeout, action.body, action.must_run_once
+            )
         elif not self.upstreams.call(
-            spec.upstream or "", order.id, spec.name, order.tenant, order.body, order.timeout, self._told
+            spec.upstream or "",
+            action.id,
+            spec.name,
+            action.tenant,
+            action.body,
+            action.timeout,
+            self._call_finished,
         ):
-            # In the next turn: the desk is told of ends after its orders, never among them.
-            self.loop.call_soon(self._told, order.id, Outcome.NOT_STARTED, b"")
+            # The engine is told after its actions are carried out, in the loop's next iteration.
+            self.loop.call_soon(self._call_finished, action.id, Outcome.NOT_STARTED, b"")
 
-    def _told(self, ident: bytes, outcome: Outcome, reply: bytes) -> None:
-        self._carry_out(self.engine.call_finished(self._time(), ident, outcome, reply))
+    def _call_finished(self, call_id: bytes, outcome: Outcome, reply: bytes) -> None:
+        self._carry_out_all(self.engine.call_finished(self._monotonic_time(), call_id, outcome, reply))
 
-    def _arm(self) -> None:
-        due = self.engine.next_timer_at()
+    def _set_timer(self) -> None:
+        due_at = self.engine.next_timer_at()
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = None if due is None else self.loop.call_later(max(0.0, due - self.clock()), self._ring)
+        self.timer = (
+            None
+            if due_at is None
+            else self.loop.call_later(max(0.0, due_at - self.clock()), self._timer_fired)
+        )
 
-    def _ring(self) -> None:
+    def _timer_fired(self) -> None:
         self.timer = None
-        self._carry_out(self.engine.tick(self._time()))
+        self._carry_out_all(self.engine.tick(self._monotonic_time()))
--- a/tests/test_composition_engine.py
+++ b/tests/test_composition_engine.py
@@ -16,7 +16,7 @@
     CompositionFinished,
     SendCall,
 )
-from saltcart.composition.composition_engine import MOST_TRIES, CompositionEngine
+from saltcart.composition.composition_engine import MAX_ATTEMPTS, CompositionEngine
 from saltcart.composition.overload_protection import CircuitState
 from saltcart.composition.plan import check_classes, read_plans
 from saltcart.decision.outcome import Outcome
@@ -143,7 +143,7 @@
     table = Table()
     table.acts["must"] = 0.01, ERROR
     ended = table.play()
-    assert ended.outcome is ERROR and table.names().count("must") <= MOST_TRIES
+    assert ended.outcome is ERROR and table.names().count("must") <= MAX_ATTEMPTS
     assert not table.desk.runs and not table.desk.attempts
 
 
@@ -393,5 +393,5 @@
     assert all(d.limit.in_flight == 0 for d in table.desk.dependencies.values())
     for ident in due:
         # A write may go out again only after a proof that it never ran.
-        assert sum(s.request_id == ident and s.must_run_once for s in table.sent) <= MOST_TRIES
+        assert sum(s.request_id == ident and s.must_run_once for s in table.sent) <= MAX_ATTEMPTS
     assert table.desk.next_timer_at() is None
