--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -47,7 +47,8 @@
         rng = random.Random(seed)
         self.plans: dict[str, PlanSpec] = {plan.class_name: plan for plan in plans.plan}
         self.dependencies = {
-            spec.name: DependencyState(spec, random.Random(rng.random())) for spec in plans.dependency
+            dependency.name: DependencyState(dependency, random.Random(rng.random()))
+            for dependency in plans.dependency
         }
         self.stale_cache = StaleCache(plans.memory.entries, plans.memory.kb)
         self.priority_weights = {spec.name: spec.priority_weight for spec in classes}
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -141,7 +141,7 @@
         self._carry_out_all(self.engine.shorten_deadlines(now, now + seconds))
 
     def figures(self) -> list[tuple[str, int]]:
-        """Return gauges of each dependency: calls in flight, allowed, waiting and additional, and the circuit."""
+        """Return gauges of each dependency: calls in flight, allowed and waiting, retries, circuit state."""
         gauges = list[tuple[str, int]]()
         for name, dependency in self.engine.dependencies.items():
             gauges += [
