--- a/saltcart/composition/composed_run.py
+++ b/saltcart/composition/composed_run.py
@@ -76,13 +76,13 @@
     Attributes:
         body: What every attempt sends; the key of its cached reply depends on it as well.
         dependency_name: The planned dependency, or the fallback that is called now.
+        sent_count: Number of attempts that were sent, without writes that had no effect.
         tried_dependencies: Names of the dependencies that are not fallen back to any more.
         is_hedged: Whether a second attempt was started because the first one was slow.
     """
 
     __slots__ = (
         "attempts",
-        "attempts_sent",
         "body",
         "call_spec",
         "deadline",
@@ -90,6 +90,7 @@
         "is_hedged",
         "reply",
         "run",
+        "sent_count",
         "status",
         "tried_dependencies",
     )
@@ -99,7 +100,7 @@
         self.body = body
         self.dependency_name = call_spec.dependency
         self.tried_dependencies = {call_spec.dependency}
-        self.status, self.reply, self.attempts_sent = SubRequestStatus.WAITING, b"", 0
+        self.status, self.reply, self.sent_count = SubRequestStatus.WAITING, b"", 0
         self.attempts: list[CallAttempt] = []
         self.is_hedged = False
 
--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -78,13 +78,13 @@
         """Start a run.
 
         Args:
-            now: The time, in seconds.
+            now: The time, in seconds; the later two are on the same clock.
             request_id: Identifies the request.
-            class_name: Class of the request; it has a plan.
+            class_name: Class of the request, which must have a plan.
             tenant: Tenant whose cached replies may be used.
             body: Body of the request.
             objective_at: A response by then earns its full weight.
-            deadline: The response is sent by then or not at all.
+            deadline: There is no response after this time.
         """
         run = self.runs[request_id] = ComposedRun(
             request_id, self.plans[class_name], tenant, body, now, min(objective_at, deadline), deadline
@@ -273,7 +273,7 @@
         if (
             outcome is Outcome.FAILED
             and run.plan.stage[-1].call[0].write
-            and not any(write.attempts_sent for write in writes)
+            and not any(write.sent_count for write in writes)
         ):
             outcome = Outcome.NOT_STARTED  # the write was never sent, so a retry with the same key may run
         for sub_request in run.sub_requests:
@@ -321,10 +321,7 @@
         )
         self.next_call_number = (self.next_call_number + 1) & CALL_ID_MASK
         dependency.record_start(attempt)
-        sub_request.status, sub_request.attempts_sent = (
-            SubRequestStatus.IN_FLIGHT,
-            sub_request.attempts_sent + 1,
-        )
+        sub_request.status, sub_request.sent_count = SubRequestStatus.IN_FLIGHT, sub_request.sent_count + 1
         sub_request.attempts.append(attempt)
         self.attempts[attempt.call_id] = attempt
         self.actions.append(
@@ -338,7 +335,7 @@
                 sub_request.call_spec.write,
             )
         )
-        if sub_request.attempts_sent == 1:
+        if sub_request.sent_count == 1:
             self._set_timer(sub_request.deadline, self._expire, sub_request)
         if not sub_request.call_spec.write and not sub_request.is_hedged:
             fallback = dependency.spec.fallback
@@ -386,14 +383,14 @@
             self._settle(now, sub_request, SubRequestStatus.UNAVAILABLE)
             return
         if call.write:
-            sub_request.attempts_sent -= 1  # it had no effect, so it may be sent again
+            sub_request.sent_count -= 1  # it had no effect, so it may be sent again
         if sub_request.attempts:
             return  # another attempt is in flight
         dependency = self.dependencies[attempt.dependency_name]
         sub_request.dependency_name = attempt.dependency_name
         if (
             (call.repeat or never_ran)
-            and sub_request.attempts_sent < MAX_ATTEMPTS
+            and sub_request.sent_count < MAX_ATTEMPTS
             and self.timeout_policy.has_time_for_retry(now, sub_request, dependency)
             and (
                 not self.timeout_policy.enforces_limits
@@ -431,7 +428,7 @@
         for attempt in sub_request.attempts:
             self._cancel_attempt(now, attempt, Outcome.TIMED_OUT)
         sub_request.attempts.clear()
-        if sub_request.call_spec.write and sub_request.attempts_sent:
+        if sub_request.call_spec.write and sub_request.sent_count:
             self._settle(now, sub_request, SubRequestStatus.UNAVAILABLE)
         else:
             sub_request.tried_dependencies.update(self.dependencies)  # there is no time for a fallback
--- a/saltcart/composition/timeout_policy.py
+++ b/saltcart/composition/timeout_policy.py
@@ -111,56 +111,36 @@
         return None
 
     def seconds_worth_waiting(
-        self,
-        now: float,
-        sub_request: SubRequest,
-        dependency: DependencyState,
-        reply_value: float,
-        slot_price: float,
+        self, now: float, sub_request: SubRequest, dependency: DependencyState, value: float, price: float
     ) -> float:
-        """Return for how long it is worth waiting for an optional reply while other requests want the slot.
+        """Return how many seconds an optional reply is worth waiting for while other requests want the slot.
 
-        That is the time at which the value of the reply, times the probability that it has arrived, less the
+        That is the wait for which the value of the reply, times the probability that it arrives, less the
         price of the expected wait, is greatest.
 
         Args:
             now: The time, in seconds.
             sub_request: The optional sub-request.
             dependency: The dependency that it calls.
-            reply_value: What the reply adds to the value of the response.
-            slot_price: What a second of the slot would earn for other requests.
-
-        Returns:
-            Seconds from now; 0 if the wait should end now.
+            value: What the reply adds to the value of the response.
+            price: What a second of the slot earns with other requests.
         """
         if dependency.durations.recent_count(now) < MIN_RECENT_CALLS:
             return sub_request.deadline - now
         elapsed = now - sub_request.attempts[0].started_at if sub_request.attempts else 0.0
-        surviving_now, last_surviving, best_wait, best_gain, expected_wait, last_value = (
-            1.0,
-            1.0,
-            0.0,
-            0.0,
-            0.0,
-            elapsed,
-        )
-        for value, surviving in dependency.durations.survival_curve():
-            if value <= elapsed:
-                surviving_now = surviving
+        current, previous, best_wait, best_gain, expected_wait, start = 1.0, 1.0, 0.0, 0.0, 0.0, elapsed
+        for seconds, surviving in dependency.durations.survival_curve():
+            if seconds <= elapsed:
+                current = surviving
                 continue
-            if surviving_now <= 0 or now + value - elapsed > sub_request.deadline:
+            if current <= 0 or now + seconds - elapsed > sub_request.deadline:
                 break
-            # Each step adds its length, weighted by the share of calls that are still in flight in it.
-            expected_wait += (value - last_value) * (
-                last_surviving if last_value > elapsed else surviving_now
-            )
-            gain = (
-                reply_value * (surviving_now - surviving) / surviving_now
-                - slot_price * expected_wait / surviving_now
-            )
+            # Each step adds its length, weighted by the share of calls that are in flight at its start.
+            expected_wait += (seconds - start) * (previous if start > elapsed else current)
+            gain = value * (current - surviving) / current - price * expected_wait / current
             if gain > best_gain:
-                best_wait, best_gain = value - elapsed, gain
-            last_value, last_surviving = value, surviving
+                best_wait, best_gain = seconds - elapsed, gain
+            start, previous = seconds, surviving
         return best_wait
 
     def has_time_for_retry(self, now: float, sub_request: SubRequest, dependency: DependencyState) -> bool:
