--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -144,24 +144,21 @@
                 if run.is_finished or any(sub_request.call_spec.required for sub_request in unsettled):
                     continue
                 for sub_request in unsettled:
-                    if sub_request.status in UNSETTLED and not self._is_worth_waiting(
+                    if sub_request.status in UNSETTLED and not self._should_wait(
                         now, sub_request, slot_price / len(unsettled)
                     ):
                         self.counts["pressed"] += 1
                         self._fall_back(now, sub_request)
         return self._take_actions()
 
-    def _is_worth_waiting(self, now: float, sub_request: SubRequest, slot_price: float) -> bool:
+    def _should_wait(self, now: float, sub_request: SubRequest, slot_price: float) -> bool:
         reply_value = (
             self.priority_weights.get(sub_request.run.plan.class_name, 0.0) * sub_request.call_spec.worth
         )
         dependency = self.dependencies[
             sub_request.attempts[0].dependency_name if sub_request.attempts else sub_request.dependency_name
         ]
-        return (
-            self.timeout_policy.seconds_worth_waiting(now, sub_request, dependency, reply_value, slot_price)
-            > 0
-        )
+        return self.timeout_policy.optimal_wait(now, sub_request, dependency, reply_value, slot_price) > 0
 
     def tick(self, now: float) -> list[CompositionAction]:
         """Run the timers that are due."""
--- a/saltcart/composition/plan.py
+++ b/saltcart/composition/plan.py
@@ -147,7 +147,7 @@
 
 
 def _check_plan(plan: PlanSpec, plan_path: str, known_dependencies: set[str]) -> None:
-    optional_worth, called = 0.0, set[str]()
+    optional_share, called = 0.0, set[str]()
     for stage_index, stage in enumerate(plan.stage):
         for call_index, call in enumerate(stage.call):
             path = f"{plan_path}.stage[{stage_index}].call[{call_index}]"
@@ -162,11 +162,11 @@
                 raise PlanError(f"{path}.required: the plan allows no partial response")
             if call.write and (call.hedge or call.remember or not call.required):
                 raise PlanError(f"{path}.write: a write is required, never hedged and never cached")
-            optional_worth += call.worth
+            optional_share += call.worth
     if len(called) > MAX_CALLS_PER_PLAN:
         raise PlanError(f"{plan_path}.stage: more than {MAX_CALLS_PER_PLAN} calls")
-    if optional_worth > 1 + 1e-9:
-        raise PlanError(f"{plan_path}.stage: the shares of worth add up to {optional_worth:.3g}, more than 1")
+    if optional_share > 1 + 1e-9:
+        raise PlanError(f"{plan_path}.stage: the shares of worth add up to {optional_share:.3g}, more than 1")
     if plan.answer is not None:
         if plan.answer not in called:
             raise PlanError(f"{plan_path}.answer: the plan calls no {plan.answer}")
--- a/saltcart/composition/timeout_policy.py
+++ b/saltcart/composition/timeout_policy.py
@@ -94,7 +94,7 @@
         dependency: DependencyState,
         fallback: DependencyState | None,
     ) -> float | None:
-        """Return when a second attempt should start if the one that is sent now has no reply yet.
+        """Return when a second attempt should start if the attempt that is sent now has no reply yet.
 
         That is after the time that nearly all calls need, but early enough for a call to the fallback.
 
@@ -110,10 +110,10 @@
             return now + SLOW_FACTOR * need.most
         return None
 
-    def seconds_worth_waiting(
+    def optimal_wait(
         self, now: float, sub_request: SubRequest, dependency: DependencyState, value: float, price: float
     ) -> float:
-        """Return how many seconds an optional reply is worth waiting for while other requests want the slot.
+        """Return for how many seconds to wait for an optional reply while other requests need the slot.
 
         That is the wait for which the value of the reply, times the probability that it arrives, less the
         price of the expected wait, is greatest.
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -201,7 +201,7 @@
             action.timeout,
             self._call_finished,
         ):
-            # The engine is told after its actions are carried out, in the loop's next iteration.
+            # In the next iteration of the loop, because the engine expects ends only after its actions.
             self.loop.call_soon(self._call_finished, action.id, Outcome.NOT_STARTED, b"")
 
     def _call_finished(self, call_id: bytes, outcome: Outcome, reply: bytes) -> None:
