--- a/tests/test_composition_engine.py
+++ b/tests/test_composition_engine.py
@@ -129,32 +129,29 @@
 
 def test_a_complete_response_contains_every_reply() -> None:
     harness = EngineHarness()
-    finished = harness.run()
-    assert (finished.outcome, finished.skipped_dependencies) == (
-        OK,
-        (),
-    ) and finished.seconds == pytest.approx(0.02)
-    assert orjson.loads(finished.body) == {"must": {"ok": 1}, "may": {"ok": 1}}
+    result = harness.run()
+    assert (result.outcome, result.skipped_dependencies) == (OK, ()) and result.seconds == pytest.approx(0.02)
+    assert orjson.loads(result.body) == {"must": {"ok": 1}, "may": {"ok": 1}}
 
 
 def test_an_optional_call_is_skipped_at_the_objective_less_the_reserve() -> None:
     harness = EngineHarness()
     harness.behaviours["may"] = None
-    finished = harness.run()
+    result = harness.run()
     assert (
-        finished.outcome is OK
-        and finished.skipped_dependencies == ("may",)
-        and finished.seconds == pytest.approx(0.98)
+        result.outcome is OK
+        and result.skipped_dependencies == ("may",)
+        and result.seconds == pytest.approx(0.98)
     )
-    assert orjson.loads(finished.body) == {"must": {"ok": 1}, "may": None}
+    assert orjson.loads(result.body) == {"must": {"ok": 1}, "may": None}
     assert harness.cancelled == {sent.id for sent in harness.sent if sent.dependency == "may"}
 
 
 def test_a_run_fails_without_a_required_reply() -> None:
     harness = EngineHarness()
     harness.behaviours["must"] = 0.01, ERROR
-    finished = harness.run()
-    assert finished.outcome is ERROR and harness.called_dependencies().count("must") <= MAX_ATTEMPTS
+    result = harness.run()
+    assert result.outcome is ERROR and harness.called_dependencies().count("must") <= MAX_ATTEMPTS
     assert not harness.engine.runs and not harness.engine.attempts
 
 
@@ -164,8 +161,8 @@
     harness.behaviours["may"] = 0.01, ERROR
     assert harness.run().cached_dependencies == ("may",)
     harness.now += 6.0
-    finished = harness.run()
-    assert (finished.cached_dependencies, finished.skipped_dependencies) == ((), ("may",))
+    result = harness.run()
+    assert (result.cached_dependencies, result.skipped_dependencies) == ((), ("may",))
 
 
 def test_a_write_is_sent_once_whatever_its_outcome() -> None:
@@ -180,8 +177,8 @@
 def test_a_write_that_never_ran_may_be_sent_to_the_fallback() -> None:
     harness = EngineHarness(write={"fallback": "spare", "attempts": 0.0})
     harness.behaviours["write"] = 0.05, REJECTED
-    finished = harness.run("oddaja", objective=1.5, deadline=4.0)
-    assert finished.outcome is OK and harness.called_dependencies() == ["must", "write", "spare"]
+    result = harness.run("oddaja", objective=1.5, deadline=4.0)
+    assert result.outcome is OK and harness.called_dependencies() == ["must", "write", "spare"]
 
 
 def test_a_run_without_its_write_counts_as_not_started_so_its_key_is_free() -> None:
@@ -217,8 +214,8 @@
     harness.warm_up("two", 30)
     harness.now += 7.0  # cached replies are too old by now
     harness.behaviours["may"] = None
-    finished = harness.run("two")
-    assert finished.outcome is OK and finished.skipped_dependencies == ("may",) and finished.seconds <= 0.98
+    result = harness.run("two")
+    assert result.outcome is OK and result.skipped_dependencies == ("may",) and result.seconds <= 0.98
     call = next(sent for sent in reversed(harness.sent) if sent.dependency == "may")
     assert call.timeout == pytest.approx(1 - 0.02 - 1.25 * 0.4, abs=0.06)
 
@@ -237,8 +234,8 @@
         harness.behaviours["must"] = 0.8, OK
         harness.warm_up(class_name, 30)
         harness.behaviours["may"] = 0.0, OK
-        finished = harness.run(class_name, objective=0.5, deadline=3.0)
-        assert (finished.outcome is OK) == earns_when_late
+        result = harness.run(class_name, objective=0.5, deadline=3.0)
+        assert (result.outcome is OK) == earns_when_late
 
 
 def test_retries_to_a_failing_dependency_stay_within_the_retry_budget() -> None:
@@ -298,7 +295,7 @@
         harness.start()
         assert harness.engine.dependencies["must"].limit.in_flight <= 3
     harness.run_until(harness.now + 5)
-    assert {finished.outcome for finished in harness.finished.values()} == {OK}
+    assert {result.outcome for result in harness.finished.values()} == {OK}
 
 
 def test_a_hedged_request_replaces_a_slow_first_attempt() -> None:
@@ -322,8 +319,8 @@
 def test_a_reply_to_a_cancelled_call_is_ignored() -> None:
     harness = EngineHarness()
     harness.behaviours["may"] = 2.0, OK
-    finished = harness.run()
-    assert finished.skipped_dependencies == ("may",)
+    result = harness.run()
+    assert result.skipped_dependencies == ("may",)
     assert harness.engine.call_finished(harness.now, harness.sent[-1].id, OK, b"late") == []
 
 
@@ -392,7 +389,7 @@
         harness.run_until(harness.now + gap)
         attempts = list(harness.engine.attempts)
         if event == "start":
-            spec = next(spec for spec in CLASSES if spec.name == class_name)
+            spec = next(candidate for candidate in CLASSES if candidate.name == class_name)
             deadlines[harness.start(class_name, spec.latency_objective, spec.deadline)] = (
                 harness.now + spec.deadline
             )
