--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -115,21 +115,21 @@
         else:
             self.upstreams.suspend(request_id)
 
-    def proceed(self, request_id: bytes) -> None:
+    def resume(self, request_id: bytes) -> None:
         """Do nothing: no run is ever paused."""
 
-    def supply(self, request_id: bytes, reply: bytes) -> None:
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None:
         """Do nothing: no run waits for a call that the decision module admits."""
 
-    def skip(self, request_id: bytes, notice: int) -> None:
+    def skip_call(self, request_id: bytes, notice: int) -> None:
         """Do nothing: no run waits for a call that the decision module admits."""
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         """Report the upstreams' gauges, and release slots for which held requests wait.
 
         A run that waits for its dependencies keeps its slot but uses no core.
         """
-        self.upstreams.poll()
+        self.upstreams.poll_gauges()
         if self.engine.runs:
             self._carry_out_all(self.engine.release_slots(self._monotonic_time(), self.held_count()))
 
@@ -173,9 +173,9 @@
                 self._send_call(action)
             case CancelCall():
                 if action.dependency in self.index_dependencies:
-                    self.index_dependencies[action.dependency].client.give_up(action.id)
+                    self.index_dependencies[action.dependency].client.cancel_call(action.id)
                 else:
-                    self.upstreams.give_up(action.id)
+                    self.upstreams.cancel_call(action.id)
             case CompositionFinished():
                 self.events.run_finished(
                     action.id,
