--- a/tests/test_composed_responses.py
+++ b/tests/test_composed_responses.py
@@ -1,4 +1,4 @@
-"""Composed runs on sockets: stand-in dependencies over AJP and index lines, both fronts, real failures."""
+"""Composed responses on sockets: test dependencies over AJP and the index protocol, both fronts, failures."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Site:
-    """A program with three dependencies: two reads, one of them over lines and not required, and a write."""
+    """A service with three dependencies: two reads, one of them optional and an index, and a write."""
 
     def __init__(self, app: App, tariff: StandIn, archive: StandIn, ledger: StandIn, spare: StandIn) -> None:
         self.app, self.tariff, self.archive, self.ledger = app, tariff, archive, ledger
@@ -95,7 +95,7 @@
         yield Site(app, *stand_ins)
 
 
-def play(test: Callable[[], Any]) -> None:
+def run_test(test: Callable[[], Any]) -> None:
     asyncio.run(test())
 
 
@@ -118,7 +118,7 @@
     return int(head.split()[1]), orjson.loads(body) if body else None
 
 
-def test_both_fronts_get_the_composed_answer_and_are_told_what_it_leaves_out() -> None:
+def test_both_fronts_send_the_composed_response_and_name_skipped_dependencies() -> None:
     async def test() -> None:
         silent = Act("silent")
         async with site(archive=lambda asked: silent if asked.body.startswith(b"partial") else Act()) as s:
@@ -136,7 +136,7 @@
             for answer in answers:
                 assert answer.status == 200 and answer.headers[b"left-out"] == b"archive"
                 assert orjson.loads(answer.body) == {"tariff": {"ok": 1}, "archive": None}
-            await until(lambda: len(s.archive.given_up) == 2)  # whoever is silent is told not to go on
+            await until(lambda: len(s.archive.given_up) == 2)  # the calls without a reply are cancelled
             figures = await vars_of(s.app)
             assert "balancer.fulfilled.read:4|c" in figures and "balancer.partial.read:2|c" in figures
             assert "balancer.dependency.archive.used:0|g" in figures
@@ -145,32 +145,32 @@
             status, seen = await admin(s.app, "GET", "/v1/dependencies")
             assert status == 200 and seen["archive"]["timeout"] == 2 and seen["tariff"]["ok"] == 4
 
-    play(test)
+    run_test(test)
 
 
-def test_what_a_tenant_was_told_is_forgotten_with_it() -> None:
+def test_cached_replies_of_a_removed_tenant_are_deleted() -> None:
     async def test() -> None:
         async with site() as s:
             assert s.app.composer is not None
-            kept = s.app.composer.engine.stale_cache
-            kept.put(s.app.service.clock.read_seconds(), "acme", b"k", b"told")
+            cache = s.app.composer.engine.stale_cache
+            cache.put(s.app.service.clock.read_seconds(), "acme", b"k", b"told")
             status, _ = await admin(s.app, "DELETE", "/v1/tenants/acme")
-            assert status == 204 and kept.entry_count == 0
+            assert status == 204 and cache.entry_count == 0
 
-    play(test)
+    run_test(test)
 
 
-def test_a_partial_answer_comes_before_a_budget_that_is_shorter_than_the_aim() -> None:
+def test_a_partial_response_keeps_a_timeout_shorter_than_the_objective() -> None:
     async def test() -> None:
         async with site(archive=lambda asked: Act("silent")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
-            answer = await client.ask(1, budget="700")  # the module ends it three sweeps before that
+            answer = await client.ask(1, budget="700")  # the decision module ends it three sweeps earlier
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
 
-    play(test)
+    run_test(test)
 
 
-def test_what_time_is_left_is_passed_on() -> None:
+def test_the_remaining_time_is_passed_on_to_dependencies() -> None:
     async def test() -> None:
         async with site() as s:
             client = await HttpClient(s.app.addresses["http"]).open()
@@ -179,10 +179,10 @@
             assert orjson.loads(s.ledger.asked[0].body) == {"request": "x", "answers": {"tariff": {"ok": 1}}}
             assert s.tariff.asked[0].account == b"acme"
 
-    play(test)
+    run_test(test)
 
 
-def test_a_write_whose_connection_breaks_fails_and_is_not_sent_again_by_a_repeat() -> None:
+def test_a_write_whose_connection_breaks_fails_and_is_not_sent_again_by_a_retry() -> None:
     async def test() -> None:
         async with site(ledger=lambda asked: Act("drop")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
@@ -191,10 +191,10 @@
             assert (first.status, again.status) == (500, 500)
             assert len(s.ledger.asked) == 1  # it may have had its effect
 
-    play(test)
+    run_test(test)
 
 
-def test_a_repeat_joins_the_write_under_way() -> None:
+def test_a_retry_joins_the_write_in_progress() -> None:
     async def test() -> None:
         async with site(ledger=lambda asked: Act(after=0.2, body=b"entered")) as s:
             clients = [await HttpClient(s.app.addresses["http"]).open() for _ in range(3)]
@@ -205,10 +205,10 @@
             assert [(a.status, a.body) for a in (*answers, late)] == [(200, b"entered")] * 3
             assert len(s.ledger.asked) == 1 and len(s.tariff.asked) == 1
 
-    play(test)
+    run_test(test)
 
 
-def test_a_request_that_never_wrote_leaves_its_key_free() -> None:
+def test_a_request_without_its_write_releases_its_idempotency_key() -> None:
     async def test() -> None:
         bad = [True]
         async with site(tariff=lambda asked: Act("error" if bad[0] else "ok"), attempts=0.0) as s:
@@ -218,10 +218,10 @@
             assert (await client.ask(2, "oddaja", key="k")).status == 200
             assert len(s.ledger.asked) == 1
 
-    play(test)
+    run_test(test)
 
 
-def test_a_dead_dependency_is_replaced_by_its_fallback() -> None:
+def test_the_fallback_replaces_an_unreachable_dependency() -> None:
     async def test() -> None:
         async with site(fallback="spare") as s:
             s.tariff.server.close()
@@ -233,10 +233,10 @@
                 assert (answer.status, answer.headers.get(b"left-out")) == (200, None)
             assert len(s.spare.asked) == 4 and s.state("tariff")["moot"] >= 1
 
-    play(test)
+    run_test(test)
 
 
-def test_replies_that_come_after_their_time_reach_nobody() -> None:
+def test_replies_after_the_deadline_are_ignored() -> None:
     async def test() -> None:
         slow = [True]
         async with site(archive=lambda asked: Act(after=1.3 if slow[0] else 0.0, body=b'"late"')) as s:
@@ -248,10 +248,10 @@
             second = await client.ask(2, body=b"b")
             assert orjson.loads(second.body)["archive"] == "late" and len(s.archive.asked) == 2
 
-    play(test)
+    run_test(test)
 
 
-def test_a_caller_that_leaves_gives_the_calls_up() -> None:
+def test_a_client_disconnect_cancels_the_calls() -> None:
     async def test() -> None:
         async with site(tariff=lambda asked: Act("silent"), archive=lambda asked: Act("silent")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
@@ -259,13 +259,15 @@
             await until(lambda: len(s.archive.asked) == len(s.tariff.asked) == 1)
             client.drop()
             await until(lambda: s.archive.given_up == [s.archive.asked[0].ident])
-            await until(lambda: not s.tariff.connections)  # AJP has no word for it: the connection ends
+            await until(
+                lambda: not s.tariff.connections
+            )  # AJP has no cancellation, so the connection is closed
             assert s.app.composer is not None and not s.app.composer.engine.runs
 
-    play(test)
+    run_test(test)
 
 
-def test_a_drain_midway_still_ends_with_a_partial_answer() -> None:
+def test_a_drain_during_a_run_still_ends_with_a_partial_response() -> None:
     async def test() -> None:
         async with site(archive=lambda asked: Act("silent")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
@@ -278,10 +280,10 @@
             answer = await client.answer()
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
 
-    play(test)
+    run_test(test)
 
 
-def test_an_upstream_that_a_plan_needs_stays() -> None:
+def test_an_upstream_that_a_plan_needs_cannot_be_deleted() -> None:
     async def test() -> None:
         async with site() as s:
             status, why = await admin(s.app, "DELETE", "/v1/upstreams/ledger")
@@ -289,7 +291,7 @@
             client = await HttpClient(s.app.addresses["http"]).open()
             assert (await client.ask(1, "oddaja", key="k")).status == 200
 
-    play(test)
+    run_test(test)
 
 
 @pytest.mark.parametrize(
@@ -312,7 +314,7 @@
         ({"dependency": [{"name": "ledger", "upstream": "ledger", "most": 0}]}, "dependency[0].most"),
     ],
 )
-def test_nothing_starts_with_a_wrong_plan_and_the_field_is_named(
+def test_the_service_does_not_start_with_an_invalid_plan_and_names_the_field(
     change: dict[str, Any], reason: str, tmp_path: Path
 ) -> None:
     import tomli_w
@@ -333,14 +335,14 @@
             check=False,
         )
         assert out.returncode == 2 and reason in out.stderr, out.stderr
-        assert len(out.stderr.strip().splitlines()) == 1  # one plain line
+        assert len(out.stderr.strip().splitlines()) == 1  # a single line, no traceback
 
 
-def test_plans_and_a_worker_pool_do_not_go_together() -> None:
+def test_plans_cannot_be_combined_with_a_worker_pool() -> None:
     async def test() -> None:
         deployment = read(tables("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
         with pytest.raises(ConfigError, match="worker pool"):
             async with running(deployment, pool="127.0.0.1:9"):
                 pass
 
-    play(test)
+    run_test(test)
