--- a/tests/test_composition_parts.py
+++ b/tests/test_composition_parts.py
@@ -30,7 +30,9 @@
     ordered = sorted(values)
     for level, quantile in zip((0.1, 0.5, 0.95), sketch.quantiles()):
         # The least value at which the survival curve reaches the level.
-        exact = next(value for rank, value in enumerate(ordered, 1) if rank / len(ordered) >= level - 1e-9)
+        exact = next(
+            observed for rank, observed in enumerate(ordered, 1) if rank / len(ordered) >= level - 1e-9
+        )
         assert abs(quantile - exact) <= 0.11 * exact
 
 
