--- a/saltcart/composition/composition_engine.py
+++ b/saltcart/composition/composition_engine.py
@@ -32,7 +32,7 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec
 
-MAX_ATTEMPTS = 3  # of one sub-request; it is not retried any more, whatever the retry budget allows
+MAX_ATTEMPTS = 3  # of one sub-request; there are no retries after them, whatever the retry budget
 # Held requests from which a slot has its full price; a single one that is held briefly loses nothing.
 FULL_PRICE_HELD_REQUESTS = 4.0
 # Outcomes that are timeouts if they are reported at most so many seconds before the deadline.
--- a/saltcart/composition/plan.py
+++ b/saltcart/composition/plan.py
@@ -46,7 +46,7 @@
 
     dependency: Name
     required: bool = True
-    worth: Fraction = 0.0  # share of the response's worth that is lost without this reply
+    worth: Fraction = 0.0  # share of the response's value that is lost without this reply
     write: bool = False  # it has an effect: sent once, in the last stage
     repeat: bool = True  # safe to send again after an error
     hedge: bool = False  # a hedged request may be sent while the first attempt is slow
@@ -177,7 +177,7 @@
 def check_classes(plans: CompositionSpec, classes: Iterable[ClassSpec]) -> None:
     """Check the plans against the classes' settings.
 
-    A class with effects has no partial responses, and its one write is the only call of the last stage.
+    A class with effects has no partial responses, and its only write is the only call of the last stage.
 
     Raises:
         PlanError: A plan does not suit its class.
