--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -10,11 +10,11 @@
 from math import sqrt
 from typing import Any
 
-from saltcart.budget.dependency import Dependency
-from saltcart.budget.guards import Breaker
-from saltcart.budget.judge import Judge
-from saltcart.budget.run import CallAttempt, Part
-from saltcart.budget.sketch import Quantiles
+from saltcart.composition.composed_run import CallAttempt, SubRequest
+from saltcart.composition.dependency_state import DependencyState
+from saltcart.composition.overload_protection import CircuitBreaker
+from saltcart.composition.quantile_sketch import QuantileSketch
+from saltcart.composition.timeout_policy import TimeoutPolicy
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import offices
 from saltcart.lab.budgets import FULL, QUICK, Play
@@ -22,39 +22,41 @@
 VARIANTS = ("whole", "no price", "survivors", "no breaker", "no second", "gradient")
 
 
-class Survivors(Quantiles):
+class Survivors(QuantileSketch):
     """Calls that were cut off are left out."""
 
-    def add(self, now: float, value: float, cut: bool = False) -> None:
-        if not cut:
+    def add(self, now: float, value: float, censored: bool = False) -> None:
+        if not censored:
             super().add(now, value)
 
 
-class NeverOpen(Breaker):
-    def ended(self, now: float, ok: bool, probe: bool) -> None:
+class NeverOpen(CircuitBreaker):
+    def record_result(self, now: float, ok: bool, probe: bool) -> None:
         return
 
 
-class NoSecond(Judge):
-    def beside_at(
-        self, now: float, part: Part, dependency: Dependency, other: Dependency | None
+class NoSecond(TimeoutPolicy):
+    def hedge_time(
+        self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
     ) -> float | None:
         return None
 
 
-class Gradient(Dependency):
+class Gradient(DependencyState):
     SMOOTH = 0.1
 
-    def ended(self, now: float, attempt: CallAttempt, outcome: Outcome, overtaken: bool = False) -> None:
+    def record_end(
+        self, now: float, attempt: CallAttempt, outcome: Outcome, was_overtaken: bool = False
+    ) -> None:
         before = self.limit.value
-        super().ended(now, attempt, outcome, overtaken)
-        took, base = max(1e-4, now - attempt.begun), getattr(self, "base", 10.0)
+        super().record_end(now, attempt, outcome, was_overtaken)
+        took, base = max(1e-4, now - attempt.started_at), getattr(self, "base", 10.0)
         if outcome is Outcome.SUCCEEDED:
             self.base = base = min(base * 1.001, took)
         ratio = max(0.5, min(1.0, 2 * base / took))
         aimed = before * ratio + sqrt(before)
         self.limit.value = max(
-            float(self.limit.least), min(float(self.limit.most), before + self.SMOOTH * (aimed - before))
+            float(self.limit.minimum), min(float(self.limit.maximum), before + self.SMOOTH * (aimed - before))
         )
 
 
@@ -62,15 +64,17 @@
     desk = game.desk
     for name, d in desk.dependencies.items():
         if variant == "survivors":
-            d.times = Survivors()
+            d.durations = Survivors()
         elif variant == "no breaker":
-            d.breaker = NeverOpen(d.breaker.rng)
+            d.circuit_breaker = NeverOpen(d.circuit_breaker.rng)
         elif variant == "gradient":
-            desk.dependencies[name] = Gradient(d.spec, d.breaker.rng)
+            desk.dependencies[name] = Gradient(d.spec, d.circuit_breaker.rng)
     if variant == "no price":
         game.runs.presses = False
     elif variant == "no second":
-        desk.judge = NoSecond(desk.judge.look, desk.judge.rng, desk.judge.late)
+        desk.timeout_policy = NoSecond(
+            desk.timeout_policy.find_dependency, desk.timeout_policy.rng, desk.timeout_policy.earns_when_late
+        )
 
 
 def play(job: tuple[int, str, float, int]) -> float:
