--- a/saltcart/membership/__init__.py
+++ b/saltcart/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's view of itself, kept by its members: who is there, who is gone.  Decisions alone, no I/O."""
+"""Fleet membership: a SWIM-like failure detector with gossip.  Decisions only, no I/O."""
--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -46,7 +46,7 @@
                 self.outbox.send(peer.address, peer.name, digest)
         if context.registers.values:
             for peer in self._draw_peer():
-                values = context.registers.next_to_resend(self.outbox.room())
+                values = context.registers.next_to_resend(self.outbox.available_bytes())
                 self.outbox.send_exactly(peer.address, Gossip(), [], values)
         missing = self._draw_missing()
         if missing is not None:
@@ -108,7 +108,7 @@
         """Send all records of some buckets; the first datagram says whether the same is wanted back."""
         buckets = list(buckets)
         first = BucketRecords(buckets if want_back else [])
-        whole_room = self.outbox.room()
+        whole_room = self.outbox.available_bytes()
         room = whole_room - BUCKET_NUMBER_BYTES * len(buckets)
         chunk = list[MemberRecord]()
         sent = 0
--- a/saltcart/membership/dissemination.py
+++ b/saltcart/membership/dissemination.py
@@ -1,7 +1,7 @@
-"""What a member still has to pass on: the latest of each, a bounded number of times, least sent first.
+"""Queue of items to disseminate by gossip, those sent least often first, each a bounded number of times.
 
-Items stand in one dict for each number of times that they were sent, so taking the next few costs no sorting;
-a list that is sorted each time is what it is measured against (docs/design/membership.md).
+Items are kept in one dict for each transmission count, so that taking the next ones needs no sorting.
+``saltcart.lab.views`` compares this with a list that is sorted on each call (docs/design/membership.md).
 """
 
 from __future__ import annotations
@@ -11,73 +11,78 @@
 
 from saltcart.membership.member_record import MemberRecord
 
-RETRANSMIT_FACTOR = 6.0  # times the logarithm (base 10) of the members: how often an item is sent
+RETRANSMIT_FACTOR = 6.0  # transmissions of an item, per decimal order of magnitude of the fleet's size
 
 
 def retransmit_limit(members: int) -> int:
-    """Return how often each item is sent in a fleet of so many (SWIM, 2002, section 4.1)."""
+    """Return how often each item is sent in a fleet of this many members (SWIM, 2002, section 4.1)."""
     return ceil(RETRANSMIT_FACTOR * log10(members + 1))
 
 
 class Disseminated(Protocol):
-    """What is passed on: the latest under a name."""
+    """An item of a ``DisseminationQueue``."""
 
     @property
     def name(self) -> str:
-        """Under which a later one replaces it."""
+        """Key of the item: a later item of the same name replaces it."""
 
     def max_encoded_bytes(self) -> int:
-        """Return how many bytes it takes on the wire, at most."""
+        """Return an upper bound of the item's encoded size in bytes."""
 
 
 Item = TypeVar("Item", bound=Disseminated)
 
 
 class DisseminationQueue(Generic[Item]):
-    """The latest of each name, by how often it was sent."""
+    """The latest item of each name, ordered by how often it was sent."""
 
     def __init__(self) -> None:
-        self.tiers: list[dict[str, Item]] = [{}]  # by how often their items were sent
-        self.times_sent: dict[str, int] = {}
+        self.items_by_transmit_count: list[dict[str, Item]] = [{}]
+        self.transmit_counts: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return how many items are still to be sent."""
-        return len(self.times_sent)
+        """Return the number of items that are still to be sent."""
+        return len(self.transmit_counts)
 
     def put(self, item: Item) -> None:
-        """Send this one from now on, in the place of an older one of its name."""
-        times = self.times_sent.pop(item.name, None)
-        if times is not None:
-            del self.tiers[times][item.name]
-        self.tiers[0][item.name] = item
-        self.times_sent[item.name] = 0
-
-    def take(self, room: int, limit: int) -> list[Item]:
-        """Return what fits into ``room`` bytes; what was sent ``limit`` times is dropped."""
+        """Queue an item, replacing an earlier one of the same name."""
+        count = self.transmit_counts.pop(item.name, None)
+        if count is not None:
+            del self.items_by_transmit_count[count][item.name]
+        self.items_by_transmit_count[0][item.name] = item
+        self.transmit_counts[item.name] = 0
+
+    def take(self, available_bytes: int, transmit_limit: int) -> list[Item]:
+        """Return the next items and count them as sent.
+
+        Args:
+            available_bytes: Upper bound of the items' encoded size in bytes.
+            transmit_limit: Number of transmissions after which an item is removed from the queue.
+        """
         taken = list[Item]()
-        if not self.times_sent:
+        if not self.transmit_counts:
             return taken
-        for tier in self.tiers:
-            for item in tier.values():
+        for items in self.items_by_transmit_count:
+            for item in items.values():
                 size = item.max_encoded_bytes()
-                if size > room:
-                    return self._count_sent(taken, limit)
-                room -= size
+                if size > available_bytes:
+                    return self._count_sent(taken, transmit_limit)
+                available_bytes -= size
                 taken.append(item)
-        return self._count_sent(taken, limit)
+        return self._count_sent(taken, transmit_limit)
 
-    def _count_sent(self, items: list[Item], limit: int) -> list[Item]:
+    def _count_sent(self, items: list[Item], transmit_limit: int) -> list[Item]:
         for item in items:
-            times = self.times_sent.pop(item.name)
-            del self.tiers[times][item.name]
-            times += 1
-            if times >= limit:
+            count = self.transmit_counts.pop(item.name)
+            del self.items_by_transmit_count[count][item.name]
+            count += 1
+            if count >= transmit_limit:
                 continue
-            if times == len(self.tiers):
-                self.tiers.append({})
-            self.tiers[times][item.name] = item
-            self.times_sent[item.name] = times
+            if count == len(self.items_by_transmit_count):
+                self.items_by_transmit_count.append({})
+            self.items_by_transmit_count[count][item.name] = item
+            self.transmit_counts[item.name] = count
         return items
 
 
-UpdateQueue = DisseminationQueue[MemberRecord]
+UpdateQueue = DisseminationQueue[MemberRecord]  # membership updates
--- a/saltcart/membership/member_record.py
+++ b/saltcart/membership/member_record.py
@@ -1,4 +1,4 @@
-"""What one member is known to be, and which of two such reports holds."""
+"""Reports on a member's state, and their order of precedence."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import msgspec
 import xxhash
 
-RECORD_OVERHEAD_BYTES = 24  # of a record's numbers and its frame
+RECORD_OVERHEAD_BYTES = 24  # a record's integers and MessagePack framing
 
 
 class MemberState(enum.IntEnum):
-    """In the order in which reports of one incarnation override each other (SWIM, 2002, section 4.2)."""
+    """State of a member; within an incarnation, a greater value overrides (SWIM, 2002, section 4.2)."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,10 +21,13 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A report on a member; its fields go by their order on the wire.
+    """A report on one member.  The order of the fields is the wire format.
 
-    ``incarnation`` is raised by the member alone; a process begins with the Unix milliseconds of its start,
-    so one that restarts is newer than it was.  ``reported_by`` is no part of the report.
+    Attributes:
+        incarnation: Raised by the member alone.  A process starts with the Unix time in milliseconds, so that
+            a restarted process has a higher incarnation than before.
+        state: A ``MemberState``.
+        reported_by: Name of the member that made the report; not part of its precedence.
     """
 
     name: str
@@ -36,20 +39,20 @@
     reported_by: str = ""
 
     def precedence(self) -> tuple[Any, ...]:
-        """Return a key of a total order: the greatest report of a member holds."""
+        """Return a sort key that totally orders the reports on a member; the greatest one takes effect."""
         return self.incarnation, self.state, self.address, self.zone, self.region
 
     def overrides(self, other: MemberRecord) -> bool:
-        """Whether this report holds against another one of the same member."""
+        """Whether this report takes precedence over another one on the same member."""
         return self.precedence() > other.precedence()
 
     @property
     def is_present(self) -> bool:
-        """Whether the member is there; a suspect is."""
+        """Whether the member is alive or a suspect."""
         return self.state <= MemberState.SUSPECT
 
     def fingerprint(self) -> int:
-        """Return a present member's part of the view's digest; 0 for one that is gone."""
+        """Return the record's 64-bit part of the view's digest; 0 for a member that is not present."""
         if not self.is_present:
             return 0
         return xxhash.xxh3_64_intdigest(f"{self.name}\0{self.address}\0{self.incarnation}".encode())
@@ -57,7 +60,13 @@
     def reported_as(
         self, state: MemberState, reported_by: str, incarnation: int | None = None
     ) -> MemberRecord:
-        """Return a new report on the same member."""
+        """Return a new report on the same member.
+
+        Args:
+            state: The reported state.
+            reported_by: Name of the reporting member.
+            incarnation: The reported incarnation; that of this record by default.
+        """
         return MemberRecord(
             self.name,
             self.address,
@@ -69,6 +78,6 @@
         )
 
     def max_encoded_bytes(self) -> int:
-        """Return how many bytes it takes on the wire, at most."""
+        """Return an upper bound of the record's encoded size in bytes, for ASCII texts."""
         texts = (self.name, self.address, self.zone, self.region, self.reported_by)
         return RECORD_OVERHEAD_BYTES + sum(map(len, texts))
--- a/saltcart/membership/messages.py
+++ b/saltcart/membership/messages.py
@@ -1,6 +1,6 @@
-"""What members send each other, and its bytes: one message a datagram, MessagePack by msgspec.
+"""Messages between members and their wire format: MessagePack, one message per datagram.
 
-Fields go by their order on the wire and messages by their tags: other releases read both.
+The order of the fields and the tags of the messages are the wire format, which other releases read as well.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from saltcart.wire.errors import MalformedMessageError
 
 PROTOCOL_VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # under what any network carries in one piece
-OVERHEAD_BYTES = 64  # of a datagram without its records, at most, beside a list of buckets
-MAX_NAME_LENGTH = 64
-MAX_BUCKETS = 64  # in one list
-MAX_NUMBER = 1 << 62  # of an incarnation or a register's value
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of any common network, so that datagrams are not fragmented
+DATAGRAM_OVERHEAD_BYTES = 64  # upper bound for a datagram without its records and its list of buckets
+MAX_NAME_LENGTH = 64  # characters
+MAX_BUCKETS = 64  # in one message
+NUMBER_LIMIT = 1 << 62  # exclusive, of an incarnation or a register value's number
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
-    """A probe; an ``Ack`` of the same number is wanted."""
+    """A probe; the receiver answers with an ``Ack`` of the same sequence number."""
 
     sequence: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    """The answer to a probe, direct or through a helper."""
+    """The answer to a probe, direct or indirect."""
 
     sequence: int
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """Asks a helper to probe a member in the sender's place."""
+    """Requests an indirect probe: the receiver probes the named member on the sender's behalf."""
 
     sequence: int
     name: str
@@ -44,17 +44,17 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
-    """A helper's word that the member does not answer it either."""
+    """A helper's report that its indirect probe got no answer either."""
 
     sequence: int
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag="tell"):
-    """Nothing but the news that goes with it."""
+    """Carries nothing but the updates and register values of its datagram."""
 
 
 class ViewDigest(msgspec.Struct, array_like=True, frozen=True, tag="digest"):
-    """The digest of the sender's view; one who differs sends the digests of its buckets."""
+    """The digest of the sender's view; a receiver with another digest answers with ``BucketDigests``."""
 
     digest: int
 
@@ -66,13 +66,22 @@
 
 
 class BucketRecords(msgspec.Struct, array_like=True, frozen=True, tag="records"):
-    """Carry the sender's records of some buckets as updates, and ask for the receiver's in return."""
+    """Carries the sender's records of some buckets as updates.
+
+    Attributes:
+        requested_buckets: Buckets whose records the sender requests in return.
+    """
 
     requested_buckets: Annotated[list[int], Meta(max_length=MAX_BUCKETS)]
 
 
 class DirectMessage(msgspec.Struct, array_like=True, frozen=True, tag="give"):
-    """Something for one member alone; ``topic`` says which part of the program it is for."""
+    """Application data for one member.
+
+    Attributes:
+        topic: Identifies the component that the data is for.
+        data: The component's own encoding.
+    """
 
     topic: str
     data: bytes
@@ -84,7 +93,7 @@
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """One message, with what else its sender passes on."""
+    """One message, with piggybacked membership updates and register values."""
 
     version: int
     cluster: str
@@ -99,15 +108,19 @@
 
 
 def encode(datagram: Datagram) -> bytes:
-    """Return a datagram's bytes."""
+    """Encode a datagram."""
     return _encoder.encode(datagram)
 
 
 def decode(data: bytes) -> Datagram:
-    """Read a datagram; ``MalformedMessageError`` says what is wrong with it."""
-    datagram = unpack(_decoder, data, "packet")
+    """Decode and validate a datagram.
+
+    Raises:
+        MalformedMessageError: The bytes are not a valid datagram of this protocol version.
+    """
+    datagram = unpack(_decoder, data, "membership datagram")
     if datagram.version != PROTOCOL_VERSION:
-        raise MalformedMessageError(f"wire version {datagram.version}")
+        raise MalformedMessageError(f"unsupported protocol version {datagram.version}")
     for record in (datagram.sender, *datagram.updates):
         _check_record(record)
     for value in datagram.registers:
@@ -118,11 +131,11 @@
 def _check_record(record: MemberRecord) -> None:
     has_name = 0 < len(record.name) <= MAX_NAME_LENGTH
     has_state = 0 <= record.state <= MemberState.LEFT
-    if not has_name or not has_state or not 0 < record.incarnation < MAX_NUMBER:
-        raise MalformedMessageError(f"record of {record.name[:MAX_NAME_LENGTH]!r}")
+    if not has_name or not has_state or not 0 < record.incarnation < NUMBER_LIMIT:
+        raise MalformedMessageError(f"invalid record of member {record.name[:MAX_NAME_LENGTH]!r}")
 
 
 def _check_value(value: RegisterValue) -> None:
     has_topic = 0 < len(value.topic) <= MAX_NAME_LENGTH
-    if not has_topic or len(value.data) > MAX_VALUE_BYTES or not 0 < value.number < MAX_NUMBER:
-        raise MalformedMessageError(f"post on {value.topic[:MAX_NAME_LENGTH]!r}")
+    if not has_topic or len(value.data) > MAX_VALUE_BYTES or not 0 < value.number < NUMBER_LIMIT:
+        raise MalformedMessageError(f"invalid value of register {value.topic[:MAX_NAME_LENGTH]!r}")
--- a/saltcart/membership/outbox.py
+++ b/saltcart/membership/outbox.py
@@ -1,4 +1,4 @@
-"""What a member sends: datagrams, each with as much news as fits."""
+"""A member's outgoing datagrams, each with as many piggybacked updates as fit."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from saltcart.membership.member_context import MemberContext
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.messages import (
+    DATAGRAM_OVERHEAD_BYTES,
     MAX_DATAGRAM_BYTES,
-    OVERHEAD_BYTES,
     PROTOCOL_VERSION,
     BucketDigests,
     BucketRecords,
@@ -16,7 +16,7 @@
 )
 from saltcart.membership.shared_registers import RegisterValue
 
-Outgoing = tuple[str, Datagram]  # to which address, and what
+Outgoing = tuple[str, Datagram]  # the receiver's address and the datagram
 
 
 class Outbox:
@@ -27,47 +27,53 @@
         self.outgoing: list[Outgoing] = []
 
     def take(self) -> list[Outgoing]:
-        """Return what is to be sent, once."""
+        """Return the collected datagrams and remove them from the outbox."""
         outgoing = self.outgoing
         self.outgoing = []
         return outgoing
 
-    def room(self) -> int:
-        """Return how many bytes of records a datagram holds."""
-        return MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - self.context.own_record.max_encoded_bytes()
+    def available_bytes(self) -> int:
+        """Return how many bytes of records fit into one datagram."""
+        return MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES - self.context.own_record.max_encoded_bytes()
 
-    def send(self, address: str, name: str, message: Message, message_bytes: int = 0) -> None:
-        """Send a message with as much news as fits; who is taken for a suspect or gone is told so by it.
+    def send(self, address: str, name: str, message: Message, extra_bytes: int = 0) -> None:
+        """Send a message with as many updates and register values as fit.
 
-        ``message_bytes``: that the message takes beyond those of a usual one.
+        A receiver that is not known as alive gets the record of itself first, so that it can refute it.
+
+        Args:
+            address: Address of the receiver.
+            name: Name of the receiver; empty if unknown.
+            message: The message.
+            extra_bytes: Size of the message in bytes beyond that of a message without data.
         """
         context = self.context
-        room = self.room() - message_bytes
-        news = list[MemberRecord]()
+        available_bytes = self.available_bytes() - extra_bytes
+        updates = list[MemberRecord]()
         known = context.view.get(name) if name else None
         if known is not None and known.state != MemberState.ALIVE:
-            news.append(known)
-            room -= known.max_encoded_bytes()
+            updates.append(known)
+            available_bytes -= known.max_encoded_bytes()
         values = list[RegisterValue]()
         if not isinstance(message, (BucketRecords, BucketDigests)):
             limit = retransmit_limit(context.view.present_count)
-            taken = [record for record in context.updates.take(room, limit) if record is not known]
-            news += taken
+            taken = [record for record in context.updates.take(available_bytes, limit) if record is not known]
+            updates += taken
             if len(context.registers.queue):
-                room -= sum(record.max_encoded_bytes() for record in taken)
-                values = context.registers.queue.take(room, limit)
-        self.send_exactly(address, message, news, values)
+                available_bytes -= sum(record.max_encoded_bytes() for record in taken)
+                values = context.registers.queue.take(available_bytes, limit)
+        self.send_exactly(address, message, updates, values)
 
     def send_exactly(
         self,
         address: str,
         message: Message,
-        news: list[MemberRecord],
+        updates: list[MemberRecord],
         values: list[RegisterValue] | None = None,
     ) -> None:
-        """Send a message with just this news."""
+        """Send a message with only the given updates and register values."""
         cluster = self.context.settings.cluster
         own_record = self.context.own_record
         self.outgoing.append(
-            (address, Datagram(PROTOCOL_VERSION, cluster, own_record, message, news, values or []))
+            (address, Datagram(PROTOCOL_VERSION, cluster, own_record, message, updates, values or []))
         )
--- a/saltcart/membership/probing.py
+++ b/saltcart/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probes: one member an interval, directly, then through helpers (SWIM, 2002)."""
+"""Failure detection: probes one member per interval, directly and then through helpers (SWIM, 2002)."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from saltcart.membership.outbox import Outbox
 from saltcart.membership.view import ProbeRotation
 
-MAX_LOOKS = 64  # for a member to probe, in one interval
+MAX_PROBE_CANDIDATES = 64  # records examined in one interval to find a present member to probe
 
 
 class Probe:
-    """A probe of one member that is under way."""
+    """A probe by this member that is in progress."""
 
     __slots__ = ("helper_count", "incarnation", "is_answered", "nacks", "name")
 
@@ -27,7 +27,7 @@
 
 
 class IndirectProbe:
-    """A probe in another member's place."""
+    """A probe on behalf of another member."""
 
     __slots__ = ("requester_address", "requester_sequence")
 
@@ -37,7 +37,11 @@
 
 
 class Prober:
-    """Probes members; ``on_unreachable`` is called with one that neither this member nor a helper reached."""
+    """Probes members and serves the probes of others.
+
+    Attributes:
+        on_unreachable: Called with a member that neither this member nor a helper has reached.
+    """
 
     def __init__(self, context: MemberContext, outbox: Outbox) -> None:
         self.context = context
@@ -48,35 +52,35 @@
         self.on_unreachable: Callable[[MemberRecord], None] = lambda target: None
 
     def start(self) -> None:
-        """Probe from a moment in the first interval on."""
+        """Schedule the first probe at a random time within the first interval."""
         context = self.context
         context.call_after(context.settings.probe_every * context.rng.random(), self._probe_next)
 
     def _probe_next(self) -> None:
-        """Probe one member; a member that is in trouble itself takes longer intervals."""
+        """Probe the next member in rotation; the interval grows while this member's own health is poor."""
         context = self.context
         interval = context.jittered(context.health.scaled(context.settings.probe_every))
         context.call_after(interval, self._probe_next)
         if context.is_leaving:
             return
         size = len(context.view)
-        for _ in range(min(size, MAX_LOOKS)):
+        for _ in range(min(size, MAX_PROBE_CANDIDATES)):
             target = context.view.record_at(self.rotation.next(size))
             if target is not None and target.is_present and target.name != context.own_record.name:
                 self.probe(target)
                 return
 
     def probe(self, target: MemberRecord) -> None:
-        """Probe a member now."""
+        """Start a probe of a member: one ping, a second one after half the timeout, then indirect probes."""
         context = self.context
         sequence = context.next_sequence()
-        wait = context.health.scaled(context.settings.probe_wait)
+        timeout = context.health.scaled(context.settings.probe_wait)
         self.probes[sequence] = Probe(target.name, target.incarnation)
         self.outbox.send(target.address, target.name, Ping(sequence))
-        context.call_after(wait / 2, self._send_again, sequence)
-        context.call_after(wait, self._request_indirect_probes, sequence)
+        context.call_after(timeout / 2, self._resend_ping, sequence)
+        context.call_after(timeout, self._request_indirect_probes, sequence)
 
-    def _send_again(self, sequence: int) -> None:
+    def _resend_ping(self, sequence: int) -> None:
         probe = self.probes[sequence]
         target = self.context.view.get(probe.name)
         if not probe.is_answered and target is not None:
@@ -95,29 +99,31 @@
             self.outbox.send(helper.address, helper.name, PingRequest(sequence, target.name, target.address))
         self.outbox.send(target.address, target.name, Ping(sequence))
         probe.helper_count = len(helpers)
-        # A helper needs the wait for its own probe and the way there and back.
-        context.call_after(context.health.scaled(2 * context.settings.probe_wait), self._finish, sequence)
+        # A helper needs one probe timeout for its own probe, and the round trip to this member.
+        context.call_after(
+            context.health.scaled(2 * context.settings.probe_wait), self._finish_probe, sequence
+        )
 
-    def _finish(self, sequence: int) -> None:
+    def _finish_probe(self, sequence: int) -> None:
         probe = self.probes.pop(sequence)
         target = self.context.view.get(probe.name)
         if probe.is_answered or target is None or not target.is_present:
             return
         if target.incarnation != probe.incarnation:
             return
-        # Helpers that do not answer tell of this member's own trouble, not of the target's.
+        # Helpers that send neither an ack nor a nack point to a fault of this member, not of the target.
         silent_helpers = probe.helper_count - probe.nacks
         self.context.health.adjust(1 if probe.helper_count == 0 else silent_helpers)
         self.on_unreachable(target)
 
-    # ---- answers, and probes for others -------------------------------------------------------
+    # ---- received messages --------------------------------------------------------------------
 
     def on_ping(self, sender: MemberRecord, sequence: int) -> None:
         """Answer a probe."""
         self.outbox.send(sender.address, sender.name, Ack(sequence))
 
     def on_ack(self, sequence: int) -> None:
-        """A probe of this number is answered."""
+        """Record the answer to a probe, or forward it to the member that requested the indirect probe."""
         indirect = self.indirect_probes.pop(sequence, None)
         if indirect is not None:
             self.outbox.send(indirect.requester_address, "", Ack(indirect.requester_sequence))
@@ -128,25 +134,27 @@
             self.context.health.adjust(-1)
 
     def on_nack(self, sequence: int) -> None:
-        """A helper got no answer for the probe of this number."""
+        """Count a helper whose indirect probe got no answer."""
         probe = self.probes.get(sequence)
         if probe is not None:
             probe.nacks += 1
 
     def on_ping_request(self, sender: MemberRecord, request: PingRequest) -> None:
-        """Probe a member in the sender's place."""
+        """Start an indirect probe on behalf of the sender."""
         sequence = self.context.next_sequence()
         self.indirect_probes[sequence] = IndirectProbe(sender.address, request.sequence)
         self.outbox.send(request.address, request.name, Ping(sequence))
-        wait = self.context.settings.probe_wait
-        self.context.call_after(wait / 2, self._send_indirect_again, sequence, request.name, request.address)
-        self.context.call_after(wait, self._finish_indirect, sequence)
+        timeout = self.context.settings.probe_wait
+        self.context.call_after(
+            timeout / 2, self._resend_indirect_ping, sequence, request.name, request.address
+        )
+        self.context.call_after(timeout, self._finish_indirect_probe, sequence)
 
-    def _send_indirect_again(self, sequence: int, name: str, address: str) -> None:
+    def _resend_indirect_ping(self, sequence: int, name: str, address: str) -> None:
         if sequence in self.indirect_probes:
             self.outbox.send(address, name, Ping(sequence))
 
-    def _finish_indirect(self, sequence: int) -> None:
+    def _finish_indirect_probe(self, sequence: int) -> None:
         indirect = self.indirect_probes.pop(sequence, None)
         if indirect is not None:
             self.outbox.send(indirect.requester_address, "", Nack(indirect.requester_sequence))
