--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Comparisons of whole views: by digests two members find where they differ, and give what the other lacks.
+"""Anti-entropy: pairs of members compare digests of their views and exchange the records that differ.
 
-One that is gone is tried in the same way, so that two halves of a fleet find each other again.
+Members that are dead are contacted in the same way, so that two halves of a partitioned fleet merge again.
 """
 
 from __future__ import annotations
@@ -13,116 +13,121 @@
 from saltcart.membership.outbox import Outbox
 from saltcart.membership.view import BUCKET_COUNT
 
-MAX_DELAYS = 3  # comparisons in a row that wait for news under way, which would only be sent twice
-MAX_SYNC_DATAGRAMS = 32  # that one comparison may send: the rest is for the next one
-MAX_JOIN_DOUBLINGS = 6  # of the wait between two tries to join
+MAX_DEFERRALS = 3  # consecutive comparisons put off while updates, which would be sent twice, are in flight
+MAX_SYNC_DATAGRAMS = 32  # per comparison; the remaining records are left to the next one
+MAX_JOIN_DOUBLINGS = 6  # of the delay between attempts to join
 BUCKET_NUMBER_BYTES = 2
 
 
 class AntiEntropy:
-    """Compares views now and then, and joins the fleet through its seeds."""
+    """Compares views periodically, and joins the fleet through its seeds."""
 
     def __init__(self, context: MemberContext, outbox: Outbox) -> None:
         self.context = context
         self.outbox = outbox
-        self.seeds = tuple(s for s in context.settings.seeds if s != context.own_record.address)
-        self.delays = 0
+        self.seeds = tuple(seed for seed in context.settings.seeds if seed != context.own_record.address)
+        self.deferrals = 0
 
     def start(self) -> None:
-        """Compare from a moment in the first interval on, and join at once."""
+        """Schedule the first comparison at a random time within the first interval, and join at once."""
         context = self.context
         context.call_after(context.settings.sync_every * context.rng.random(), self._sync)
         if self.seeds:
             context.call_after(0.0, self._join, 0)
 
     def _sync(self) -> None:
-        """Compare with one member who is there, and try one who is gone or a seed that is not known."""
+        """Compare views with a present member, and try a dead member or an unknown seed."""
         context = self.context
         context.call_after(context.jittered(context.settings.sync_every), self._sync)
         context.view.forget(context.now - context.settings.forget_after)
         digest = ViewDigest(context.view.digest)
-        if not self._waits_for_news():
-            for peer in self._draw_peer():
+        if not self._defers_comparison():
+            for peer in self._sample_peer():
                 self.outbox.send(peer.address, peer.name, digest)
         if context.registers.values:
-            for peer in self._draw_peer():
+            for peer in self._sample_peer():
                 values = context.registers.next_to_resend(self.outbox.available_bytes())
                 self.outbox.send_exactly(peer.address, Gossip(), [], values)
-        missing = self._draw_missing()
+        missing = self._choose_missing()
         if missing is not None:
             self.outbox.send(*missing, digest)
 
-    def _draw_peer(self) -> list[MemberRecord]:
+    def _sample_peer(self) -> list[MemberRecord]:
         return self.context.view.sample(self.context.rng, 1, {self.context.own_record.name})
 
-    def _waits_for_news(self) -> bool:
-        """Whether news is under way, so that views differ anyhow; where there always is, it is no excuse."""
-        if len(self.context.updates) and self.delays < MAX_DELAYS:
-            self.delays += 1
+    def _defers_comparison(self) -> bool:
+        """Whether to put off a comparison, since updates in flight explain a difference between views.
+
+        After ``MAX_DEFERRALS`` in a row it takes place anyway, as a busy fleet always has updates in flight.
+        """
+        if len(self.context.updates) and self.deferrals < MAX_DEFERRALS:
+            self.deferrals += 1
             return True
-        self.delays = 0
+        self.deferrals = 0
         return False
 
-    def _draw_missing(self) -> tuple[str, str] | None:
-        """Return address and name of one that may have come back; an unknown seed has no name."""
+    def _choose_missing(self) -> tuple[str, str] | None:
+        """Return the address and name of a dead member or an unknown seed, which has an empty name."""
         view = self.context.view
         gone = [record for name in view.gone_since if (record := view.get(name)) is not None]
-        missing = [(r.address, r.name) for r in gone if r.state == MemberState.DEAD]
+        missing = [(record.address, record.name) for record in gone if record.state == MemberState.DEAD]
         known = {record.address for record in view} if self.seeds else set()
         missing += [(address, "") for address in self.seeds if address not in known]
         return self.context.rng.choice(missing) if missing else None
 
-    def _join(self, tries: int) -> None:
-        """Ask the seeds until another member is known; a longer wait each time."""
+    def _join(self, attempts: int) -> None:
+        """Contact the seeds with exponential backoff until another member is known."""
         context = self.context
         settings = self.context.settings
         if context.view.present_count > 1:
             return
         for seed in self.seeds:
             self.outbox.send_exactly(seed, ViewDigest(context.view.digest), [])
-        wait = min(settings.sync_every, settings.probe_wait * 2 ** min(tries, MAX_JOIN_DOUBLINGS))
-        context.call_after(context.jittered(wait), self._join, tries + 1)
+        delay = min(settings.sync_every, settings.probe_wait * 2 ** min(attempts, MAX_JOIN_DOUBLINGS))
+        context.call_after(context.jittered(delay), self._join, attempts + 1)
 
-    # ---- what others ask ----------------------------------------------------------------------
+    # ---- received messages --------------------------------------------------------------------
 
     def on_view_digest(self, sender: MemberRecord, digest: int) -> None:
-        """Answer the digest of another view, if it differs."""
+        """Answer with the digests of the buckets if the sender's view differs."""
         view = self.context.view
-        if digest != view.digest and not self._waits_for_news():
+        if digest != view.digest and not self._defers_comparison():
             self.outbox.send(sender.address, sender.name, BucketDigests(list(view.digests)))
 
     def on_bucket_digests(self, sender: MemberRecord, digests: list[int]) -> None:
-        """Send the records of buckets that differ, and want the sender's in return."""
+        """Send the records of the buckets that differ, and request the sender's in return."""
         own = self.context.view.digests
-        differing = [n for n in range(min(BUCKET_COUNT, len(digests))) if digests[n] != own[n]]
+        differing = [
+            index for index in range(min(BUCKET_COUNT, len(digests))) if digests[index] != own[index]
+        ]
         if differing:
-            self._send_records(sender.address, differing, want_back=True)
+            self._send_records(sender.address, differing, request_back=True)
 
-    def on_bucket_records(self, sender: MemberRecord, wanted: list[int]) -> None:
-        """Send the records that the sender wants in return."""
-        if wanted:
-            buckets = [n for n in wanted if 0 <= n < BUCKET_COUNT]
-            self._send_records(sender.address, buckets, want_back=False)
+    def on_bucket_records(self, sender: MemberRecord, requested_buckets: list[int]) -> None:
+        """Send the records of the buckets that the sender requests."""
+        if requested_buckets:
+            buckets = [index for index in requested_buckets if 0 <= index < BUCKET_COUNT]
+            self._send_records(sender.address, buckets, request_back=False)
 
-    def _send_records(self, address: str, buckets: Iterable[int], *, want_back: bool) -> None:
-        """Send all records of some buckets; the first datagram says whether the same is wanted back."""
+    def _send_records(self, address: str, buckets: Iterable[int], *, request_back: bool) -> None:
+        """Send all records of some buckets; the first datagram may request the receiver's in return."""
         buckets = list(buckets)
-        first = BucketRecords(buckets if want_back else [])
-        whole_room = self.outbox.available_bytes()
-        room = whole_room - BUCKET_NUMBER_BYTES * len(buckets)
+        first = BucketRecords(buckets if request_back else [])
+        datagram_bytes = self.outbox.available_bytes()
+        available_bytes = datagram_bytes - BUCKET_NUMBER_BYTES * len(buckets)
         chunk = list[MemberRecord]()
         sent = 0
         records = self.context.view.records_in_buckets(buckets)
-        self.context.rng.shuffle(records)  # what does not go this time goes another time
+        self.context.rng.shuffle(records)  # so that records beyond the limit are sent another time
         for record in records:
-            if record.max_encoded_bytes() > room:
+            if record.max_encoded_bytes() > available_bytes:
                 self.outbox.send_exactly(address, first if sent == 0 else BucketRecords([]), chunk)
                 chunk = []
-                room = whole_room
+                available_bytes = datagram_bytes
                 sent += 1
                 if sent == MAX_SYNC_DATAGRAMS:
                     return
             chunk.append(record)
-            room -= record.max_encoded_bytes()
-        if chunk or (want_back and sent == 0):
+            available_bytes -= record.max_encoded_bytes()
+        if chunk or (request_back and sent == 0):
             self.outbox.send_exactly(address, first if sent == 0 else BucketRecords([]), chunk)
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -1,15 +1,16 @@
-"""The protocol of one member: probes, suspicions, refutations, news, and comparisons of whole views.
-
-After SWIM (Das, Gupta and Motivala, 2002) and Lifeguard (Dadgar, Phillips and Currey, 2017).  Fed datagrams
-and moments, it leaves what is to be sent in its outbox; it knows no socket and no clock of its own.
-
-- Each interval one member is probed.  Unanswered, the probe is sent once more; then ``helpers`` others probe
-  in its place; then the member is a suspect (``probing``).
-- A suspect is told so by whatever is sent to it, and refutes by a higher incarnation; otherwise it is
-  declared dead (``suspicion_tracker``).
-- Reports go along with probes and answers, least sent first, and by themselves while there are any
-  (``dissemination``).
-- Now and then two members compare their digests and give each other what they lack (``anti_entropy``).
+"""The membership protocol of one member: failure detection, gossip and anti-entropy.
+
+After SWIM (Das, Gupta and Motivala, 2002) and Lifeguard (Dadgar, Phillips and Currey, 2017).  The driver
+passes in datagrams and the time, and takes the outgoing datagrams; the protocol has neither a socket nor a
+clock.
+
+- Each interval one member is probed.  Without an answer the ping is sent once more, then ``helpers`` other
+  members probe indirectly, then the member becomes a suspect (``probing``).
+- Each datagram to a suspect carries the suspicion, and the suspect refutes it with a higher incarnation;
+  otherwise it is declared dead (``suspicion_tracker``).
+- Updates are piggybacked on probes and their answers, those sent least often first, and are also gossiped in
+  datagrams of their own while there are any (``dissemination``).
+- Periodically two members compare their digests and exchange the records that differ (``anti_entropy``).
 """
 
 from __future__ import annotations
@@ -28,11 +29,18 @@
 from saltcart.membership.suspicion_tracker import SuspicionTracker
 from saltcart.membership.view import MembershipChange, MembershipSnapshot, MembershipView
 
-LEAVE_ROUNDS = 2  # of gossip at once when a member leaves: it has no time for more
+LEAVE_ROUNDS = 2  # of gossip, sent at once on leaving, since the process may end before the next interval
 
 
 class Member:
-    """One member of the fleet.  Times are seconds by the driver's clock."""
+    """One member of the fleet.  Times are in seconds by the driver's clock.
+
+    Attributes:
+        on_changed: Called with each change of the view.
+        on_name_taken: Called with the record of a newer process that uses this member's name.
+        on_direct_message: Called with the sender's record, the topic and the data of a direct message.
+        is_superseded: Whether a newer process uses this member's name; this one then takes no further part.
+    """
 
     def __init__(
         self,
@@ -44,7 +52,17 @@
         incarnation: int,
         snapshot: MembershipSnapshot | None = None,
     ) -> None:
-        """``incarnation``: to begin with; ``snapshot``: members that are known from the start."""
+        """Create a member and schedule its first probe, gossip and comparison.
+
+        Args:
+            settings: Settings of the protocol.
+            name: Name of the member, unique in the fleet.
+            address: Address at which others reach this member.
+            rng: Source of randomness.
+            now: Time in seconds.
+            incarnation: The first incarnation, normally above that of an earlier process of this name.
+            snapshot: Members that are known from the start.
+        """
         own_record = MemberRecord(
             name, address, incarnation, MemberState.ALIVE, settings.zone, settings.region
         )
@@ -56,9 +74,8 @@
         self.anti_entropy = AntiEntropy(self.context, self.outbox)
         self.on_changed: Callable[[MembershipChange], None] = lambda change: None
         self.on_name_taken: Callable[[MemberRecord], None] = lambda record: None
-        # Called with what another member sends to this one alone: its record, the topic and the data.
         self.on_direct_message: Callable[[MemberRecord, str, bytes], None] = lambda sender, topic, data: None
-        self.is_superseded = False  # another process has this member's name
+        self.is_superseded = False
         self.refuted_count = 0
         self.foreign_datagram_count = 0
         self.datagram_count = 0
@@ -69,41 +86,46 @@
 
     @property
     def settings(self) -> MemberSettings:
-        """How this member speaks with the others."""
+        """The settings of the protocol."""
         return self.context.settings
 
     @property
     def own_record(self) -> MemberRecord:
-        """What this member reports of itself."""
+        """The latest record that this member reports of itself."""
         return self.context.own_record
 
     @property
     def view(self) -> MembershipView:
-        """What is known of all members."""
+        """This member's view of the fleet."""
         return self.context.view
 
     @property
     def registers(self) -> SharedRegisters:
-        """The registers that all members share."""
+        """The registers shared by all members."""
         return self.context.registers
 
-    # ---- what the driver calls ----------------------------------------------------------------
+    # ---- calls from the driver ----------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Run what is due."""
+        """Run the timers that are due at a time in seconds."""
         self.context.now = now
         self.context.timers.run(now)
 
     def next_due(self) -> float | None:
-        """Return when something is due next."""
+        """Return the time in seconds at which the next timer is due, or None without timers."""
         return self.context.timers.next_due()
 
     def take_outgoing(self) -> list[Outgoing]:
-        """Return what is to be sent, once."""
+        """Return the datagrams to send and remove them from the outbox."""
         return self.outbox.take()
 
     def receive(self, now: float, datagram: messages.Datagram) -> None:
-        """Take a datagram."""
+        """Process a received datagram.
+
+        Args:
+            now: Time in seconds.
+            datagram: The decoded datagram.
+        """
         self.context.now = now
         self.datagram_count += 1
         if self.is_superseded:
@@ -112,7 +134,7 @@
             self.foreign_datagram_count += 1
             return
         sender = datagram.sender
-        self._hear(sender)
+        self._handle_report(sender)
         if sender.name == self.own_record.name:
             return
         known = self.view.get(sender.name)
@@ -120,11 +142,11 @@
             self.outbox.send_exactly(sender.address, messages.Gossip(), [known])
         is_comparison = isinstance(datagram.message, messages.BucketRecords)
         for record in datagram.updates:
-            self._hear(self._softened(record, sender.name) if is_comparison else record)
+            self._handle_report(self._dead_as_suspect(record, sender.name) if is_comparison else record)
         for value in datagram.registers:
             self.registers.merge(value, now)
         if not self.is_superseded:
-            self._act(sender, datagram.message)
+            self._handle_message(sender, datagram.message)
 
     def leave(self, now: float) -> None:
         """Report that this member leaves; it answers probes until its process ends."""
@@ -137,12 +159,29 @@
             self._gossip_once()
 
     def write_register(self, now: float, topic: str, data: bytes, number: int | None = None) -> None:
-        """Write a register that all members share; ``ValueError`` where the data are too long."""
+        """Write a register that all members share.
+
+        Args:
+            now: Time in seconds.
+            topic: Name of the register.
+            data: The value.
+            number: The least version number to use; the one after the known value's by default.
+
+        Raises:
+            ValueError: The data is too long.
+        """
         self.context.now = now
         self.registers.write(topic, self.own_record.name, data, now, number)
 
     def send_direct(self, now: float, name: str, topic: str, data: bytes) -> None:
-        """Send something to one member alone, once; lost where a datagram is."""
+        """Send data to one known member, once and without acknowledgement.
+
+        Args:
+            now: Time in seconds.
+            name: Name of the receiver.
+            topic: Identifies the component that the data is for.
+            data: The component's own encoding.
+        """
         self.context.now = now
         if name == self.own_record.name:
             self.on_direct_message(self.own_record, topic, data)
@@ -154,20 +193,20 @@
 
     # ---- reports ------------------------------------------------------------------------------
 
-    def _softened(self, record: MemberRecord, reporter: str) -> MemberRecord:
-        """In a comparison, another's report that a member is dead makes a suspect of one taken for alive."""
+    def _dead_as_suspect(self, record: MemberRecord, reporter: str) -> MemberRecord:
+        """Turn an anti-entropy report that a present member is dead into a suspicion of it."""
         known = self.view.get(record.name)
         if record.state == MemberState.DEAD and known is not None and known.is_present:
             return record.reported_as(MemberState.SUSPECT, reporter)
         return record
 
-    def _hear(self, record: MemberRecord) -> None:
+    def _handle_report(self, record: MemberRecord) -> None:
         if record.name == self.own_record.name:
-            self._hear_of_itself(record)
+            self._handle_report_on_self(record)
             return
         known = self.view.get(record.name)
         if known is None and not record.is_present:
-            return  # it is gone and was never known: nothing to remember
+            return  # a member that is gone and was never known needs no tombstone
         if known is not None and self._is_further_accusation(record, known):
             self.suspicion_tracker.confirm(record)
         self._merge(record)
@@ -177,14 +216,13 @@
         both_suspect = record.state == MemberState.SUSPECT and known.state == MemberState.SUSPECT
         return both_suspect and bool(record.reported_by) and known.incarnation == record.incarnation
 
-    def _hear_of_itself(self, record: MemberRecord) -> None:
+    def _handle_report_on_self(self, record: MemberRecord) -> None:
+        """Refute a suspicion of this member, or stop if a newer process uses its name."""
         own = self.own_record
         is_newer = record.incarnation > own.incarnation
         if record.address != own.address:
             if record.state == MemberState.ALIVE and is_newer:
-                self.is_superseded = (
-                    True  # a later process has this name: two would refute each other for ever
-                )
+                self.is_superseded = True  # otherwise the two processes would refute each other for ever
                 self.context.timers.heap.clear()
                 self.on_name_taken(record)
             return
@@ -196,7 +234,7 @@
             self._merge(self.context.update_own_record(state, record.incarnation + 1))
 
     def _merge(self, record: MemberRecord) -> None:
-        """Merge a report into the view; pass it on if it tells anything new."""
+        """Merge a report into the view; pass it on if it changed the view."""
         change = self.view.merge(record, self.context.now)
         if change is None:
             return
@@ -207,7 +245,7 @@
             self.suspicion_tracker.drop(record.name)
         self.on_changed(change)
 
-    def _act(self, sender: MemberRecord, message: messages.Message) -> None:
+    def _handle_message(self, sender: MemberRecord, message: messages.Message) -> None:
         match message:
             case messages.Ping(sequence):
                 self.prober.on_ping(sender, sequence)
@@ -237,10 +275,10 @@
         for peer in self.view.sample(self.context.rng, self.settings.fanout, {self.own_record.name}):
             self.outbox.send(peer.address, peer.name, messages.Gossip())
 
-    # ---- what is shown ------------------------------------------------------------------------
+    # ---- metrics and state --------------------------------------------------------------------
 
     def figures(self) -> list[tuple[str, int]]:
-        """Return the figures that operators are shown."""
+        """Return the metrics that operators are shown, by name."""
         states = [MemberState(record.state) for record in self.view]
         return [
             ("member.alive", states.count(MemberState.ALIVE)),
@@ -256,7 +294,7 @@
         ]
 
     def state(self) -> dict[str, object]:
-        """Return the view as operators and other programs read it; times are the member's own clock."""
+        """Return the view as the administration API shows it; the age of a change is in seconds."""
         return {
             "name": self.own_record.name,
             "cluster": self.settings.cluster,
@@ -265,12 +303,14 @@
             "digest": f"{self.view.digest:016x}",
             "present": self.view.present_count,
             "health": self.context.health.score,
-            "members": [_shown_member(r) for r in sorted(self.view, key=lambda r: r.name)],
-            "history": [_shown_change(change, self.context.now) for change in self.view.history],
+            "members": [
+                _member_fields(record) for record in sorted(self.view, key=lambda record: record.name)
+            ],
+            "history": [_change_fields(change, self.context.now) for change in self.view.history],
         }
 
 
-def _shown_member(record: MemberRecord) -> dict[str, object]:
+def _member_fields(record: MemberRecord) -> dict[str, object]:
     return {
         "name": record.name,
         "address": record.address,
@@ -282,7 +322,7 @@
     }
 
 
-def _shown_change(change: MembershipChange, now: float) -> dict[str, object]:
+def _change_fields(change: MembershipChange, now: float) -> dict[str, object]:
     return {
         "version": change.version,
         "ago": round(now - change.changed_at, 3),
--- a/saltcart/membership/member_context.py
+++ b/saltcart/membership/member_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member share: its settings, its view, its time, and what it passes on."""
+"""State that the components of one member share: settings, view, time, timers and queues."""
 
 from __future__ import annotations
 
@@ -14,11 +14,17 @@
 from saltcart.membership.suspicion import LocalHealth
 from saltcart.membership.view import MembershipSnapshot, MembershipView
 
-JITTER = 0.2  # of an interval, either way, so that members do not act in step
+JITTER_FRACTION = 0.2  # of an interval, in both directions, so that members do not act in lockstep
 
 
 class MemberContext:
-    """State of one member that several of its parts read."""
+    """State of one member that several of its components read.
+
+    Attributes:
+        now: Time in seconds by the driver's clock, set before each event.
+        updates: Membership updates to pass on.
+        is_leaving: Whether this member has reported that it leaves.
+    """
 
     def __init__(
         self,
@@ -41,19 +47,27 @@
         self._last_sequence = 0
 
     def next_sequence(self) -> int:
-        """Return a new number for a probe."""
+        """Return a new sequence number for a probe."""
         self._last_sequence += 1
         return self._last_sequence
 
     def jittered(self, seconds: float) -> float:
-        """Return an interval that differs a little from member to member and time to time."""
-        return seconds * (1 + JITTER * (2 * self.rng.random() - 1))
+        """Return an interval in seconds with random jitter."""
+        return seconds * (1 + JITTER_FRACTION * (2 * self.rng.random() - 1))
 
     def call_after(self, seconds: float, call: Callable[..., None], *args: Any) -> None:
-        """Make a call so many seconds from now."""
+        """Schedule a call after a delay in seconds."""
         self.timers.call_at(self.now + seconds, call, *args)
 
     def update_own_record(self, state: MemberState, incarnation: int | None = None) -> MemberRecord:
-        """Change this member's own record and return it."""
+        """Replace this member's own record.
+
+        Args:
+            state: The new state.
+            incarnation: The new incarnation; unchanged by default.
+
+        Returns:
+            The new record.
+        """
         self.own_record = self.own_record.reported_as(state, self.own_record.name, incarnation)
         return self.own_record
--- a/saltcart/membership/settings.py
+++ b/saltcart/membership/settings.py
@@ -22,43 +22,70 @@
 
 
 class MemberSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How this member speaks with the others; times in seconds."""
+    """Settings of the failure detector and of gossip.
 
-    listen: Address  # UDP
-    cluster: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$")]  # guards against mixing two fleets
+    Attributes:
+        listen: UDP address to listen on.
+        cluster: Name of the fleet; datagrams of another fleet are ignored.
+        enabled: Whether this process takes part.
+        advertise: Address at which others reach this member; the listening address by default.
+        seeds: Addresses of a few members, through which this member joins the fleet.
+        zone: Zone of this member.
+        region: Region of this member.
+        probe_every: Interval between probes, in seconds.
+        probe_wait: Timeout of a direct probe, in seconds; after half of it the ping is sent again.
+        helpers: Number of members that are requested to probe indirectly.
+        suspect_for: Least duration of a suspicion, in probe intervals; multiplied by the decimal logarithm of
+            the number of members.
+        suspect_most: Duration of an unconfirmed suspicion, as a multiple of the least duration.
+        confirmations: Number of further accusers with which a suspicion has its least duration.
+        gossip_every: Interval between rounds of gossip, in seconds.
+        fanout: Number of members that a round of gossip is sent to.
+        sync_every: Interval between anti-entropy exchanges with a random member, in seconds.
+        forget_after: Time in seconds for which members that are dead or have left are remembered.
+    """
+
+    listen: Address
+    cluster: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
     enabled: bool = True
-    advertise: Address | None = None  # where others reach this member, if not where it listens
-    seeds: tuple[Address, ...] = ()  # members that are asked first; any few of the fleet
+    advertise: Address | None = None
+    seeds: tuple[Address, ...] = ()
     zone: Label = ""
     region: Label = ""
     probe_every: Annotated[float, Meta(ge=0.05, le=60.0)] = 0.4
-    probe_wait: Seconds = 0.15  # for the answer to a direct probe, and half of that before it is sent again
-    helpers: Annotated[int, Meta(ge=0, le=16)] = 3  # asked to probe in our place
-    # A suspect has this many probe intervals, times the logarithm (base 10) of the members, to speak up.
+    probe_wait: Seconds = 0.15
+    helpers: Annotated[int, Meta(ge=0, le=16)] = 3
     suspect_for: Annotated[float, Meta(ge=1.0, le=100.0)] = 3.0
-    suspect_most: Annotated[float, Meta(ge=1.0, le=20.0)] = 3.0  # times that, while nobody confirms it
+    suspect_most: Annotated[float, Meta(ge=1.0, le=20.0)] = 3.0
     confirmations: Annotated[int, Meta(ge=0, le=16)] = 3
     gossip_every: Seconds = 0.2
     fanout: Annotated[int, Meta(ge=1, le=16)] = 3
-    sync_every: Seconds = 2.0  # a whole comparison with one other member
-    forget_after: Seconds = 300.0  # those who left or died are remembered so long
+    sync_every: Seconds = 2.0
+    forget_after: Seconds = 300.0
 
 
 def read_member(raw: Mapping[str, Any]) -> MemberSettings:
-    """The table; ``InvalidFieldError`` names the field and the reason."""
-    conf = convert(raw, MemberSettings, "member")
-    for key, value in (("listen", conf.listen), ("advertise", conf.advertise)):
-        if value is not None and int(value.rpartition(":")[2]) > 65535:
-            raise InvalidFieldError(f"member.{key}: no such port: {value}")
-    for key, value in (
-        ("listen", conf.listen),
-        ("advertise", conf.advertise),
-        *((f"seeds[{n}]", seed) for n, seed in enumerate(conf.seeds)),
+    """Read and check the ``[member]`` table.
+
+    Args:
+        raw: The table as parsed from TOML.
+
+    Raises:
+        InvalidFieldError: A field is invalid; the message names the field and the reason.
+    """
+    settings = convert(raw, MemberSettings, "member")
+    for key, address in (("listen", settings.listen), ("advertise", settings.advertise)):
+        if address is not None and int(address.rpartition(":")[2]) > 65535:
+            raise InvalidFieldError(f"member.{key}: port out of range: {address}")
+    for key, address in (
+        ("listen", settings.listen),
+        ("advertise", settings.advertise),
+        *((f"seeds[{index}]", seed) for index, seed in enumerate(settings.seeds)),
     ):
-        if value is not None and not LOOPBACK_ADDRESS.match(value):
+        if address is not None and not LOOPBACK_ADDRESS.match(address):
             raise InvalidFieldError(
-                f"member.{key}: packets are not signed, so only loopback addresses are allowed"
+                f"member.{key}: datagrams are not authenticated, so only loopback addresses are allowed"
             )
-    if conf.probe_wait >= conf.probe_every:
-        raise InvalidFieldError("member.probe_wait: not shorter than probe_every")
-    return conf
+    if settings.probe_wait >= settings.probe_every:
+        raise InvalidFieldError("member.probe_wait: must be less than probe_every")
+    return settings
--- a/saltcart/membership/suspicion.py
+++ b/saltcart/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspect has to refute, and how far a member trusts itself (Lifeguard, 2017)."""
+"""The duration of a suspicion, and a member's estimate of its own health (Lifeguard, 2017)."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 
 
 class Suspicion:
-    """A suspicion of one incarnation of a member.  Times are seconds.
+    """A suspicion of one incarnation of a member.  Times are in seconds.
 
-    It lasts ``max_seconds`` while one member alone has failed to reach the suspect, and less with each
-    further one that did, down to ``min_seconds`` with ``confirmations_needed`` of them.
+    It lasts ``max_seconds`` with a single accuser, and less with each further accuser that confirms it, down
+    to ``min_seconds`` with ``confirmations_needed`` of them.  An accuser is a member that has failed to reach
+    the suspect.
+
+    Attributes:
+        own_probe_failed: Whether this member itself has failed to reach the suspect.
     """
 
     __slots__ = (
@@ -36,30 +40,30 @@
         self.max_seconds = max_seconds
         self.confirmations_needed = confirmations_needed
         self.accusers: set[str] = set()
-        self.own_probe_failed = False  # this member itself has failed to reach the suspect
+        self.own_probe_failed = False
 
     def confirm(self, accuser: str) -> bool:
-        """Count a member that failed to reach the suspect; False where that is known, or not needed."""
+        """Add an accuser; return False if it is already counted or no further one is needed."""
         if accuser in self.accusers or len(self.accusers) > self.confirmations_needed:
             return False
         self.accusers.add(accuser)
         return True
 
     def ends_at(self) -> float:
-        """Return when it ends, as far as is known now."""
+        """Return the time in seconds at which the suspicion ends, given the accusers so far."""
         if self.confirmations_needed <= 0:
             return self.began_at + self.min_seconds
         confirmations = max(0, len(self.accusers) - 1)
-        longest = self.max_seconds - self.min_seconds
-        shortened = longest * log(confirmations + 1) / log(self.confirmations_needed + 1)
-        return self.began_at + max(self.min_seconds, self.max_seconds - shortened)
+        max_reduction = self.max_seconds - self.min_seconds
+        reduction = max_reduction * log(confirmations + 1) / log(self.confirmations_needed + 1)
+        return self.began_at + max(self.min_seconds, self.max_seconds - reduction)
 
 
 class LocalHealth:
-    """Whether this member is itself in trouble: it then waits longer before it accuses others.
+    """Score of a member's own health; while it is above 0, the member waits longer before it accuses others.
 
-    Raised by probes that fail, by helpers that do not answer and by having to refute a suspicion; lowered by
-    probes that succeed.
+    Failed probes, helpers that do not answer and the need to refute a suspicion raise the score; successful
+    probes lower it.
     """
 
     MAX_SCORE = 8
@@ -68,9 +72,9 @@
         self.score = 0
 
     def adjust(self, step: int) -> None:
-        """Raise or lower the score."""
+        """Add a step to the score, within 0 and ``MAX_SCORE``."""
         self.score = min(self.MAX_SCORE, max(0, self.score + step))
 
     def scaled(self, seconds: float) -> float:
-        """Return a time as it is for a member of this health."""
+        """Return a timeout or interval in seconds, multiplied according to the score."""
         return seconds * (1 + self.score)
--- a/saltcart/membership/suspicion_tracker.py
+++ b/saltcart/membership/suspicion_tracker.py
@@ -1,25 +1,26 @@
-"""Suspicions: who is accused, by how many, and when a suspect is declared dead (Lifeguard, 2017)."""
+"""Suspicions: their accusers, and when a suspect is declared dead (Lifeguard, 2017)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from math import log10
 
-from saltcart.membership.member_context import JITTER, MemberContext
+from saltcart.membership.member_context import JITTER_FRACTION, MemberContext
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.messages import Ping
 from saltcart.membership.outbox import Outbox
 from saltcart.membership.probing import Prober
 from saltcart.membership.suspicion import Suspicion
 
-CURIOUS_MEMBERS = 5.0  # on the average, that probe for themselves when they hear of a suspicion
-BYSTANDER_FACTOR = 1.5  # times a suspicion's span, after which one that never probed the suspect does so
+MEAN_VERIFYING_MEMBERS = 5.0  # members, on average, that verify another's suspicion by a probe of their own
+UNPROBED_DURATION_FACTOR = 1.5  # of a suspicion's duration, until a member with no failed probe sends one
 
 
 class SuspicionTracker:
-    """Nobody declares a member dead whom it has not failed to reach itself.
+    """Tracks suspicions and declares suspects dead.
 
-    Those who have failed to reach a suspect keep trying until the suspicion ends.
+    A member declares only those dead that it has failed to reach itself.  After its own probe has failed, it
+    keeps pinging the suspect until the suspicion ends.
     """
 
     def __init__(
@@ -29,7 +30,14 @@
         prober: Prober,
         merge_report: Callable[[MemberRecord], None],
     ) -> None:
-        """``merge_report`` takes a report into the view."""
+        """Create a tracker without suspicions.
+
+        Args:
+            context: State shared with the member's other components.
+            outbox: Receives the pings to suspects.
+            prober: Probes the suspects.
+            merge_report: Merges a report into the view and passes it on.
+        """
         self.context = context
         self.outbox = outbox
         self.prober = prober
@@ -38,7 +46,7 @@
         self.accused_count = 0
 
     def accuse(self, target: MemberRecord) -> None:
-        """This member has failed to reach the target."""
+        """Start or confirm a suspicion of a member that this member has failed to reach."""
         self.accused_count += 1
         report = target.reported_as(MemberState.SUSPECT, self.context.own_record.name)
         if target.state == MemberState.ALIVE:
@@ -47,7 +55,7 @@
         if suspicion is None:
             return
         if not suspicion.own_probe_failed:
-            suspicion.own_probe_failed = True  # it ends sooner for one who knows for itself
+            suspicion.own_probe_failed = True  # removes the extra time that a member without an own probe has
             self._set_timer(target.name, suspicion)
         self.confirm(report)
         if suspicion.ends_at() <= self.context.now:
@@ -56,7 +64,7 @@
             self._keep_probing(target.name, suspicion)
 
     def start(self, report: MemberRecord) -> None:
-        """The view has a new suspect."""
+        """Start a suspicion of a member that the view has as a new suspect."""
         context = self.context
         settings = self.context.settings
         others = context.view.present_count - 2  # neither this member nor the suspect
@@ -69,16 +77,16 @@
         self.suspicions[report.name] = suspicion
         self._set_timer(report.name, suspicion)
         is_own = report.reported_by == context.own_record.name
-        if not is_own and context.rng.random() < CURIOUS_MEMBERS / max(1.0, others):
+        if not is_own and context.rng.random() < MEAN_VERIFYING_MEMBERS / max(1.0, others):
             delay = context.rng.random() * settings.probe_every / 2
-            context.call_after(delay, self._probe_for_itself, report.name, suspicion)
+            context.call_after(delay, self._probe_suspect, report.name, suspicion)
 
     def drop(self, name: str) -> None:
-        """The member is no suspect any more."""
+        """Drop the suspicion of a member that is alive, dead or has left."""
         self.suspicions.pop(name, None)
 
     def confirm(self, report: MemberRecord) -> None:
-        """Another member has failed to reach the suspect; news of that is passed on."""
+        """Count another member's failure to reach the suspect; a confirmation that counts is passed on."""
         suspicion = self.suspicions.get(report.name)
         if suspicion is None or suspicion.incarnation != report.incarnation:
             return
@@ -89,38 +97,38 @@
     def _set_timer(self, name: str, suspicion: Suspicion) -> None:
         ends_at = suspicion.ends_at()
         if not suspicion.own_probe_failed:
-            extra = BYSTANDER_FACTOR - 1 + JITTER * self.context.rng.random()
-            ends_at += extra * (ends_at - suspicion.began_at)
+            extra_fraction = UNPROBED_DURATION_FACTOR - 1 + JITTER_FRACTION * self.context.rng.random()
+            ends_at += extra_fraction * (ends_at - suspicion.began_at)
         self.context.timers.call_at(max(ends_at, self.context.now), self._on_timeout, name, suspicion)
 
     def _on_timeout(self, name: str, suspicion: Suspicion) -> None:
-        target = self._target(name, suspicion)
-        if target is None or suspicion.ends_at() > self.context.now:
-            return  # confirmed or refuted meanwhile: another timer has been set
+        suspect = self._current_suspect(name, suspicion)
+        if suspect is None or suspicion.ends_at() > self.context.now:
+            return  # refuted or confirmed in the meantime; another timer is set
         if suspicion.own_probe_failed:
             self._declare_dead(name)
         else:
-            self.prober.probe(target)
+            self.prober.probe(suspect)
             self._set_timer(name, suspicion)
 
-    def _probe_for_itself(self, name: str, suspicion: Suspicion) -> None:
-        target = self._target(name, suspicion)
-        if target is not None:
-            self.prober.probe(target)
+    def _probe_suspect(self, name: str, suspicion: Suspicion) -> None:
+        suspect = self._current_suspect(name, suspicion)
+        if suspect is not None:
+            self.prober.probe(suspect)
 
     def _keep_probing(self, name: str, suspicion: Suspicion) -> None:
-        """Who has failed to reach a suspect keeps trying: its answer alone clears it."""
-        target = self._target(name, suspicion)
-        if target is not None:
-            self.outbox.send(target.address, name, Ping(self.context.next_sequence()))
+        """Ping the suspect until the suspicion ends; only its own refutation clears it earlier."""
+        suspect = self._current_suspect(name, suspicion)
+        if suspect is not None:
+            self.outbox.send(suspect.address, name, Ping(self.context.next_sequence()))
             self.context.call_after(self.context.settings.probe_wait, self._keep_probing, name, suspicion)
 
-    def _target(self, name: str, suspicion: Suspicion) -> MemberRecord | None:
-        """Return what is known of the suspect, while this suspicion of it stands."""
+    def _current_suspect(self, name: str, suspicion: Suspicion) -> MemberRecord | None:
+        """Return the suspect's record, or None if this suspicion is no longer current."""
         is_current = self.suspicions.get(name) is suspicion
         return self.context.view.get(name) if is_current else None
 
     def _declare_dead(self, name: str) -> None:
-        target = self.context.view.get(name)
-        if target is not None:
-            self.merge_report(target.reported_as(MemberState.DEAD, self.context.own_record.name))
+        suspect = self.context.view.get(name)
+        if suspect is not None:
+            self.merge_report(suspect.reported_as(MemberState.DEAD, self.context.own_record.name))
--- a/saltcart/membership/view.py
+++ b/saltcart/membership/view.py
@@ -1,9 +1,9 @@
-"""One member's view of the fleet: what is known of each, a version, a digest, and what changed of late.
+"""One member's view of the fleet: its records, version, digest and latest changes.
 
-The digest is the exclusive or of the present members' fingerprints, kept in ``BUCKETS`` parts, so that two
-members find out by a few bytes whether they agree and, if not, where.  A view may stand on a
-``MembershipSnapshot`` that it shares with others and changes nothing of: a model of ten thousand members then
-holds one list and what each knows otherwise, in the place of ten thousand lists.
+The digest is the exclusive or of the present members' fingerprints.  It is kept in ``BUCKET_COUNT`` parts, so
+that two members find out with few bytes whether their views agree and, if not, in which buckets they differ.
+A view may be based on an immutable ``MembershipSnapshot`` that it shares with other views: a model of ten
+thousand members then holds one list and each view's differences from it, instead of ten thousand lists.
 """
 
 from __future__ import annotations
@@ -22,18 +22,25 @@
 BUCKET_COUNT = 64
 BYTES_PER_DIGEST = 8
 MAX_HISTORY = 256  # changes that are kept
-SCAN_FACTOR = 4  # up to so many times the members wanted, all are looked at in the place of draws
-DRAWS_PER_MEMBER = 8  # before all are looked at, since so many are gone
-STRIDE_DRAWS = 64  # for one without a common factor, before the stride of 1 is taken
+SCAN_FACTOR = 4  # names per wanted or excluded member, up to which a sample scans all records
+DRAWS_PER_MEMBER = 8  # per wanted member, before a scan; many draws fail if many members are gone
+STRIDE_DRAWS = 64  # random draws for a stride coprime to the size before a stride of 1 is used
 
 
 def bucket_index(name: str) -> int:
-    """Return the part of the digest that a member belongs to."""
+    """Return the index of the digest bucket that a member belongs to."""
     return xxhash.xxh3_64_intdigest(name.encode()) & (BUCKET_COUNT - 1)
 
 
 class MembershipChange(NamedTuple):
-    """One change of the view; ``previous_state`` is None for a member that was not known."""
+    """One change of a view.
+
+    Attributes:
+        version: The view's version after the change.
+        changed_at: Time of the change in seconds.
+        previous_state: None if the member was not known before.
+        record: The member's new record.
+    """
 
     version: int
     changed_at: float
@@ -42,7 +49,7 @@
 
 
 class MembershipSnapshot:
-    """Members that are all present, for views to share; never changed."""
+    """An immutable set of present members on which several views can be based."""
 
     def __init__(self, records: Iterable[MemberRecord] = ()) -> None:
         self.records = {record.name: record for record in records}
@@ -50,43 +57,63 @@
         self.digests = array("Q", bytes(BYTES_PER_DIGEST * BUCKET_COUNT))
         self.names_by_bucket: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
         for record in self.records.values():
-            number = bucket_index(record.name)
-            self.digests[number] ^= record.fingerprint()
-            self.names_by_bucket[number].append(record.name)
+            index = bucket_index(record.name)
+            self.digests[index] ^= record.fingerprint()
+            self.names_by_bucket[index].append(record.name)
 
 
 class MembershipView:
-    """``merge`` is commutative, associative and idempotent: views that heard the same are the same."""
+    """The newest known record of each member.
+
+    ``merge`` is commutative, associative and idempotent: views that merged the same reports are equal.
+    Members that are gone (dead or left) are kept as tombstones until ``forget`` removes them.
+
+    Attributes:
+        local_records: Records that replace the snapshot's or are missing in it; None for a forgotten member
+            of the snapshot.
+        local_names: Names of the known members that are not in the snapshot.
+        local_positions: Index of each of these names in ``local_names``.
+        gone_since: Time in seconds at which each gone member was first reported gone, oldest first.
+        digests: The digest of each bucket.
+        version: Number of changes so far.
+        history: The latest changes.
+    """
 
     def __init__(self, snapshot: MembershipSnapshot | None = None) -> None:
         self.snapshot = snapshot or MembershipSnapshot()
-        self.local_records: dict[
-            str, MemberRecord | None
-        ] = {}  # None: one of the snapshot's that was forgotten
-        self.local_names: list[str] = []  # that the snapshot has not
-        self.local_positions: dict[str, int] = {}  # of these, in ``own_names``
+        self.local_records: dict[str, MemberRecord | None] = {}
+        self.local_names: list[str] = []
+        self.local_positions: dict[str, int] = {}
         self.present_count = len(self.snapshot.names)
-        self.gone_since: dict[str, float] = {}  # when each was found to be gone, in that order
+        self.gone_since: dict[str, float] = {}
         self.digests = array("Q", self.snapshot.digests)
         self.version = 0
         self.history = deque[MembershipChange](maxlen=MAX_HISTORY)
 
     @property
     def digest(self) -> int:
-        """The digest of the whole view."""
-        whole = 0
+        """The 64-bit digest of the whole view."""
+        combined = 0
         for digest in self.digests:
-            whole ^= digest
-        return whole
+            combined ^= digest
+        return combined
 
     def get(self, name: str) -> MemberRecord | None:
-        """Return what is known of a member."""
+        """Return the record of a member, or None if it is unknown or forgotten."""
         if name in self.local_records:
             return self.local_records[name]
         return self.snapshot.records.get(name)
 
     def merge(self, record: MemberRecord, now: float) -> MembershipChange | None:
-        """Take a report in; None where it tells nothing new."""
+        """Merge a report into the view.
+
+        Args:
+            record: The report.
+            now: Time in seconds.
+
+        Returns:
+            The change; None if the report doesn't override the known record.
+        """
         known = self.get(record.name)
         if known is not None and not record.overrides(known):
             return None
@@ -109,17 +136,21 @@
         return change
 
     def forget(self, before: float) -> list[str]:
-        """Drop those who were gone before a moment; returns their names."""
+        """Remove the tombstones of members that have been gone since before a time in seconds.
+
+        Returns:
+            The names of the removed members.
+        """
         names = []
-        for name, at in self.gone_since.items():
-            if at >= before:
+        for name, gone_at in self.gone_since.items():
+            if gone_at >= before:
                 break
             names.append(name)
         for name in names:
-            self._drop(name)
+            self._remove(name)
         return names
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         del self.gone_since[name]
         if name in self.snapshot.records:
             self.local_records[name] = None
@@ -127,40 +158,46 @@
         del self.local_records[name]
         position = self.local_positions.pop(name)
         last = self.local_names.pop()
-        if last != name:  # it takes the free place
+        if last != name:  # move the last name into the free position
             self.local_names[position] = last
             self.local_positions[last] = position
 
-    # ---- looking for members ------------------------------------------------------------------
+    # ---- lookup and sampling ------------------------------------------------------------------
 
     def __len__(self) -> int:
-        """Return how many names may be asked for by their number."""
+        """Return the number of valid indexes of ``record_at``, which includes those of forgotten members."""
         return len(self.snapshot.names) + len(self.local_names)
 
-    def record_at(self, number: int) -> MemberRecord | None:
-        """Return the member of a number; None for one that was forgotten."""
+    def record_at(self, index: int) -> MemberRecord | None:
+        """Return the record at an index, or None for a forgotten member of the snapshot."""
         count = len(self.snapshot.names)
-        return self.get(self.snapshot.names[number] if number < count else self.local_names[number - count])
+        return self.get(self.snapshot.names[index] if index < count else self.local_names[index - count])
 
     def __iter__(self) -> Iterator[MemberRecord]:
-        """Yield all that are known, the gone ones included."""
-        for number in range(len(self)):
-            record = self.record_at(number)
+        """Iterate over all records, those of gone members included."""
+        for index in range(len(self)):
+            record = self.record_at(index)
             if record is not None:
                 yield record
 
-    def records_in_buckets(self, wanted: Iterable[int]) -> list[MemberRecord]:
-        """Return all that are known of some buckets, the gone ones included."""
-        numbers = set(wanted)
-        names = [name for number in numbers for name in self.snapshot.names_by_bucket[number]]
-        names += [name for name in self.local_names if bucket_index(name) in numbers]
+    def records_in_buckets(self, buckets: Iterable[int]) -> list[MemberRecord]:
+        """Return all records in the given buckets, those of gone members included."""
+        indexes = set(buckets)
+        names = [name for index in indexes for name in self.snapshot.names_by_bucket[index]]
+        names += [name for name in self.local_names if bucket_index(name) in indexes]
         return [record for name in names if (record := self.get(name)) is not None]
 
     def sample(self, rng: random.Random, count: int, excluded: set[str]) -> list[MemberRecord]:
-        """Return so many present members, drawn evenly; fewer where there are no more."""
+        """Return a uniform random sample of the present members.
+
+        Args:
+            rng: Source of randomness.
+            count: Size of the sample; it is smaller if too few members are present.
+            excluded: Names of members to leave out.
+        """
         size = len(self)
         if size <= SCAN_FACTOR * (count + len(excluded)):
-            return self._sample_all(rng, count, excluded)
+            return self._sample_by_scan(rng, count, excluded)
         drawn = list[MemberRecord]()
         skipped = set(excluded)
         for _ in range(DRAWS_PER_MEMBER * count):
@@ -170,35 +207,35 @@
                 skipped.add(record.name)
                 if len(drawn) == count:
                     return drawn
-        return drawn + self._sample_all(rng, count - len(drawn), skipped)
+        return drawn + self._sample_by_scan(rng, count - len(drawn), skipped)
 
-    def _sample_all(self, rng: random.Random, count: int, excluded: set[str]) -> list[MemberRecord]:
-        found = [record for record in self if record.is_present and record.name not in excluded]
-        return rng.sample(found, min(count, len(found)))
+    def _sample_by_scan(self, rng: random.Random, count: int, excluded: set[str]) -> list[MemberRecord]:
+        candidates = [record for record in self if record.is_present and record.name not in excluded]
+        return rng.sample(candidates, min(count, len(candidates)))
 
 
 class ProbeRotation:
-    """Numbers in turn, each once a round, in an order that differs from round to round and member to member.
+    """Yields each index once per round, in an order that differs between rounds and between members.
 
-    A walk by a stride that has no factor in common with the size, for which nothing is stored; a list that
-    is shuffled each round is what it is measured against (docs/design/membership.md).
+    It steps by a stride that is coprime to the size, for which no list has to be stored.
+    ``saltcart.lab.views`` compares this with a list that is shuffled each round (docs/design/membership.md).
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.size = 0
-        self.left = 0  # numbers of this round
+        self.remaining = 0  # indexes left in this round
         self.position = 0
         self.stride = 1
 
     def next(self, size: int) -> int:
-        """Return the next number under ``size``; another size begins a new round."""
-        if self.left <= 0 or size != self.size:
+        """Return the next index below ``size``; a changed size begins a new round."""
+        if self.remaining <= 0 or size != self.size:
             self.size = size
-            self.left = size
+            self.remaining = size
             self.position = self.rng.randrange(size)
             self.stride = next(stride for stride in self._strides(size) if gcd(stride, size) == 1)
-        self.left -= 1
+        self.remaining -= 1
         self.position = (self.position + self.stride) % self.size
         return self.position
 
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -57,9 +57,9 @@
         """Report what is due."""
         self.router.tick(now, time.time())
 
-    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
+    def handle_register_value(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
         """Take a newer plan or summary."""
-        self.router.on_register_changed(now, topic, number, by, data)
+        self.router.on_register_changed(now, topic, number, author, data)
 
     def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
         """Take an instance's report."""
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -1,4 +1,4 @@
-"""Drives the membership protocol: one UDP socket, one timer.  Every decision is saltcart.membership's."""
+"""Drives ``saltcart.membership``, which makes all decisions, with one UDP socket and one timer."""
 
 from __future__ import annotations
 
@@ -17,24 +17,38 @@
 from saltcart.net.base import address
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_DATAGRAM = 4096  # bytes; longer ones are not of this protocol
-MAX_LOGGED = 50  # refusals of the network that are logged
+MAX_RECEIVED_BYTES = 4096  # longer datagrams are rejected unread
+MAX_LOGGED_ERRORS = 50  # of each kind: malformed datagrams, and datagrams that could not be sent
 
 
 class MembershipListener(Protocol):
-    """A part of the program that speaks over membership."""
+    """A component that receives register values and direct messages from other members."""
 
     def on_register_changed(self, value: RegisterValue) -> None:
-        """Take a newer value of a register."""
+        """Handle a newer value of a register."""
 
     def on_direct_message(self, sender: MemberRecord, topic: str, data: bytes) -> None:
-        """Take something for this instance alone."""
+        """Handle a direct message to this instance.
+
+        Args:
+            sender: Record of the sending member.
+            topic: Identifies the component that the data is for.
+            data: The component's own encoding.
+        """
 
 
 class MembershipDriver(asyncio.DatagramProtocol):
-    """Owns the socket; ``close`` gives it back."""
+    """Owns the membership socket of a process, and its ``Member`` once ``open`` has returned."""
 
     def __init__(self, settings: MemberSettings, name: str, seed: int, log: Log) -> None:
+        """Create a driver; it is bound to the running event loop.
+
+        Args:
+            settings: Settings of the protocol.
+            name: Name of the member, unique in the fleet.
+            seed: Seed of the protocol's random number generator.
+            log: Receives the log events.
+        """
         self.settings = settings
         self.name = name
         self.log = log
@@ -42,22 +56,29 @@
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.DatagramTransport | None = None
         self.member: Member | None = None
-        self.handle: asyncio.TimerHandle | None = None
-        self.malformed = 0
-        self.unsent = 0
+        self.timer: asyncio.TimerHandle | None = None
+        self.malformed_count = 0
+        self.unsent_count = 0
         self.listeners: list[MembershipListener] = []
 
     async def open(self) -> str:
-        """Listen and join; returns the address."""
+        """Open the socket and join the fleet.
+
+        Returns:
+            The address that the socket listens on.
+
+        Raises:
+            OSError: The socket cannot be bound.
+        """
         transport, _ = await self.loop.create_datagram_endpoint(
             lambda: self, local_addr=address(self.settings.listen)
         )
         host, port = transport.get_extra_info("sockname")[:2]
-        listening_at = f"{host}:{port}"
+        listen_address = f"{host}:{port}"
         self.member = Member(
             self.settings,
             self.name,
-            self.settings.advertise or listening_at,
+            self.settings.advertise or listen_address,
             self.rng,
             self.loop.time(),
             int(time.time() * 1000),
@@ -67,50 +88,52 @@
         self.member.on_direct_message = self._on_direct_message
         self.member.registers.on_changed = self._on_register_changed
         self._set_timer()
-        return listening_at
+        return listen_address
 
     def close(self) -> None:
-        """Give back the timer and the socket."""
-        if self.handle is not None:
-            self.handle.cancel()
+        """Cancel the timer and close the socket."""
+        if self.timer is not None:
+            self.timer.cancel()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
     def leave(self) -> None:
-        """Report that the process will end."""
+        """Report to the fleet that this process is about to end."""
         if self.member is not None:
             self.member.leave(self.loop.time())
             self.flush()
 
-    # ---- the socket ---------------------------------------------------------------------------
+    # ---- socket -------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is there."""
-        self.transport = cast(asyncio.DatagramTransport, transport)  # the loop's own has another base
+        """Store the transport of the opened socket."""
+        self.transport = cast(
+            asyncio.DatagramTransport, transport
+        )  # asyncio's implementation class is not a subclass of it
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take a datagram; one that can't be read is logged, a bounded number of times."""
+        """Process a datagram; a malformed one is counted, and logged up to ``MAX_LOGGED_ERRORS`` times."""
         if self.member is None:
             return
         try:
-            if len(data) > MAX_DATAGRAM:
-                raise MalformedMessageError("datagram too long")
+            if len(data) > MAX_RECEIVED_BYTES:
+                raise MalformedMessageError("datagram is too long")
             datagram = messages.decode(data)
         except MalformedMessageError as error:
-            self.malformed += 1
-            if self.malformed <= MAX_LOGGED:
+            self.malformed_count += 1
+            if self.malformed_count <= MAX_LOGGED_ERRORS:
                 self.log("member-malformed", peer=str(addr), error=str(error))
             return
         self.member.receive(self.loop.time(), datagram)
         self.flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens at a port: the probe will find that out by itself."""
-        self.unsent += 1
+        """Count a send error, such as a closed port; the failure detector needs no other notice of it."""
+        self.unsent_count += 1
 
     def flush(self) -> None:
-        """Send what there is to send; to be called after whatever makes the member speak."""
+        """Send the outgoing datagrams; must be called after each call to the member that may produce some."""
         assert self.member is not None
         for receiver, datagram in self.member.take_outgoing():
             self._send(receiver, datagram)
@@ -120,35 +143,35 @@
         if self.transport is None:
             return
         try:
-            # An address is what a peer says: none may lead elsewhere, or have a name looked up.
+            # Peers supply addresses: they must not direct datagrams elsewhere or cause a DNS lookup.
             if not LOOPBACK_ADDRESS.match(receiver):
                 raise ValueError("not a loopback address")
             self.transport.sendto(messages.encode(datagram), address(receiver))
-        except (OSError, ValueError) as error:  # a port that is none, a full buffer
-            self.unsent += 1
-            if self.unsent <= MAX_LOGGED:
+        except (OSError, ValueError) as error:  # an invalid port or a full buffer
+            self.unsent_count += 1
+            if self.unsent_count <= MAX_LOGGED_ERRORS:
                 self.log("member-unsent", peer=receiver, error=str(error))
 
-    # ---- the timer ----------------------------------------------------------------------------
+    # ---- timer --------------------------------------------------------------------------------
 
     def _set_timer(self) -> None:
         assert self.member is not None
-        if self.handle is not None:
-            self.handle.cancel()
-            self.handle = None
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
         due = self.member.next_due()
         if due is not None and self.transport is not None:
-            self.handle = self.loop.call_at(due, self._tick)
+            self.timer = self.loop.call_at(due, self._tick)
 
     def _tick(self) -> None:
         assert self.member is not None
-        self.handle = None
+        self.timer = None
         try:
             self.member.tick(self.loop.time())
         finally:
             self.flush()
 
-    # ---- what the member reports --------------------------------------------------------------
+    # ---- events from the member ---------------------------------------------------------------
 
     def _on_direct_message(self, sender: MemberRecord, topic: str, data: bytes) -> None:
         for listener in self.listeners:
@@ -175,12 +198,12 @@
         self.log("member-name-taken", name=record.name, address=record.address)
 
     def figures(self) -> list[tuple[str, int]]:
-        """Return the figures that operators are shown."""
+        """Return the metrics that operators are shown, by name."""
         if self.member is None:
             return []
-        own = [("member.malformed", self.malformed), ("member.unsent", self.unsent)]
-        return self.member.figures() + own
+        driver_metrics = [("member.malformed", self.malformed_count), ("member.unsent", self.unsent_count)]
+        return self.member.figures() + driver_metrics
 
     def state(self) -> dict[str, object]:
-        """Return the view as operators and other programs read it."""
+        """Return the view as the administration API shows it; empty before ``open``."""
         return {} if self.member is None else self.member.state()
--- a/saltcart/net/register_listener.py
+++ b/saltcart/net/register_listener.py
@@ -1,4 +1,4 @@
-"""What drivers of decisions made in common share: the fleet's registers, a tick, and their log."""
+"""Base class of the drivers that use shared registers: periodic ticks, messages and error logs."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from saltcart.net.supervision import PeriodicTask
 from saltcart.wire.errors import MalformedMessageError
 
-TICK_SECONDS = 0.05  # seconds; what is due is decided by the decisions' own intervals
+TICK_SECONDS = 0.05  # resolution of the subclasses' own intervals
 
 
 class RegisterListener:
-    """Speaks over one process's membership; ``close`` gives back its timer."""
+    """Connects a component to the membership of its process; ``close`` stops its timer."""
 
     def __init__(self, driver: MembershipDriver, log: Log) -> None:
         assert driver.member is not None
@@ -24,53 +24,74 @@
         self.log = log
         self.loop = asyncio.get_running_loop()
         driver.listeners.append(self)
-        self.ticks = PeriodicTask(TICK_SECONDS, self._tick)
-        self.ticks.start()
+        self.periodic_task = PeriodicTask(TICK_SECONDS, self._tick)
+        self.periodic_task.start()
 
     def close(self) -> None:
-        """Tick no more."""
-        self.ticks.stop()
+        """Stop the periodic ticks."""
+        self.periodic_task.stop()
 
     def _tick(self) -> None:
         self.tick(self.loop.time())
         self.driver.flush()
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Do the work that is due at a time in seconds."""
         raise NotImplementedError
 
-    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
-        """Take a newer value of a register; ``MalformedMessageError`` for one that is none of its topic."""
+    def handle_register_value(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
+        """Handle a newer value of a register.
+
+        Args:
+            now: Time in seconds.
+            topic: Name of the register.
+            number: Version number of the value.
+            author: Name of the member that wrote it.
+            data: The value.
+
+        Raises:
+            MalformedMessageError: The data is not valid for the topic.
+        """
         raise NotImplementedError
 
     def handle_direct_message(self, now: float, sender: MemberRecord, topic: str, data: bytes) -> None:
-        """Take something for this instance alone; ``MalformedMessageError`` as well."""
+        """Handle a direct message to this instance.
+
+        Args:
+            now: Time in seconds.
+            sender: Record of the sending member.
+            topic: Identifies the component that the data is for.
+            data: The message.
+
+        Raises:
+            MalformedMessageError: The data is not valid for the topic.
+        """
         raise NotImplementedError
 
-    # ---- the decisions' port ------------------------------------------------------------------
+    # ---- port of the decision code ------------------------------------------------------------
 
     def write_register(self, topic: str, data: bytes) -> None:
-        """Write a register; one that is too long is logged and not written."""
+        """Write a register; a value that is too long is logged and not written."""
         try:
             self.member.write_register(self.loop.time(), topic, data)
         except ValueError as error:
             self.log("register-too-long", topic=topic, error=str(error))
 
     def send_direct(self, name: str, topic: str, data: bytes) -> None:
-        """Send something to one instance alone."""
+        """Send a direct message to the named instance."""
         self.member.send_direct(self.loop.time(), name, topic, data)
 
-    # ---- what membership reports --------------------------------------------------------------
+    # ---- events from membership ---------------------------------------------------------------
 
     def on_register_changed(self, value: RegisterValue) -> None:
-        """Take a newer value; a malformed one is logged."""
+        """Handle a newer value of a register; a malformed one is logged."""
         try:
             self.handle_register_value(self.loop.time(), value.topic, value.number, value.author, value.data)
         except MalformedMessageError as error:
             self.log("register-malformed", sender=value.author, topic=value.topic, error=str(error))
 
     def on_direct_message(self, sender: MemberRecord, topic: str, data: bytes) -> None:
-        """Take something for this instance alone; what is malformed is logged."""
+        """Handle a direct message to this instance; a malformed one is logged."""
         try:
             self.handle_direct_message(self.loop.time(), sender, topic, data)
         except MalformedMessageError as error:
--- a/saltcart/net/subset_driver.py
+++ b/saltcart/net/subset_driver.py
@@ -46,7 +46,7 @@
         """Report what is due."""
         self.balancer.tick(now)
 
-    def handle_register_value(self, now: float, topic: str, number: int, by: str, data: bytes) -> None:
+    def handle_register_value(self, now: float, topic: str, number: int, author: str, data: bytes) -> None:
         """Take a newer bucket or demand."""
         self.balancer.on_register_changed(now, topic, data)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -444,10 +444,10 @@
         ({}, "member: Object missing required field `listen`"),
         ({"listen": "127.0.0.1:0", "cluster": "c", "probe_evry": 1}, "probe_evry"),
         ({"listen": "here", "cluster": "c"}, "member.listen"),
-        ({"listen": "127.0.0.1:99999", "cluster": "c"}, "member.listen: no such port"),
-        ({"listen": "10.0.0.1:7000", "cluster": "c"}, "member.listen: packets are not signed"),
+        ({"listen": "127.0.0.1:99999", "cluster": "c"}, "member.listen: port out of range"),
+        ({"listen": "10.0.0.1:7000", "cluster": "c"}, "member.listen: datagrams are not authenticated"),
         ({"listen": "127.0.0.1:0", "cluster": "c", "probe_wait": 0.5}, "member.probe_wait"),
-        ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["10.0.0.1:7"]}, r"member.seeds\[0\]: packets"),
+        ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["10.0.0.1:7"]}, r"member.seeds\[0\]: datagrams"),
         ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["x"]}, r"member.seeds\[0\]"),
     ],
 )
