--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -69,8 +69,8 @@
     def _choose_missing(self) -> tuple[str, str] | None:
         """Return the address and name of a dead member or an unknown seed, which has an empty name."""
         view = self.context.view
-        gone = [record for name in view.gone_since if (record := view.get(name)) is not None]
-        missing = [(record.address, record.name) for record in gone if record.state == MemberState.DEAD]
+        tombstones = [record for name in view.tombstone_times if (record := view.get(name)) is not None]
+        missing = [(member.address, member.name) for member in tombstones if member.state == MemberState.DEAD]
         known = {record.address for record in view} if self.seeds else set()
         missing += [(address, "") for address in self.seeds if address not in known]
         return self.context.rng.choice(missing) if missing else None
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -35,6 +35,15 @@
 class Member:
     """One member of the fleet.  Times are in seconds by the driver's clock.
 
+    Args:
+        settings: Settings of the protocol.
+        name: Name of the member, unique in the fleet.
+        address: Address at which others reach this member.
+        rng: Source of randomness.
+        now: Time in seconds.
+        incarnation: The first incarnation, normally above that of an earlier process of this name.
+        snapshot: Members that are known from the start.
+
     Attributes:
         on_changed: Called with each change of the view.
         on_name_taken: Called with the record of a newer process that uses this member's name.
@@ -52,17 +61,7 @@
         incarnation: int,
         snapshot: MembershipSnapshot | None = None,
     ) -> None:
-        """Create a member and schedule its first probe, gossip and comparison.
-
-        Args:
-            settings: Settings of the protocol.
-            name: Name of the member, unique in the fleet.
-            address: Address at which others reach this member.
-            rng: Source of randomness.
-            now: Time in seconds.
-            incarnation: The first incarnation, normally above that of an earlier process of this name.
-            snapshot: Members that are known from the start.
-        """
+        """Create a member and schedule its first probe, gossip and comparison."""
         own_record = MemberRecord(
             name, address, incarnation, MemberState.ALIVE, settings.zone, settings.region
         )
--- a/saltcart/membership/view.py
+++ b/saltcart/membership/view.py
@@ -73,7 +73,7 @@
             of the snapshot.
         local_names: Names of the known members that are not in the snapshot.
         local_positions: Index of each of these names in ``local_names``.
-        gone_since: Time in seconds at which each gone member was first reported gone, oldest first.
+        tombstone_times: Time in seconds at which each gone member was first reported gone, oldest first.
         digests: The digest of each bucket.
         version: Number of changes so far.
         history: The latest changes.
@@ -85,7 +85,7 @@
         self.local_names: list[str] = []
         self.local_positions: dict[str, int] = {}
         self.present_count = len(self.snapshot.names)
-        self.gone_since: dict[str, float] = {}
+        self.tombstone_times: dict[str, float] = {}
         self.digests = array("Q", self.snapshot.digests)
         self.version = 0
         self.history = deque[MembershipChange](maxlen=MAX_HISTORY)
@@ -126,9 +126,9 @@
         self.digests[bucket_index(name)] ^= record.fingerprint() ^ known_fingerprint
         self.present_count += record.is_present - (known is not None and known.is_present)
         if record.is_present:
-            self.gone_since.pop(name, None)
+            self.tombstone_times.pop(name, None)
         else:
-            self.gone_since.setdefault(name, now)
+            self.tombstone_times.setdefault(name, now)
         self.version += 1
         previous_state = None if known is None else MemberState(known.state)
         change = MembershipChange(self.version, now, previous_state, record)
@@ -142,8 +142,8 @@
             The names of the removed members.
         """
         names = []
-        for name, gone_at in self.gone_since.items():
-            if gone_at >= before:
+        for name, departed_at in self.tombstone_times.items():
+            if departed_at >= before:
                 break
             names.append(name)
         for name in names:
@@ -151,7 +151,7 @@
         return names
 
     def _remove(self, name: str) -> None:
-        del self.gone_since[name]
+        del self.tombstone_times[name]
         if name in self.snapshot.records:
             self.local_records[name] = None
             return
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -92,7 +92,7 @@
     assert view.digest == present.digest
     forgotten = view.forget(1.0)
     assert set(forgotten) == {r.name for r in records} - set(table(view))
-    assert view.digest == present.digest and all(r.is_present for r in view) and not view.gone_since
+    assert view.digest == present.digest and all(r.is_present for r in view) and not view.tombstone_times
 
 
 def test_only_those_long_gone_are_forgotten_and_their_places_are_used_again() -> None:
