--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: how views merge, what a member decides, and what its datagrams may hold.  No sockets here."""
+"""Membership without sockets: merging of views, the protocol's decisions, datagrams and settings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from saltcart.config import ConfigError
 from saltcart.deployment import read
 from saltcart.field_reader import InvalidFieldError
-from saltcart.membership import messages as m
+from saltcart.membership import messages
 from saltcart.membership.dissemination import UpdateQueue, retransmit_limit
 from saltcart.membership.member import Member
 from saltcart.membership.member_record import MemberRecord, MemberState
@@ -22,8 +22,8 @@
 from saltcart.membership.view import MembershipSnapshot, MembershipView, ProbeRotation
 from saltcart.wire.errors import MalformedMessageError
 
-CONF = MemberSettings("127.0.0.1:0", "test")
-RECORDS = st.builds(
+SETTINGS = MemberSettings("127.0.0.1:0", "test")
+MEMBER_RECORDS = st.builds(
     MemberRecord,
     name=st.sampled_from("abcde"),
     address=st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
@@ -33,12 +33,12 @@
 )
 
 
-def table(view: MembershipView) -> dict[str, MemberRecord]:
-    return {r.name: r for r in view}
+def records_by_name(view: MembershipView) -> dict[str, MemberRecord]:
+    return {record.name: record for record in view}
 
 
-def fill(records: list[MemberRecord], base: MembershipSnapshot | None = None) -> MembershipView:
-    view = MembershipView(base)
+def merged_view(records: list[MemberRecord], snapshot: MembershipSnapshot | None = None) -> MembershipView:
+    view = MembershipView(snapshot)
     for record in records:
         view.merge(record, 0.0)
     return view
@@ -47,56 +47,56 @@
 # ---- views ------------------------------------------------------------------------------------
 
 
-@given(st.lists(RECORDS, max_size=12), st.randoms(use_true_random=False))
-def test_views_that_heard_the_same_are_the_same_in_whatever_order(
-    records: list[MemberRecord], luck: random.Random
+@given(st.lists(MEMBER_RECORDS, max_size=12), st.randoms(use_true_random=False))
+def test_merge_order_and_duplicates_do_not_change_the_view(
+    records: list[MemberRecord], rng: random.Random
 ) -> None:
-    shuffled = records + records[: len(records) // 2]  # and some of it twice
-    luck.shuffle(shuffled)
-    one, other = fill(records), fill(shuffled)
-    assert table(one) == table(other) and one.digest == other.digest
-    assert one.present_count == other.present_count == sum(r.is_present for r in one)
+    shuffled = records + records[: len(records) // 2]  # some of them twice
+    rng.shuffle(shuffled)
+    view, shuffled_view = merged_view(records), merged_view(shuffled)
+    assert records_by_name(view) == records_by_name(shuffled_view) and view.digest == shuffled_view.digest
+    assert view.present_count == shuffled_view.present_count == sum(r.is_present for r in view)
 
 
-@given(st.lists(RECORDS, max_size=12))
+@given(st.lists(MEMBER_RECORDS, max_size=12))
 def test_merging_is_idempotent_and_a_higher_incarnation_wins(records: list[MemberRecord]) -> None:
-    view = fill(records)
+    view = merged_view(records)
     version = view.version
     assert all(view.merge(r, 1.0) is None for r in records) and view.version == version
     for record in records:
-        held = view.get(record.name)
-        assert held is not None and held.incarnation == max(
+        known = view.get(record.name)
+        assert known is not None and known.incarnation == max(
             r.incarnation for r in records if r.name == record.name
         )
 
 
-@given(st.lists(RECORDS, max_size=8), st.lists(RECORDS, max_size=8))
-def test_a_view_on_a_shared_roster_is_as_one_that_heard_it(
-    first: list[MemberRecord], then: list[MemberRecord]
+@given(st.lists(MEMBER_RECORDS, max_size=8), st.lists(MEMBER_RECORDS, max_size=8))
+def test_a_view_based_on_a_snapshot_equals_one_built_by_merging(
+    initial: list[MemberRecord], later: list[MemberRecord]
 ) -> None:
-    there = [r.reported_as(MemberState.ALIVE, "") for r in fill(first)]
-    roster = MembershipSnapshot(there)
-    shared, own = fill(then, roster), fill(there + then)
+    present = [r.reported_as(MemberState.ALIVE, "") for r in merged_view(initial)]
+    snapshot = MembershipSnapshot(present)
+    based_view, plain_view = merged_view(later, snapshot), merged_view(present + later)
     assert (
-        table(shared) == table(own)
-        and shared.digest == own.digest
-        and shared.present_count == own.present_count
+        records_by_name(based_view) == records_by_name(plain_view)
+        and based_view.digest == plain_view.digest
+        and based_view.present_count == plain_view.present_count
     )
-    assert fill([], roster).digest == fill(there).digest  # the roster itself is untouched
+    assert merged_view([], snapshot).digest == merged_view(present).digest  # the snapshot is not changed
 
 
-@given(st.lists(RECORDS, max_size=12))
-def test_the_digest_tells_who_is_present_and_nothing_of_the_gone(records: list[MemberRecord]) -> None:
-    view = fill(records)
-    present = fill([r for r in view if r.is_present])
-    assert view.digest == present.digest
+@given(st.lists(MEMBER_RECORDS, max_size=12))
+def test_the_digest_covers_present_members_only(records: list[MemberRecord]) -> None:
+    view = merged_view(records)
+    present_view = merged_view([r for r in view if r.is_present])
+    assert view.digest == present_view.digest
     forgotten = view.forget(1.0)
-    assert set(forgotten) == {r.name for r in records} - set(table(view))
-    assert view.digest == present.digest and all(r.is_present for r in view) and not view.tombstone_times
+    assert set(forgotten) == {r.name for r in records} - set(records_by_name(view))
+    assert view.digest == present_view.digest and all(r.is_present for r in view) and not view.tombstone_times
 
 
-def test_only_those_long_gone_are_forgotten_and_their_places_are_used_again() -> None:
-    view = fill([MemberRecord(n, "h:1", 1) for n in "abcd"])
+def test_forget_removes_only_old_tombstones_and_reuses_their_positions() -> None:
+    view = merged_view([MemberRecord(n, "h:1", 1) for n in "abcd"])
     view.merge(MemberRecord("b", "h:1", 1, MemberState.DEAD), 5.0)
     view.merge(MemberRecord("c", "h:1", 1, MemberState.LEFT), 9.0)
     assert view.forget(6.0) == ["b"] and view.get("b") is None and view.get("c") is not None
@@ -105,8 +105,8 @@
     assert sorted(r.name for r in view) == ["a", "c", "d", "e"] and view.present_count == 3
 
 
-def test_a_sample_is_of_present_members_and_none_twice() -> None:
-    view, rng = fill([MemberRecord(f"m{n}", "h:1", 1) for n in range(60)]), random.Random(1)
+def test_a_sample_has_distinct_present_members_only() -> None:
+    view, rng = merged_view([MemberRecord(f"m{n}", "h:1", 1) for n in range(60)]), random.Random(1)
     for n in range(0, 60, 2):
         view.merge(MemberRecord(f"m{n}", "h:1", 1, MemberState.DEAD), 0.0)
     for _ in range(50):
@@ -116,55 +116,55 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 60])
-def test_a_rotation_meets_each_number_once_a_round(size: int) -> None:
+def test_a_rotation_yields_each_index_once_per_round(size: int) -> None:
     rotation = ProbeRotation(random.Random(3))
     rounds = [[rotation.next(size) for _ in range(size)] for _ in range(4)]
-    assert all(sorted(r) == list(range(size)) for r in rounds)
-    assert size < 7 or len({tuple(r) for r in rounds}) > 1
+    assert all(sorted(indexes) == list(range(size)) for indexes in rounds)
+    assert size < 7 or len({tuple(indexes) for indexes in rounds}) > 1
 
 
-# ---- news -------------------------------------------------------------------------------------
+# ---- dissemination ----------------------------------------------------------------------------
 
 
-def test_news_is_told_least_told_first_and_so_many_times() -> None:
-    spread, seen = UpdateQueue(), dict[str, int]()
+def test_updates_are_sent_least_sent_first_and_a_bounded_number_of_times() -> None:
+    queue, sent_counts = UpdateQueue(), dict[str, int]()
     for n in range(6):
-        spread.put(MemberRecord(f"m{n}", "h:1", 1))
-    room = 3 * MemberRecord("m0", "h:1", 1).max_encoded_bytes()
-    while taken := spread.take(room, 4):
+        queue.put(MemberRecord(f"m{n}", "h:1", 1))
+    available_bytes = 3 * MemberRecord("m0", "h:1", 1).max_encoded_bytes()
+    while taken := queue.take(available_bytes, 4):
         assert len(taken) <= 3
         for record in taken:
-            seen[record.name] = seen.get(record.name, 0) + 1
-        assert max(seen.values()) - min(seen.get(f"m{n}", 0) for n in range(6)) <= 1
-    assert set(seen.values()) == {4} and len(spread) == 0
+            sent_counts[record.name] = sent_counts.get(record.name, 0) + 1
+        assert max(sent_counts.values()) - min(sent_counts.get(f"m{n}", 0) for n in range(6)) <= 1
+    assert set(sent_counts.values()) == {4} and len(queue) == 0
 
 
-def test_a_newer_report_takes_the_place_of_an_older_one() -> None:
-    spread = UpdateQueue()
-    spread.put(MemberRecord("a", "h:1", 1))
-    spread.take(1000, 3)
-    spread.put(MemberRecord("a", "h:1", 2))
-    assert [r.incarnation for _ in range(4) for r in spread.take(1000, 3)] == [2, 2, 2]
+def test_a_newer_report_replaces_an_older_one_in_the_queue() -> None:
+    queue = UpdateQueue()
+    queue.put(MemberRecord("a", "h:1", 1))
+    queue.take(1000, 3)
+    queue.put(MemberRecord("a", "h:1", 2))
+    assert [r.incarnation for _ in range(4) for r in queue.take(1000, 3)] == [2, 2, 2]
 
 
-def test_how_often_news_is_told_grows_with_the_logarithm() -> None:
+def test_the_retransmit_limit_grows_logarithmically() -> None:
     assert retransmit_limit(25) < retransmit_limit(10_000) <= 3 * retransmit_limit(25)
 
 
 # ---- suspicion --------------------------------------------------------------------------------
 
 
-def test_a_suspicion_gets_shorter_with_each_further_accuser_and_no_shorter_than_its_least() -> None:
-    suspicion, ends = Suspicion(10.0, 1, 2.0, 6.0, 3), list[float]()
-    for by in ("a", "a", "b", "c", "d", "e", "f"):
-        suspicion.confirm(by)
-        ends.append(suspicion.ends_at())
-    assert ends[0] == ends[1] == 16.0 and ends == sorted(ends, reverse=True)
-    assert ends[-1] == pytest.approx(12.0) and ends[4] == pytest.approx(12.0)
-    assert Suspicion(10.0, 1, 2.0, 6.0, 0).ends_at() == 12.0  # nobody else could confirm it
+def test_a_suspicion_shortens_with_each_confirmation_down_to_its_minimum() -> None:
+    suspicion, end_times = Suspicion(10.0, 1, 2.0, 6.0, 3), list[float]()
+    for accuser in ("a", "a", "b", "c", "d", "e", "f"):
+        suspicion.confirm(accuser)
+        end_times.append(suspicion.ends_at())
+    assert end_times[0] == end_times[1] == 16.0 and end_times == sorted(end_times, reverse=True)
+    assert end_times[-1] == pytest.approx(12.0) and end_times[4] == pytest.approx(12.0)
+    assert Suspicion(10.0, 1, 2.0, 6.0, 0).ends_at() == 12.0  # no other member could confirm it
 
 
-def test_local_health_has_bounds() -> None:
+def test_the_local_health_score_is_bounded() -> None:
     health = LocalHealth()
     health.adjust(-3)
     assert health.scaled(2.0) == 2.0
@@ -172,274 +172,318 @@
     assert health.scaled(2.0) == 2.0 * (1 + LocalHealth.MAX_SCORE)
 
 
-# ---- members that speak, in memory ------------------------------------------------------------
+# ---- protocol of several members in memory ----------------------------------------------------
 
 
 class SimulatedNetwork:
-    """Members whose packets arrive at once unless ``lost`` says otherwise; steps of 10 ms."""
+    """Members whose datagrams arrive at once, unless ``is_lost`` drops them; time advances by 10 ms."""
 
-    def __init__(self, count: int, seed: int = 1, **more: object) -> None:
+    def __init__(self, count: int, seed: int = 1, **overrides: object) -> None:
         self.now, self.rng = 100.0, random.Random(seed)
-        self.lost: Callable[[str, str, m.Datagram], bool] = lambda sender, receiver, packet: False
-        conf = MemberSettings("127.0.0.1:0", "test", seeds=("127.0.0.1:1",), **more)  # type: ignore[arg-type]
-        self.conf, self.members = conf, dict[str, Member]()
+        self.is_lost: Callable[[str, str, messages.Datagram], bool] = lambda sender, receiver, datagram: False
+        network_settings = MemberSettings("127.0.0.1:0", "test", seeds=("127.0.0.1:1",), **overrides)  # type: ignore[arg-type]
+        self.settings, self.members = network_settings, dict[str, Member]()
         for n in range(1, count + 1):
             self.join(n)
 
-    def join(self, number: int, born: int = 1000, name: str | None = None) -> Member:
+    def join(self, number: int, incarnation: int = 1000, name: str | None = None) -> Member:
         address = f"127.0.0.1:{number}"
-        made = Member(
-            self.conf, name or f"m{number}", address, random.Random(self.rng.random()), self.now, born
+        member = Member(
+            self.settings,
+            name or f"m{number}",
+            address,
+            random.Random(self.rng.random()),
+            self.now,
+            incarnation,
         )
-        self.members[address] = made
-        return made
+        self.members[address] = member
+        return member
 
-    def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Seconds that passed."""
-        begun = self.now
-        while self.now - begun < seconds and not until():
+    def run(self, seconds: float, is_done: Callable[[], bool] = lambda: False) -> float:
+        """Advance the time until ``is_done`` holds, at most by ``seconds``; return the elapsed seconds."""
+        started_at = self.now
+        while self.now - started_at < seconds and not is_done():
             self.now += 0.01
             for address, member in list(self.members.items()):
                 member.tick(self.now)
-                for to, packet in member.take_outgoing():
-                    receiver = self.members.get(to)
-                    if receiver is not None and not self.lost(address, to, packet):
-                        receiver.receive(self.now, m.decode(m.encode(packet)))
-                        assert len(m.encode(packet)) <= m.MAX_DATAGRAM_BYTES
-        return self.now - begun
-
-    def agree(self, *names: str) -> bool:
+                for receiver_address, datagram in member.take_outgoing():
+                    receiver = self.members.get(receiver_address)
+                    if receiver is not None and not self.is_lost(address, receiver_address, datagram):
+                        receiver.receive(self.now, messages.decode(messages.encode(datagram)))
+                        assert len(messages.encode(datagram)) <= messages.MAX_DATAGRAM_BYTES
+        return self.now - started_at
+
+    def agrees_on(self, *names: str) -> bool:
         return all(
-            {r.name for r in d.view if r.is_present} == set(names) for d in self.members.values()
-        ) and (len({d.view.digest for d in self.members.values()}) == 1)
+            {record.name for record in member.view if record.is_present} == set(names)
+            for member in self.members.values()
+        ) and (len({member.view.digest for member in self.members.values()}) == 1)
 
-    def state(self, observer: int, name: str) -> MemberState | None:
+    def observed_state(self, observer: int, name: str) -> MemberState | None:
         record = self.members[f"127.0.0.1:{observer}"].view.get(name)
         return None if record is None else MemberState(record.state)
 
 
-def names(*numbers: int) -> tuple[str, ...]:
+def member_names(*numbers: int) -> tuple[str, ...]:
     return tuple(f"m{n}" for n in numbers)
 
 
-def test_members_find_each_other_through_one_seed() -> None:
-    net = SimulatedNetwork(7)
-    assert net.run(10, lambda: net.agree(*names(*range(1, 8)))) < 5
+def test_members_join_through_one_seed() -> None:
+    network = SimulatedNetwork(7)
+    assert network.run(10, lambda: network.agrees_on(*member_names(*range(1, 8)))) < 5
+
+
+def test_a_crashed_member_is_suspected_and_then_declared_dead() -> None:
+    network = SimulatedNetwork(5)
+    network.run(3)
+    del network.members["127.0.0.1:4"]
+    elapsed_seconds = network.run(20, lambda: network.agrees_on(*member_names(1, 2, 3, 5)))
+    assert SETTINGS.suspect_for * SETTINGS.probe_every <= elapsed_seconds < 6
+    states = [
+        change.record.state
+        for change in network.members["127.0.0.1:1"].view.history
+        if change.record.name == "m4"
+    ]
+    assert states.index(MemberState.SUSPECT) < states.index(MemberState.DEAD)
+
+
+def test_a_paused_member_refutes_its_suspicion_and_is_not_declared_dead() -> None:
+    network = SimulatedNetwork(5)
+    network.run(3)
+    paused = network.members.pop("127.0.0.1:4")
+    network.run(3 * SETTINGS.probe_every)
+    assert any(network.observed_state(n, "m4") == MemberState.SUSPECT for n in (1, 2, 3, 5))
+    paused.tick(network.now)
+    paused.take_outgoing()
+    network.members["127.0.0.1:4"] = paused
+    network.run(6)
+    assert network.agrees_on(*member_names(1, 2, 3, 4, 5)) and paused.refuted_count >= 1
+    assert not any(
+        change.record.state == MemberState.DEAD
+        for member in network.members.values()
+        for change in member.view.history
+    )
+
+
+def test_indirect_probes_prevent_a_false_death_over_a_broken_link() -> None:
+    network = SimulatedNetwork(5)
+    network.run(3)
+    network.is_lost = lambda sender, receiver, datagram: (sender, receiver) == ("127.0.0.1:1", "127.0.0.1:2")
+    network.run(20)
+    assert network.agrees_on(*member_names(1, 2, 3, 4, 5))
+    assert not any(
+        change.record.state == MemberState.DEAD
+        for member in network.members.values()
+        for change in member.view.history
+    )
 
 
-def test_one_that_falls_silent_is_suspected_and_then_dead_everywhere() -> None:
-    net = SimulatedNetwork(5)
-    net.run(3)
-    del net.members["127.0.0.1:4"]
-    took = net.run(20, lambda: net.agree(*names(1, 2, 3, 5)))
-    assert CONF.suspect_for * CONF.probe_every <= took < 6
-    seen = [c.record.state for c in net.members["127.0.0.1:1"].view.history if c.record.name == "m4"]
-    assert seen.index(MemberState.SUSPECT) < seen.index(MemberState.DEAD)
+def test_without_indirect_probes_a_broken_link_causes_a_suspicion() -> None:
+    network = SimulatedNetwork(5, helpers=0)
+    network.run(3)
+    network.is_lost = lambda sender, receiver, datagram: (sender, receiver) == ("127.0.0.1:1", "127.0.0.1:2")
+    network.run(20)
+    assert any(
+        change.record.state == MemberState.SUSPECT
+        for member in network.members.values()
+        for change in member.view.history
+    )
 
 
-def test_one_that_was_paused_refutes_and_is_never_dead() -> None:
-    net = SimulatedNetwork(5)
-    net.run(3)
-    paused = net.members.pop("127.0.0.1:4")
-    net.run(3 * CONF.probe_every)
-    assert any(net.state(n, "m4") == MemberState.SUSPECT for n in (1, 2, 3, 5))
-    paused.tick(net.now)
-    paused.take_outgoing()
-    net.members["127.0.0.1:4"] = paused
-    net.run(6)
-    assert net.agree(*names(1, 2, 3, 4, 5)) and paused.refuted_count >= 1
-    assert not any(c.record.state == MemberState.DEAD for d in net.members.values() for c in d.view.history)
-
-
-def test_who_cannot_send_to_one_member_asks_others_and_accuses_nobody() -> None:
-    net = SimulatedNetwork(5)
-    net.run(3)
-    net.lost = lambda sender, receiver, packet: (sender, receiver) == ("127.0.0.1:1", "127.0.0.1:2")
-    net.run(20)
-    assert net.agree(*names(1, 2, 3, 4, 5))
-    assert not any(c.record.state == MemberState.DEAD for d in net.members.values() for c in d.view.history)
-
-
-def test_without_helpers_such_a_link_makes_a_suspect() -> None:
-    net = SimulatedNetwork(5, helpers=0)
-    net.run(3)
-    net.lost = lambda sender, receiver, packet: (sender, receiver) == ("127.0.0.1:1", "127.0.0.1:2")
-    net.run(20)
-    assert any(c.record.state == MemberState.SUSPECT for d in net.members.values() for c in d.view.history)
-
-
-def test_two_halves_find_each_other_again() -> None:
-    net = SimulatedNetwork(5)
-    net.run(3)
-    side = {f"127.0.0.1:{n}": n <= 2 for n in range(1, 6)}
-    net.lost = lambda sender, receiver, packet: side[sender] != side[receiver]
-    net.run(20)
+def test_a_partitioned_fleet_merges_again() -> None:
+    network = SimulatedNetwork(5)
+    network.run(3)
+    is_first_half = {f"127.0.0.1:{n}": n <= 2 for n in range(1, 6)}
+    network.is_lost = lambda sender, receiver, datagram: is_first_half[sender] != is_first_half[receiver]
+    network.run(20)
     assert (
-        net.state(1, "m3") == MemberState.DEAD == net.state(3, "m1")
-        and net.state(3, "m4") == MemberState.ALIVE
+        network.observed_state(1, "m3") == MemberState.DEAD == network.observed_state(3, "m1")
+        and network.observed_state(3, "m4") == MemberState.ALIVE
     )
-    net.lost = lambda sender, receiver, packet: False
-    assert net.run(20, lambda: net.agree(*names(1, 2, 3, 4, 5))) < 10
-
-
-def test_one_that_leaves_is_left_and_nobody_suspects_it() -> None:
-    net = SimulatedNetwork(4)
-    net.run(3)
-    net.members["127.0.0.1:3"].leave(net.now)
-    net.run(0.5)
-    del net.members["127.0.0.1:3"]
-    net.run(8)
-    assert [net.state(n, "m3") for n in (1, 2, 4)] == [MemberState.LEFT] * 3
+    network.is_lost = lambda sender, receiver, datagram: False
+    assert network.run(20, lambda: network.agrees_on(*member_names(1, 2, 3, 4, 5))) < 10
+
+
+def test_a_leaving_member_is_reported_left_and_never_suspected() -> None:
+    network = SimulatedNetwork(4)
+    network.run(3)
+    network.members["127.0.0.1:3"].leave(network.now)
+    network.run(0.5)
+    del network.members["127.0.0.1:3"]
+    network.run(8)
+    assert [network.observed_state(n, "m3") for n in (1, 2, 4)] == [MemberState.LEFT] * 3
     assert not any(
-        c.record.name == "m3" and c.record.state == MemberState.SUSPECT
-        for d in net.members.values()
-        for c in d.view.history
+        change.record.name == "m3" and change.record.state == MemberState.SUSPECT
+        for member in network.members.values()
+        for change in member.view.history
     )
 
 
-def test_one_that_restarts_within_the_suspicion_time_is_the_newer_one() -> None:
-    net = SimulatedNetwork(5)
-    net.run(3)
-    del net.members["127.0.0.1:4"]
-    net.run(1.0)
-    net.join(4, born=5000)
-    net.run(6)
-    assert net.agree(*names(1, 2, 3, 4, 5)) and net.state(1, "m4") == MemberState.ALIVE
-    assert net.members["127.0.0.1:1"].view.get("m4").incarnation >= 5000  # type: ignore[union-attr]
-
-
-def test_one_whose_clock_was_set_back_refutes_its_own_death() -> None:
-    net = SimulatedNetwork(5)
-    net.run(3)
-    del net.members["127.0.0.1:4"]
-    net.run(8)
-    assert net.state(1, "m4") == MemberState.DEAD
-    net.join(4, born=10)  # an incarnation far below that of its last life
-    net.run(6)
-    assert net.agree(*names(1, 2, 3, 4, 5))
-
-
-def test_of_two_processes_of_one_name_the_older_falls_silent() -> None:
-    net, taken = SimulatedNetwork(4), list[MemberRecord]()
-    net.run(3)
-    older = net.members["127.0.0.1:4"]
-    older.on_name_taken = taken.append
-    net.join(9, born=9000, name="m4")
-    net.run(5)
-    assert older.is_superseded and taken[0].address == "127.0.0.1:9"
-    net.members.pop("127.0.0.1:4")
-    net.run(5)
-    assert net.state(1, "m4") == MemberState.ALIVE
-    assert net.members["127.0.0.1:1"].view.get("m4").address == "127.0.0.1:9"  # type: ignore[union-attr]
-
-
-def test_another_fleet_is_not_mixed_in() -> None:
-    net = SimulatedNetwork(3)
-    net.run(3)
-    stranger = Member(
+def test_a_member_restarted_during_its_suspicion_is_alive_with_the_new_incarnation() -> None:
+    network = SimulatedNetwork(5)
+    network.run(3)
+    del network.members["127.0.0.1:4"]
+    network.run(1.0)
+    network.join(4, incarnation=5000)
+    network.run(6)
+    assert (
+        network.agrees_on(*member_names(1, 2, 3, 4, 5))
+        and network.observed_state(1, "m4") == MemberState.ALIVE
+    )
+    assert network.members["127.0.0.1:1"].view.get("m4").incarnation >= 5000  # type: ignore[union-attr]
+
+
+def test_a_member_restarted_with_an_earlier_clock_refutes_its_death() -> None:
+    network = SimulatedNetwork(5)
+    network.run(3)
+    del network.members["127.0.0.1:4"]
+    network.run(8)
+    assert network.observed_state(1, "m4") == MemberState.DEAD
+    network.join(4, incarnation=10)  # far below its previous incarnation
+    network.run(6)
+    assert network.agrees_on(*member_names(1, 2, 3, 4, 5))
+
+
+def test_the_older_of_two_processes_with_one_name_is_superseded() -> None:
+    network, newer_records = SimulatedNetwork(4), list[MemberRecord]()
+    network.run(3)
+    older_member = network.members["127.0.0.1:4"]
+    older_member.on_name_taken = newer_records.append
+    network.join(9, incarnation=9000, name="m4")
+    network.run(5)
+    assert older_member.is_superseded and newer_records[0].address == "127.0.0.1:9"
+    network.members.pop("127.0.0.1:4")
+    network.run(5)
+    assert network.observed_state(1, "m4") == MemberState.ALIVE
+    assert network.members["127.0.0.1:1"].view.get("m4").address == "127.0.0.1:9"  # type: ignore[union-attr]
+
+
+def test_datagrams_of_another_cluster_are_ignored() -> None:
+    network = SimulatedNetwork(3)
+    network.run(3)
+    foreign_member = Member(
         MemberSettings("127.0.0.1:0", "other", seeds=("127.0.0.1:1",)),
         "x",
         "127.0.0.1:8",
         random.Random(2),
-        net.now,
+        network.now,
         1000,
     )
-    net.members["127.0.0.1:8"] = stranger
-    net.run(5)
-    assert net.state(1, "x") is None and stranger.view.present_count == 1
-    assert net.members["127.0.0.1:1"].foreign_datagram_count > 0
+    network.members["127.0.0.1:8"] = foreign_member
+    network.run(5)
+    assert network.observed_state(1, "x") is None and foreign_member.view.present_count == 1
+    assert network.members["127.0.0.1:1"].foreign_datagram_count > 0
 
 
-def test_a_third_of_all_packets_lost_kills_nobody() -> None:
-    net = SimulatedNetwork(9)
-    net.run(4)
-    net.lost = lambda sender, receiver, packet: net.rng.random() < 0.3
-    net.run(60)
-    assert not any(c.record.state == MemberState.DEAD for d in net.members.values() for c in d.view.history)
-    assert sum(d.suspicion_tracker.accused_count for d in net.members.values()) > 10  # they had reason to
+def test_thirty_percent_packet_loss_causes_no_false_deaths() -> None:
+    network = SimulatedNetwork(9)
+    network.run(4)
+    network.is_lost = lambda sender, receiver, datagram: network.rng.random() < 0.3
+    network.run(60)
+    assert not any(
+        change.record.state == MemberState.DEAD
+        for member in network.members.values()
+        for change in member.view.history
+    )
+    # The loss did make probes fail.
+    assert sum(member.suspicion_tracker.accused_count for member in network.members.values()) > 10
 
 
-def test_a_large_view_comes_over_in_bounded_packets() -> None:
-    net = SimulatedNetwork(1)
-    first = net.members["127.0.0.1:1"]
+def test_anti_entropy_transfers_a_large_view_in_bounded_datagrams() -> None:
+    network = SimulatedNetwork(1)
+    first_member = network.members["127.0.0.1:1"]
     for n in range(400):
-        first.view.merge(MemberRecord(f"far{n:03}", f"127.0.0.1:{n + 1000}", 1), net.now)
-    newcomer = net.join(2)
-    net.lost = lambda sender, receiver, packet: (
-        not isinstance(packet.message, (m.ViewDigest, m.BucketDigests, m.BucketRecords))
-    )  # comparisons alone
-    net.run(6, lambda: newcomer.view.present_count >= 402)
-    assert newcomer.view.present_count == 402
+        first_member.view.merge(MemberRecord(f"far{n:03}", f"127.0.0.1:{n + 1000}", 1), network.now)
+    joining_member = network.join(2)
+    # Only anti-entropy messages arrive.
+    network.is_lost = lambda sender, receiver, datagram: (
+        not isinstance(
+            datagram.message, (messages.ViewDigest, messages.BucketDigests, messages.BucketRecords)
+        )
+    )
+    network.run(6, lambda: joining_member.view.present_count >= 402)
+    assert joining_member.view.present_count == 402
 
 
 # ---- datagrams and settings -------------------------------------------------------------------
 
 
-MESSAGES = st.one_of(
-    st.builds(m.Ping, st.integers(0, 1 << 40)),
-    st.builds(m.Ack, st.integers(0, 1 << 40)),
-    st.builds(m.PingRequest, st.integers(0, 99), st.just("n"), st.just("h:1")),
-    st.builds(m.Nack, st.integers(0, 99)),
-    st.just(m.Gossip()),
-    st.builds(m.ViewDigest, st.integers(0, (1 << 64) - 1)),
-    st.builds(m.BucketDigests, st.lists(st.integers(0, (1 << 64) - 1), max_size=64)),
-    st.builds(m.BucketRecords, st.lists(st.integers(0, 63), max_size=64)),
+ALL_MESSAGES = st.one_of(
+    st.builds(messages.Ping, st.integers(0, 1 << 40)),
+    st.builds(messages.Ack, st.integers(0, 1 << 40)),
+    st.builds(messages.PingRequest, st.integers(0, 99), st.just("n"), st.just("h:1")),
+    st.builds(messages.Nack, st.integers(0, 99)),
+    st.just(messages.Gossip()),
+    st.builds(messages.ViewDigest, st.integers(0, (1 << 64) - 1)),
+    st.builds(messages.BucketDigests, st.lists(st.integers(0, (1 << 64) - 1), max_size=64)),
+    st.builds(messages.BucketRecords, st.lists(st.integers(0, 63), max_size=64)),
 )
 
 
-@given(RECORDS, MESSAGES, st.lists(RECORDS, max_size=5))
-def test_a_packet_is_read_as_it_was_written(
-    sender: MemberRecord, message: m.Message, news: list[MemberRecord]
+@given(MEMBER_RECORDS, ALL_MESSAGES, st.lists(MEMBER_RECORDS, max_size=5))
+def test_a_datagram_is_decoded_as_it_was_encoded(
+    sender: MemberRecord, message: messages.Message, updates: list[MemberRecord]
 ) -> None:
-    packet = m.Datagram(m.PROTOCOL_VERSION, "test", sender, message, news)
-    assert m.decode(m.encode(packet)) == packet
+    datagram = messages.Datagram(messages.PROTOCOL_VERSION, "test", sender, message, updates)
+    assert messages.decode(messages.encode(datagram)) == datagram
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_make_it_stumble(data: bytes) -> None:
+def test_arbitrary_bytes_are_malformed(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
-        m.decode(data)
+        messages.decode(data)
 
 
-@given(RECORDS, st.data())
-def test_a_packet_with_a_byte_amiss_is_read_or_malformed(record: MemberRecord, data: st.DataObject) -> None:
-    raw = bytearray(m.encode(m.Datagram(m.PROTOCOL_VERSION, "test", record, m.Ping(7), [record])))
-    raw[data.draw(st.integers(0, len(raw) - 1))] = data.draw(st.integers(0, 255))
+@given(MEMBER_RECORDS, st.data())
+def test_a_corrupted_datagram_is_processed_or_malformed(record: MemberRecord, data: st.DataObject) -> None:
+    encoded = bytearray(
+        messages.encode(
+            messages.Datagram(messages.PROTOCOL_VERSION, "test", record, messages.Ping(7), [record])
+        )
+    )
+    encoded[data.draw(st.integers(0, len(encoded) - 1))] = data.draw(st.integers(0, 255))
     member = SimulatedNetwork(1).members["127.0.0.1:1"]
     try:
-        packet = m.decode(bytes(raw))
+        datagram = messages.decode(bytes(encoded))
     except MalformedMessageError:
         return
-    member.receive(101.0, packet)
+    member.receive(101.0, datagram)
     member.tick(102.0)
 
 
 @pytest.mark.parametrize(
-    "packet",
+    "datagram",
     [
-        m.Datagram(2, "test", MemberRecord("a", "h:1", 1), m.Gossip()),
-        m.Datagram(1, "t", MemberRecord("", "h:1", 1), m.Gossip()),
-        m.Datagram(1, "t", MemberRecord("a" * 65, "h:1", 1), m.Gossip()),
-        m.Datagram(1, "t", MemberRecord("a", "h:1", 0), m.Gossip()),
-        m.Datagram(1, "t", MemberRecord("a", "h:1", 1, 9), m.Gossip()),
+        messages.Datagram(2, "test", MemberRecord("a", "h:1", 1), messages.Gossip()),
+        messages.Datagram(1, "t", MemberRecord("", "h:1", 1), messages.Gossip()),
+        messages.Datagram(1, "t", MemberRecord("a" * 65, "h:1", 1), messages.Gossip()),
+        messages.Datagram(1, "t", MemberRecord("a", "h:1", 0), messages.Gossip()),
+        messages.Datagram(1, "t", MemberRecord("a", "h:1", 1, 9), messages.Gossip()),
     ],
 )
-def test_what_no_member_says_is_malformed(packet: m.Datagram) -> None:
+def test_datagrams_with_invalid_fields_are_malformed(datagram: messages.Datagram) -> None:
     with pytest.raises(MalformedMessageError):
-        m.decode(m.encode(packet))
+        messages.decode(messages.encode(datagram))
 
 
-@given(RECORDS)
-def test_a_record_is_no_longer_on_the_wire_than_it_says(record: MemberRecord) -> None:
-    empty = len(m.encode(m.Datagram(m.PROTOCOL_VERSION, "t", record, m.Gossip())))
+@given(MEMBER_RECORDS)
+def test_an_encoded_record_does_not_exceed_its_upper_bound(record: MemberRecord) -> None:
+    empty_size = len(
+        messages.encode(messages.Datagram(messages.PROTOCOL_VERSION, "t", record, messages.Gossip()))
+    )
     assert (
-        len(m.encode(m.Datagram(m.PROTOCOL_VERSION, "t", record, m.Gossip(), [record]))) - empty
+        len(
+            messages.encode(
+                messages.Datagram(messages.PROTOCOL_VERSION, "t", record, messages.Gossip(), [record])
+            )
+        )
+        - empty_size
         <= record.max_encoded_bytes()
     )
 
 
 @pytest.mark.parametrize(
-    ("raw", "reason"),
+    ("raw_table", "reason"),
     [
         ({}, "member: Object missing required field `listen`"),
         ({"listen": "127.0.0.1:0", "cluster": "c", "probe_evry": 1}, "probe_evry"),
@@ -451,34 +495,34 @@
         ({"listen": "127.0.0.1:0", "cluster": "c", "seeds": ["x"]}, r"member.seeds\[0\]"),
     ],
 )
-def test_a_wrong_table_names_its_field(raw: dict[str, object], reason: str) -> None:
+def test_an_invalid_setting_is_reported_with_its_field(raw_table: dict[str, object], reason: str) -> None:
     with pytest.raises(InvalidFieldError, match=reason):
-        read_member(raw)
+        read_member(raw_table)
     with pytest.raises(ConfigError):
-        read({"member": raw})
+        read({"member": raw_table})
 
 
-def test_it_is_off_without_the_table_and_where_the_table_says_so() -> None:
-    on = {"listen": "127.0.0.1:0", "cluster": "c"}
-    assert read({}).member is None and read({"member": {**on, "enabled": False}}).member is None
-    assert read({"member": on}).member is not None
+def test_membership_is_off_without_its_table_or_when_disabled() -> None:
+    enabled_table = {"listen": "127.0.0.1:0", "cluster": "c"}
+    assert read({}).member is None and read({"member": {**enabled_table, "enabled": False}}).member is None
+    assert read({"member": enabled_table}).member is not None
 
 
-def test_the_span_of_a_suspicion_grows_with_the_fleet() -> None:
-    spans = []
+def test_a_suspicion_lasts_longer_in_a_larger_fleet() -> None:
+    durations = []
     for count in (5, 1000):
-        roster = MembershipSnapshot(MemberRecord(f"m{n}", f"127.0.0.1:{n + 1}", 1) for n in range(count))
-        member = Member(CONF, "m0", "127.0.0.1:1", random.Random(1), 0.0, 1, roster)
+        snapshot = MembershipSnapshot(MemberRecord(f"m{n}", f"127.0.0.1:{n + 1}", 1) for n in range(count))
+        member = Member(SETTINGS, "m0", "127.0.0.1:1", random.Random(1), 0.0, 1, snapshot)
         member.receive(
             0.0,
-            m.Datagram(
-                m.PROTOCOL_VERSION,
+            messages.Datagram(
+                messages.PROTOCOL_VERSION,
                 "test",
                 MemberRecord("m1", "127.0.0.1:2", 1),
-                m.Gossip(),
+                messages.Gossip(),
                 [MemberRecord("m2", "127.0.0.1:3", 1, MemberState.SUSPECT, reported_by="m1")],
             ),
         )
-        spans.append(member.suspicion_tracker.suspicions["m2"].min_seconds)
-    assert spans[0] == pytest.approx(CONF.suspect_for * CONF.probe_every)
-    assert ceil(spans[1] / spans[0]) == 3
+        durations.append(member.suspicion_tracker.suspicions["m2"].min_seconds)
+    assert durations[0] == pytest.approx(SETTINGS.suspect_for * SETTINGS.probe_every)
+    assert ceil(durations[1] / durations[0]) == 3
