--- a/saltcart/membership/dissemination.py
+++ b/saltcart/membership/dissemination.py
@@ -1,7 +1,7 @@
 """Queue of items to disseminate by gossip, those sent least often first, each a bounded number of times.
 
 Items are kept in one dict for each transmission count, so that taking the next ones needs no sorting.
-``saltcart.lab.views`` compares this with a list that is sorted on each call (docs/design/membership.md).
+``docs/design/membership.md`` compares this with a list that is sorted on each call.
 """
 
 from __future__ import annotations
--- a/saltcart/membership/probing.py
+++ b/saltcart/membership/probing.py
@@ -16,14 +16,14 @@
 class Probe:
     """A probe by this member that is in progress."""
 
-    __slots__ = ("helper_count", "incarnation", "is_answered", "nacks", "name")
+    __slots__ = ("helper_count", "incarnation", "is_answered", "nack_count", "name")
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name = name
         self.incarnation = incarnation
         self.is_answered = False
         self.helper_count = 0
-        self.nacks = 0
+        self.nack_count = 0
 
 
 class IndirectProbe:
@@ -112,7 +112,7 @@
         if target.incarnation != probe.incarnation:
             return
         # Helpers that send neither an ack nor a nack point to a fault of this member, not of the target.
-        silent_helpers = probe.helper_count - probe.nacks
+        silent_helpers = probe.helper_count - probe.nack_count
         self.context.health.adjust(1 if probe.helper_count == 0 else silent_helpers)
         self.on_unreachable(target)
 
@@ -137,7 +137,7 @@
         """Count a helper whose indirect probe got no answer."""
         probe = self.probes.get(sequence)
         if probe is not None:
-            probe.nacks += 1
+            probe.nack_count += 1
 
     def on_ping_request(self, sender: MemberRecord, request: PingRequest) -> None:
         """Start an indirect probe on behalf of the sender."""
--- a/saltcart/membership/view.py
+++ b/saltcart/membership/view.py
@@ -218,7 +218,7 @@
     """Yields each index once per round, in an order that differs between rounds and between members.
 
     It steps by a stride that is coprime to the size, for which no list has to be stored.
-    ``saltcart.lab.views`` compares this with a list that is shuffled each round (docs/design/membership.md).
+    ``docs/design/membership.md`` compares this with a list that is shuffled each round.
     """
 
     def __init__(self, rng: random.Random) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -186,7 +186,7 @@
         for n in range(1, count + 1):
             self.join(n)
 
-    def join(self, number: int, incarnation: int = 1000, name: str | None = None) -> Member:
+    def join(self, number: int, initial_incarnation: int = 1000, name: str | None = None) -> Member:
         address = f"127.0.0.1:{number}"
         member = Member(
             self.settings,
@@ -194,7 +194,7 @@
             address,
             random.Random(self.rng.random()),
             self.now,
-            incarnation,
+            initial_incarnation,
         )
         self.members[address] = member
         return member
@@ -324,7 +324,7 @@
     network.run(3)
     del network.members["127.0.0.1:4"]
     network.run(1.0)
-    network.join(4, incarnation=5000)
+    network.join(4, initial_incarnation=5000)
     network.run(6)
     assert (
         network.agrees_on(*member_names(1, 2, 3, 4, 5))
@@ -339,7 +339,7 @@
     del network.members["127.0.0.1:4"]
     network.run(8)
     assert network.observed_state(1, "m4") == MemberState.DEAD
-    network.join(4, incarnation=10)  # far below its previous incarnation
+    network.join(4, initial_incarnation=10)  # far below its previous incarnation
     network.run(6)
     assert network.agrees_on(*member_names(1, 2, 3, 4, 5))
 
@@ -349,7 +349,7 @@
     network.run(3)
     older_member = network.members["127.0.0.1:4"]
     older_member.on_name_taken = newer_records.append
-    network.join(9, incarnation=9000, name="m4")
+    network.join(9, initial_incarnation=9000, name="m4")
     network.run(5)
     assert older_member.is_superseded and newer_records[0].address == "127.0.0.1:9"
     network.members.pop("127.0.0.1:4")
