--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -59,7 +59,7 @@
     answer_slack=0.08,
     drain_grace=1.0,
     max_running_per_core=8.0,
-    max_running_span=2.0,
+    max_running_window=2.0,
     cold_speed_share=0.3,
     warm_up_seconds=8.0,
     key_entry_kb=1.0,
@@ -281,7 +281,7 @@
             body=b"%d" % request.number,
         )
         ident = request.ident
-        self.service.arrive(ask, lambda answer: self.fleet.answered(request, self, answer, ident))
+        self.service.submit(ask, lambda answer: self.fleet.answered(request, self, answer, ident))
 
     def _ran(self, power: int, service: Service, ident: bytes, took: float) -> None:
         if not self._free(power):
@@ -323,11 +323,11 @@
     def _stopped(self, ident: bytes) -> None:
         self.service.run_finished(ident, Outcome.CANCELLED, 0.0, b"")
 
-    def proceed(self, ident: bytes) -> None: ...
-    def supply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, ident: bytes) -> None: ...
+    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
+    def skip_call(self, ident: bytes, notice: int) -> None: ...
 
-    def poll(self) -> None:
+    def poll_gauges(self) -> None:
         self.service.gauges_polled((min(1.0, self.node.busy / CORES), float(self.node.busy)))
 
 
