--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -96,9 +96,9 @@
 
     def on_bucket_digests(self, sender: MemberRecord, digests: list[int]) -> None:
         """Send the records of the buckets that differ, and request the sender's in return."""
-        own = self.context.view.digests
+        own_digests = self.context.view.digests
         differing = [
-            index for index in range(min(BUCKET_COUNT, len(digests))) if digests[index] != own[index]
+            index for index in range(min(BUCKET_COUNT, len(digests))) if digests[index] != own_digests[index]
         ]
         if differing:
             self._send_records(sender.address, differing, request_back=True)
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -217,15 +217,15 @@
 
     def _handle_report_on_self(self, record: MemberRecord) -> None:
         """Refute a suspicion of this member, or stop if a newer process uses its name."""
-        own = self.own_record
-        is_newer = record.incarnation > own.incarnation
-        if record.address != own.address:
+        own_record = self.own_record
+        is_newer = record.incarnation > own_record.incarnation
+        if record.address != own_record.address:
             if record.state == MemberState.ALIVE and is_newer:
                 self.is_superseded = True  # otherwise the two processes would refute each other for ever
                 self.context.timers.heap.clear()
                 self.on_name_taken(record)
             return
-        is_accused = record.state != own.state and record.incarnation >= own.incarnation
+        is_accused = record.state != own_record.state and record.incarnation >= own_record.incarnation
         if is_accused or is_newer:
             state = MemberState.LEFT if self.context.is_leaving else MemberState.ALIVE
             self.refuted_count += 1
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -108,9 +108,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport of the opened socket."""
-        self.transport = cast(
-            asyncio.DatagramTransport, transport
-        )  # asyncio's implementation class is not a subclass of it
+        # asyncio's implementation class is not a subclass of DatagramTransport.
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Process a datagram; a malformed one is counted, and logged up to ``MAX_LOGGED_ERRORS`` times."""
