--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -176,7 +176,7 @@
         self.fleet.seen.held_back += request.respond is not None
 
     def speed(self) -> float:
-        return self.strength.at(self.fleet.events.now)
+        return self.strength.speed_share_at(self.fleet.events.now)
 
     def die(self) -> None:
         """All that it had is lost; its clients see their connections break."""
@@ -490,10 +490,10 @@
         )
         for node in self.nodes:
             if node.damper is not None:
-                seen.kept += node.damper.kept_count
-                seen.early += node.damper.early_count
-                seen.told += node.damper.advised_count
-                seen.sketch_bytes = node.damper.bytes()
+                seen.kept += node.damper.on_time_retry_count
+                seen.early += node.damper.early_retry_count
+                seen.told += node.damper.reservation_count
+                seen.sketch_bytes = node.damper.size_bytes()
         return seen
 
     def _schedule_events(self) -> None:
--- a/saltcart/retry_storm/capacity.py
+++ b/saltcart/retry_storm/capacity.py
@@ -17,7 +17,7 @@
         self.settings = settings
         self.started_at = started_at
 
-    def at(self, when: float) -> float:
+    def speed_share_at(self, when: float) -> float:
         """Return the share at a time."""
         return self.settings.speed_share(max(0.0, when - self.started_at))
 
@@ -47,7 +47,7 @@
         if self.updated_at is not None and now > self.updated_at:
             if self.full_since is not None:
                 full = now - max(self.updated_at, self.full_since)
-                self.full_seconds += full * self.warm_up.at(now)
+                self.full_seconds += full * self.warm_up.speed_share_at(now)
             fade = 0.5 ** ((now - self.updated_at) / HALF_LIFE)
             self.full_completions *= fade
             self.full_seconds *= fade
@@ -59,7 +59,7 @@
         ``running``: how many there were with it.
         """
         self._advance(now)
-        work = seconds * self.warm_up.at(now) / max(1.0, running / self.cores)
+        work = seconds * self.warm_up.speed_share_at(now) / max(1.0, running / self.cores)
         self.run_seconds = RUN_FADE * self.run_seconds + work
         self.runs = RUN_FADE * self.runs + 1
         if not full:
@@ -81,4 +81,4 @@
 
     def rate(self, now: float, when: float) -> float:
         """Return requests a second at a later moment, as far as can be told now."""
-        return self.warm_rate(now) * self.warm_up.at(when)
+        return self.warm_rate(now) * self.warm_up.speed_share_at(when)
--- a/saltcart/retry_storm/controller.py
+++ b/saltcart/retry_storm/controller.py
@@ -77,10 +77,10 @@
         self.source_fairness = SourceFairness()
         self.counts_connections = False  # attempts are counted before they are read
         self.now = now
-        self.kept_count = 0  # retries that came at their moments
-        self.early_count = 0
+        self.on_time_retry_count = 0  # retries that came at their moments
+        self.early_retry_count = 0
         self.retry_count = 0
-        self.advised_count = 0
+        self.reservation_count = 0
         self.schedule_full_count = 0
         self.most_attempts = 0  # of one piece of rejected work, by the count-min sketch
 
@@ -138,8 +138,8 @@
         if moment is None or now > moment + self.settings.grace:
             return TrackedAttempt(fingerprint, is_retry=True, has_reservation=False, is_early=False)
         is_early = now < moment - EARLY_SECONDS
-        self.early_count += is_early
-        self.kept_count += not is_early
+        self.early_retry_count += is_early
+        self.on_time_retry_count += not is_early
         return TrackedAttempt(fingerprint, is_retry=True, has_reservation=not is_early, is_early=is_early)
 
     def record_rejection(self, now: float, fingerprint: int) -> RejectionAdvice:
@@ -158,7 +158,7 @@
                 self.schedule_full_count += 1
                 return RejectionAdvice(self.settings.horizon * (1 + self.rng.random() / 2), True)
             self.reservations.put(now, digest, moment)
-            self.advised_count += 1
+            self.reservation_count += 1
         return RejectionAdvice(max(0.0, moment - now), is_final)
 
     def record_success(self, now: float, fingerprint: int, is_retry: bool) -> None:
@@ -190,9 +190,13 @@
         """Whether a storm is under way."""
         return self.detector.update(now, self.capacity(now)) is StormState.STORM
 
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         """Return the bytes of the sketches and tables."""
-        return self.recent_rejections.bytes() + self.retry_counts.bytes() + self.reservations.bytes()
+        return (
+            self.recent_rejections.size_bytes()
+            + self.retry_counts.size_bytes()
+            + self.reservations.size_bytes()
+        )
 
     def figures(self, now: float) -> list[tuple[str, int]]:
         """Return the figures that operators are shown."""
@@ -203,9 +207,9 @@
             ("storm.amplification_percent", round(100 * detector.amplification(now))),
             ("storm.new_per_s", round(detector.new_rate(now))),
             ("storm.again", self.retry_count),
-            ("storm.kept", self.kept_count),
-            ("storm.early", self.early_count),
-            ("storm.told", self.advised_count),
+            ("storm.kept", self.on_time_retry_count),
+            ("storm.early", self.early_retry_count),
+            ("storm.told", self.reservation_count),
             ("storm.calendar_full", self.schedule_full_count),
             ("storm.most_tries", self.most_attempts),
             ("storm.unread", self.token_bucket.rejected_count),
--- a/saltcart/retry_storm/retry_reservations.py
+++ b/saltcart/retry_storm/retry_reservations.py
@@ -78,6 +78,6 @@
             if self.cells[position] >> MOMENT_BITS == tag:
                 self.cells[position] = 0
 
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         """Return the bytes of the table."""
         return self.cells.itemsize * len(self.cells)
--- a/saltcart/retry_storm/sketches.py
+++ b/saltcart/retry_storm/sketches.py
@@ -82,7 +82,7 @@
         self._rotate(now)
         return digest in self.young or digest in self.old
 
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         """Return the bytes of the bits."""
         return len(self.young.bits) + len(self.old.bits)
 
@@ -123,7 +123,7 @@
                     row[cell] = least + 1
         return min(MAX_COUNT, least + 1)
 
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         """Return the bytes of the table."""
         return sum(row.itemsize * len(row) for row in self.table)
 
--- a/tests/test_retry_storm.py
+++ b/tests/test_retry_storm.py
@@ -83,7 +83,7 @@
     for _ in range(60_000):  # a minute of a thousand refusals a second
         seen.add(0.0, rng.getrandbits(64))
     wrong = sum(seen.has(0.0, rng.getrandbits(64)) for _ in range(20_000))
-    assert wrong / 20_000 < 0.002 and seen.bytes() == 262_144
+    assert wrong / 20_000 < 0.002 and seen.size_bytes() == 262_144
 
 
 @given(st.lists(st.integers(0, 40), max_size=400))
@@ -121,10 +121,10 @@
 
 def test_a_full_table_of_appointments_keeps_its_size_and_loses_the_oldest() -> None:
     table, rng = RetryReservations(0.0, 8), random.Random(4)
-    size, digests = table.bytes(), [rng.getrandbits(64) for _ in range(4000)]
+    size, digests = table.size_bytes(), [rng.getrandbits(64) for _ in range(4000)]
     for n, digest in enumerate(digests):
         table.put(0.0, digest, float(n))
-    assert table.bytes() == size
+    assert table.size_bytes() == size
     held = [table.get(d) is not None for d in digests]
     assert sum(held[-500:]) > 450 and sum(held[:2000]) < 200
 
@@ -151,8 +151,8 @@
 
 def test_a_cold_servers_calendar_has_more_room_later() -> None:
     strength = WarmUpCurve(SETTINGS, 0.0)
-    assert [strength.at(t) for t in (0, 4, 8, 99)] == [0.25, 0.625, 1.0, 1.0]
-    calendar = RetrySchedule(random.Random(7), 30.0, lambda when: 40 * strength.at(when))
+    assert [strength.speed_share_at(t) for t in (0, 4, 8, 99)] == [0.25, 0.625, 1.0, 1.0]
+    calendar = RetrySchedule(random.Random(7), 30.0, lambda when: 40 * strength.speed_share_at(when))
     moments = [m for m in (calendar.reserve(0.0, 0.0) for _ in range(150)) if m is not None]
     early, late = (sum(a <= m < a + 1 for m in moments) for a in (0, 4))
     assert late > 1.5 * early
@@ -384,7 +384,7 @@
     d, rng = damper(), random.Random(9)
     for n in range(20_000):
         d.record_rejection(100.0 + n * 0.001, rng.getrandbits(64))
-    assert d.bytes() <= 1 << 20 and len(d.schedule.places) <= 60 / SLOT_SECONDS + 20
+    assert d.size_bytes() <= 1 << 20 and len(d.schedule.places) <= 60 / SLOT_SECONDS + 20
 
 
 @pytest.mark.parametrize(
