--- a/saltcart/retry_storm/__init__.py
+++ b/saltcart/retry_storm/__init__.py
@@ -1,1 +1,1 @@
-"""Retry storms: noticed, damped, and told when to come back.  Decisions alone, no I/O."""
+"""Retry storms: detection, admission control and a schedule for retries.  Pure decisions, no I/O."""
--- a/saltcart/retry_storm/retry_reservations.py
+++ b/saltcart/retry_storm/retry_reservations.py
@@ -1,9 +1,10 @@
-"""Who was told to come back when: a compact table of digests and moments, of fixed size.
+"""Reserved retry times by digest, in a compact table of fixed size.
 
-Two candidate buckets of four entries each, as in a cuckoo filter but without moving anything (Azar et al.,
-1994, the power of two choices): an entry is 64 bits, 40 of the digest and 24 of the moment in ticks.  Where
-both buckets are full the entry whose moment passed longest ago makes way; it can only lose somebody's
-place, never give one to another but for the chance that 40 bits collide within a bucket pair.
+Each digest has two candidate buckets of four entries, as in a cuckoo filter but without relocation (Azar et
+al., 1994, the power of two choices).  An entry has 64 bits: 40 bits of the digest and the retry time as a
+24-bit tick number.  When both buckets are full, the entry with the earliest retry time is replaced.  A
+caller can thereby lose its reservation; it gets another caller's only if 40 bits of their digests collide
+within the same buckets.
 """
 
 from __future__ import annotations
@@ -16,68 +17,73 @@
 ENTRIES_PER_BUCKET = 4
 ENTRY_BYTES = 8
 TAG_BITS = 40
-MOMENT_BITS = 24
+TICK_BITS = 24
 TAG_MASK = (1 << TAG_BITS) - 1
-MOMENT_MASK = (1 << MOMENT_BITS) - 1
-BUCKET_MULTIPLIER = 0x5BD1E995  # spreads the tags over the second buckets (MurmurHash2's)
+TICK_MASK = (1 << TICK_BITS) - 1
+BUCKET_MULTIPLIER = 0x5BD1E995  # MurmurHash2's; spreads the tags over the second buckets
 BUCKET_SHIFT = 7
 
 
 class RetryReservations:
-    """Moments by digest."""
+    """Table of retry times by digest."""
 
     def __init__(self, origin: float, buckets_log2: int = 13) -> None:
-        """``origin``: a time before all moments; they reach 9 days past it."""
+        """Create an empty table.
+
+        Args:
+            origin: Time in seconds before all retry times, which may be up to 9 days later.
+            buckets_log2: Binary logarithm of the number of buckets.
+        """
         self.origin = origin
-        self.mask = (1 << buckets_log2) - 1
-        self.cells = array("Q", bytes(ENTRY_BYTES * ENTRIES_PER_BUCKET << buckets_log2))
+        self.bucket_mask = (1 << buckets_log2) - 1
+        self.entries = array("Q", bytes(ENTRY_BYTES * ENTRIES_PER_BUCKET << buckets_log2))
 
     @staticmethod
     def _tag(digest: int) -> int:
-        return digest & TAG_MASK or 1  # an empty cell is 0
+        return digest & TAG_MASK or 1  # an empty entry is 0
 
-    def _positions(self, digest: int) -> Iterator[int]:
-        """Yield the cells in which a digest may stand."""
-        first = digest >> TAG_BITS & self.mask
-        # The second bucket follows from the first and the tag alone.
-        second = first ^ (self._tag(digest) * BUCKET_MULTIPLIER >> BUCKET_SHIFT & self.mask)
+    def _candidate_indexes(self, digest: int) -> Iterator[int]:
+        """Yield the indexes of the entries that may hold a digest."""
+        first = digest >> TAG_BITS & self.bucket_mask
+        # The second bucket is a function of the first and the tag alone.
+        second = first ^ (self._tag(digest) * BUCKET_MULTIPLIER >> BUCKET_SHIFT & self.bucket_mask)
         for bucket in (first, second):
             start = bucket * ENTRIES_PER_BUCKET
             yield from range(start, start + ENTRIES_PER_BUCKET)
 
     def get(self, digest: int) -> float | None:
-        """Return the moment of a digest, if there is one."""
+        """Return the retry time of a digest, or None."""
         tag = self._tag(digest)
-        for position in self._positions(digest):
-            cell = self.cells[position]
-            if cell >> MOMENT_BITS == tag:
-                return self.origin + (cell & MOMENT_MASK) * TICK_SECONDS
+        for index in self._candidate_indexes(digest):
+            entry = self.entries[index]
+            if entry >> TICK_BITS == tag:
+                return self.origin + (entry & TICK_MASK) * TICK_SECONDS
         return None
 
-    def put(self, now: float, digest: int, moment: float) -> None:
-        """Set the moment of a digest."""
+    def put(self, now: float, digest: int, retry_at: float) -> None:
+        """Set the retry time of a digest."""
         tag = self._tag(digest)
-        tick = max(0, min(MOMENT_MASK, round((moment - self.origin) / TICK_SECONDS)))
-        oldest = -1
+        tick = max(0, min(TICK_MASK, round((retry_at - self.origin) / TICK_SECONDS)))
+        target_index = -1
         oldest_tick = inf
-        for position in self._positions(digest):
-            cell = self.cells[position]
-            if cell >> MOMENT_BITS == tag:
-                oldest = position
+        for index in self._candidate_indexes(digest):
+            entry = self.entries[index]
+            if entry >> TICK_BITS == tag:
+                target_index = index
                 break
-            held_tick = -inf if cell == 0 else cell & MOMENT_MASK
-            if held_tick < oldest_tick:
-                oldest = position
-                oldest_tick = held_tick
-        self.cells[oldest] = tag << MOMENT_BITS | tick
+            entry_tick = -inf if entry == 0 else entry & TICK_MASK
+            if entry_tick < oldest_tick:
+                target_index = index
+                oldest_tick = entry_tick
+        self.entries[target_index] = tag << TICK_BITS | tick
 
     def remove(self, digest: int) -> None:
-        """Forget the moment of a digest."""
+        """Remove a digest."""
         tag = self._tag(digest)
-        for position in self._positions(digest):
-            if self.cells[position] >> MOMENT_BITS == tag:
-                self.cells[position] = 0
+        for index in self._candidate_indexes(digest):
+            if self.entries[index] >> TICK_BITS == tag:
+                self.entries[index] = 0
 
     def size_bytes(self) -> int:
-        """Return the bytes of the table."""
-        return self.cells.itemsize * len(self.cells)
+        """Return the size of the table in bytes."""
+        return self.entries.itemsize * len(self.entries)
--- a/saltcart/retry_storm/settings.py
+++ b/saltcart/retry_storm/settings.py
@@ -1,4 +1,4 @@
-"""The [storm] table of the deployment file."""
+"""Settings of retry storm control: the ``[storm]`` table of the deployment file."""
 
 from __future__ import annotations
 
@@ -12,18 +12,32 @@
 
 
 class StormSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What damps a storm; times in seconds."""
+    """How retry storms are damped; times in seconds.
+
+    Attributes:
+        enabled: Whether retry storm control is on.
+        horizon: Time ahead for which retries are scheduled.
+        grace: Time after a reserved retry time during which the retry still counts as on time.
+        least: Minimum delay before a scheduled retry.
+        memory: Minimum time for which a rejection is remembered.
+        reading: Cost of reading a request, as a share of its work.
+        over: Requests read during a storm, as a multiple of the server's capacity; more are read where
+            reading is cheap.
+    """
 
     enabled: bool = True
-    horizon: Annotated[float, Meta(ge=1.0, le=600.0)] = 60.0  # no caller is asked to stay away for longer
-    grace: Annotated[float, Meta(ge=0.2, le=60.0)] = 3.0  # a caller is on time for this long after its moment
-    least: Annotated[float, Meta(ge=0.0, le=60.0)] = 0.2  # nobody is asked back sooner
-    memory: Annotated[float, Meta(ge=1.0, le=600.0)] = 60.0  # a refusal is remembered for this long at least
-    # What reading a request costs, as a share of its work.
+    horizon: Annotated[float, Meta(ge=1.0, le=600.0)] = 60.0
+    grace: Annotated[float, Meta(ge=0.2, le=60.0)] = 3.0
+    least: Annotated[float, Meta(ge=0.0, le=60.0)] = 0.2
+    memory: Annotated[float, Meta(ge=1.0, le=600.0)] = 60.0
     reading: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.05
-    over: Annotated[float, Meta(ge=0.5, le=10.0)] = 0.9  # what is read in a storm, of what can be run
+    over: Annotated[float, Meta(ge=0.5, le=10.0)] = 0.9
 
 
 def read_storm(raw: Mapping[str, Any]) -> StormSettings:
-    """The table; ``InvalidFieldError`` names the field and the reason."""
+    """Read and validate the table.
+
+    Raises:
+        InvalidFieldError: A field is invalid; the message names the field and the reason.
+    """
     return convert(raw, StormSettings, "storm")
--- a/saltcart/retry_storm/sketches.py
+++ b/saltcart/retry_storm/sketches.py
@@ -1,43 +1,47 @@
-"""Sketches of what came of late: who was rejected, and how often each comes.  Bounded, and they forget."""
+"""Probabilistic data structures of bounded size for recent digests and names: Bloom filters and counters.
+
+They hold which requests were rejected, how often each was retried, and which tenants retry most.  Old
+entries are dropped or decay.
+"""
 
 from __future__ import annotations
 
 from array import array
 
 MASK_32 = (1 << 32) - 1
-MAX_COUNT = 65_535  # of a cell
+MAX_COUNT = 65_535  # of a count-min sketch's 16-bit cell
 COUNT_BITS = 16
-NEGLIGIBLE = 0.5  # of a heavy hitter's count: less is forgotten
+NEGLIGIBLE_COUNT = 0.5  # of a heavy hitter; below it the name is dropped
 
 
 class BloomFilter:
-    """Bits, with double hashing (Bloom, 1970; Kirsch and Mitzenmacher, 2006)."""
+    """Bloom filter with double hashing (Bloom, 1970; Kirsch and Mitzenmacher, 2006)."""
 
-    def __init__(self, bits_log2: int, hashes: int) -> None:
+    def __init__(self, bits_log2: int, hash_count: int) -> None:
         self.mask = (1 << bits_log2) - 1
-        self.hashes = hashes
+        self.hash_count = hash_count
         self.bits = bytearray((1 << bits_log2) // 8)
-        self.added = 0
+        self.added_count = 0
 
     def add(self, digest: int) -> None:
-        """Add a digest of 64 bits."""
+        """Add a 64-bit digest."""
         position = digest & MASK_32
         step = digest >> 32 | 1
         mask = self.mask
         bits = self.bits
-        for _ in range(self.hashes):
+        for _ in range(self.hash_count):
             bit = position & mask
             bits[bit >> 3] |= 1 << (bit & 7)
             position += step
-        self.added += 1
+        self.added_count += 1
 
     def __contains__(self, digest: int) -> bool:
-        """Whether the digest was added, or, seldom, others that share its bits."""
+        """Return whether the digest was probably added; there are false positives, but no false negatives."""
         position = digest & MASK_32
         step = digest >> 32 | 1
         mask = self.mask
         bits = self.bits
-        for _ in range(self.hashes):
+        for _ in range(self.hash_count):
             bit = position & mask
             if not bits[bit >> 3] >> (bit & 7) & 1:
                 return False
@@ -45,116 +49,115 @@
         return True
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all digests."""
         self.bits = bytearray(len(self.bits))
-        self.added = 0
+        self.added_count = 0
 
 
 class RotatingBloomFilter:
-    """Digests of the last ``span`` to twice ``span`` seconds.
+    """Bloom filter that holds each digest for the retention time to twice that time.
 
-    Two filters take turns: the younger is written, both are asked, and the older is emptied when its time is
-    over.
+    It consists of two generations.  Digests are added to the current one and looked up in both; after each
+    retention time the previous generation is cleared and becomes the current one.
     """
 
-    def __init__(self, span: float, bits_log2: int = 20, hashes: int = 5) -> None:
-        self.span = span
+    def __init__(self, retention_seconds: float, bits_log2: int = 20, hash_count: int = 5) -> None:
+        self.retention_seconds = retention_seconds
         self.rotated_at = 0.0
-        self.young = BloomFilter(bits_log2, hashes)
-        self.old = BloomFilter(bits_log2, hashes)
+        self.current = BloomFilter(bits_log2, hash_count)
+        self.previous = BloomFilter(bits_log2, hash_count)
 
     def _rotate(self, now: float) -> None:
-        if now - self.rotated_at < self.span:
+        if now - self.rotated_at < self.retention_seconds:
             return
-        if now - self.rotated_at >= 2 * self.span:  # so long nothing came that both are stale
-            self.young.clear()
-        self.young, self.old = self.old, self.young
-        self.young.clear()
+        if now - self.rotated_at >= 2 * self.retention_seconds:  # both generations are out of date
+            self.current.clear()
+        self.current, self.previous = self.previous, self.current
+        self.current.clear()
         self.rotated_at = now
 
     def add(self, now: float, digest: int) -> None:
-        """Add a digest."""
+        """Add a 64-bit digest."""
         self._rotate(now)
-        self.young.add(digest)
+        self.current.add(digest)
 
     def has(self, now: float, digest: int) -> bool:
-        """Whether a digest was added of late."""
+        """Return whether a digest was probably added recently."""
         self._rotate(now)
-        return digest in self.young or digest in self.old
+        return digest in self.current or digest in self.previous
 
     def size_bytes(self) -> int:
-        """Return the bytes of the bits."""
-        return len(self.young.bits) + len(self.old.bits)
+        """Return the size of both generations in bytes."""
+        return len(self.current.bits) + len(self.previous.bits)
 
 
 class CountMinSketch:
-    """How often each digest came, never too low; counts are halved every ``span`` seconds.
+    """Count-min sketch with conservative update (Cormode and Muthukrishnan, 2005).
 
-    With conservative update (Cormode and Muthukrishnan, 2005).
+    A digest's count is never too low, apart from decay: counts are halved at regular intervals.
     """
 
-    def __init__(self, span: float, width_log2: int = 13, rows: int = 4) -> None:
-        self.span = span
+    def __init__(self, halving_seconds: float, width_log2: int = 13, row_count: int = 4) -> None:
+        self.halving_seconds = halving_seconds
         self.mask = (1 << width_log2) - 1
-        self.rows = rows
+        self.row_count = row_count
         self.halved_at = 0.0
-        self.table = [array("H", bytes(2 << width_log2)) for _ in range(rows)]
+        self.rows = [array("H", bytes(2 << width_log2)) for _ in range(row_count)]
 
     def _halve(self, now: float) -> None:
-        spans = int((now - self.halved_at) / self.span)
-        if spans > 0:
-            shift = min(COUNT_BITS, spans)
-            self.table = [array("H", (count >> shift for count in row)) for row in self.table]
+        halvings = int((now - self.halved_at) / self.halving_seconds)
+        if halvings > 0:
+            shift = min(COUNT_BITS, halvings)
+            self.rows = [array("H", (count >> shift for count in row)) for row in self.rows]
             self.halved_at = now
 
     def add(self, now: float, digest: int) -> int:
-        """Count a digest; returns how often it has come."""
+        """Count a 64-bit digest and return its count."""
         self._halve(now)
         position = digest & MASK_32
         step = digest >> 32 | 1
         cells = list[int]()
-        for _ in self.table:
+        for _ in self.rows:
             cells.append(position & self.mask)
             position += step
-        least = min(MAX_COUNT, *(row[cell] for row, cell in zip(self.table, cells)))
-        if least < MAX_COUNT:
-            for row, cell in zip(self.table, cells):  # no cell above what is known
-                if row[cell] == least:
-                    row[cell] = least + 1
-        return min(MAX_COUNT, least + 1)
+        smallest = min(MAX_COUNT, *(row[cell] for row, cell in zip(self.rows, cells)))
+        if smallest < MAX_COUNT:
+            for row, cell in zip(self.rows, cells):  # conservative update: only the smallest cells grow
+                if row[cell] == smallest:
+                    row[cell] = smallest + 1
+        return min(MAX_COUNT, smallest + 1)
 
     def size_bytes(self) -> int:
-        """Return the bytes of the table."""
-        return sum(row.itemsize * len(row) for row in self.table)
+        """Return the size of the rows in bytes."""
+        return sum(row.itemsize * len(row) for row in self.rows)
 
 
 class HeavyHitters:
-    """The names that came most (space saving: Metwally, 2005)."""
+    """The most frequent names, found by the space-saving algorithm (Metwally, 2005)."""
 
-    def __init__(self, room: int = 32, span: float = 4.0) -> None:
-        """``room``: names at most; ``span``: seconds in which counts are halved."""
-        self.room = room
-        self.span = span
-        self.faded_at = 0.0
-        self.counts: dict[str, float] = {}  # each too high by ``floor`` at most
-        self.floor = 0.0
+    def __init__(self, max_names: int = 32, half_life_seconds: float = 4.0) -> None:
+        self.max_names = max_names
+        self.half_life_seconds = half_life_seconds
+        self.decayed_at = 0.0
+        self.counts: dict[str, float] = {}  # each too high by max_overcount at most
+        self.max_overcount = 0.0
 
     def add(self, now: float, name: str, weight: float = 1.0) -> None:
         """Count a name."""
-        if now - self.faded_at >= self.span:
-            self._fade(0.5 ** ((now - self.faded_at) / self.span))
-            self.faded_at = now
-        if name not in self.counts and len(self.counts) >= self.room:
-            least = min(self.counts, key=self.counts.__getitem__)
-            self.floor = self.counts.pop(least)
-            self.counts[name] = self.floor
+        if now - self.decayed_at >= self.half_life_seconds:
+            self._decay(0.5 ** ((now - self.decayed_at) / self.half_life_seconds))
+            self.decayed_at = now
+        if name not in self.counts and len(self.counts) >= self.max_names:
+            rarest = min(self.counts, key=self.counts.__getitem__)
+            self.max_overcount = self.counts.pop(rarest)
+            self.counts[name] = self.max_overcount
         self.counts[name] = self.counts.get(name, 0.0) + weight
 
-    def _fade(self, share: float) -> None:
-        faded = {name: count * share for name, count in self.counts.items()}
-        self.counts = {name: count for name, count in faded.items() if count >= NEGLIGIBLE}
-        self.floor *= share
+    def _decay(self, factor: float) -> None:
+        decayed = {name: count * factor for name, count in self.counts.items()}
+        self.counts = {name: count for name, count in decayed.items() if count >= NEGLIGIBLE_COUNT}
+        self.max_overcount *= factor
 
-    def top(self, most: int = 5) -> list[tuple[str, float]]:
-        """Return the names that came most, with their counts."""
-        return sorted(self.counts.items(), key=lambda item: -item[1])[:most]
+    def top(self, limit: int = 5) -> list[tuple[str, float]]:
+        """Return the most frequent names with their decayed counts, in descending order."""
+        return sorted(self.counts.items(), key=lambda item: -item[1])[:limit]
