--- a/saltcart/retry_storm/controller.py
+++ b/saltcart/retry_storm/controller.py
@@ -1,7 +1,8 @@
-"""The one object that the core speaks to: what an attempt is, and when its caller should come back.
+"""Retry storm control: recognises retries and schedules the retries of rejected requests.
 
-It rejects nothing by itself.  The decision module decides who is admitted: it is told that a caller comes at
-its moment, and that one comes before it.
+The core and the fronts use this module only, through ``saltcart.core.ports.RetryStormControl``.  Among the
+requests that have been read it rejects none: the decision module decides about them, and learns whether a
+retry comes at or before its reserved time.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from saltcart.decision.settings import Settings
 from saltcart.retry_storm.admission_rate import AdmissionTokenBucket
 from saltcart.retry_storm.capacity import CapacityEstimator, WarmUpCurve
-from saltcart.retry_storm.fingerprints import Fingerprints
+from saltcart.retry_storm.fingerprints import Fingerprinter
 from saltcart.retry_storm.retry_reservations import RetryReservations
 from saltcart.retry_storm.retry_schedule import MIN_RETRY_SHARE, RetrySchedule
 from saltcart.retry_storm.settings import StormSettings
@@ -21,35 +22,52 @@
 from saltcart.retry_storm.source_fairness import SourceFairness
 from saltcart.retry_storm.storm_detector import StormDetector, StormState
 
-EARLY_SECONDS = 0.1  # before its moment, from which a caller is on time
-CROWD_FACTOR = 1.5  # equal parts of what is admitted, beyond which a source only has what others leave
-FEEDING_AMPLIFICATION = 2.0  # from which trying other servers only feeds the storm
-LIGHT_SHARE = 0.5  # of a crowd's count, up to which a source is as light as can be
+EARLY_TOLERANCE_SECONDS = 0.1  # before its reserved time, within which a retry counts as on time
+HEAVY_SOURCE_FACTOR = 1.5  # multiple of its fair share above which a source is heavy
+FINAL_REJECTION_AMPLIFICATION = 2.0  # retry amplification from which trying other servers feeds the storm
+LIGHT_SOURCE_SHARE = 0.5  # of the heavy threshold, up to which a source counts as fully light
 
 
-def crowd_weight(count: float, crowd: float) -> float:
-    """Return how near a source with ``count`` offers of late is to being a crowd, 0 to 1."""
-    return min(1.0, max(0.0, count / crowd - LIGHT_SHARE) / (1 - LIGHT_SHARE))
+def source_heaviness(count: float, heavy_threshold: float) -> float:
+    """Return how close a source is to being heavy, from 0 to 1.
+
+    Args:
+        count: Decayed count of the source's attempts.
+        heavy_threshold: Decayed count above which a source is heavy.
+    """
+    return min(1.0, max(0.0, count / heavy_threshold - LIGHT_SOURCE_SHARE) / (1 - LIGHT_SOURCE_SHARE))
 
 
 class TrackedAttempt(NamedTuple):
-    """What is known of one attempt."""
+    """One attempt of a request.
+
+    Attributes:
+        fingerprint: The same for all attempts of one request.
+        is_retry: Whether the request was rejected by this server recently.
+        has_reservation: Whether the attempt comes at its reserved time.
+        is_early: Whether the attempt comes before its reserved time.
+    """
 
     fingerprint: int
-    is_retry: bool  # it was rejected here of late
-    has_reservation: bool  # it comes at the moment that it was given
-    is_early: bool  # it comes before that
+    is_retry: bool
+    has_reservation: bool
+    is_early: bool
 
 
 class RejectionAdvice(NamedTuple):
-    """What a caller that is rejected is told; ``retry_after``: seconds until its moment."""
+    """Advice to a rejected caller.
+
+    Attributes:
+        retry_after: Seconds until the time of its retry.
+        is_final: Whether no other server should be tried.
+    """
 
     retry_after: float
-    is_final: bool  # no other server should be tried
+    is_final: bool
 
 
 class RetryStormController:
-    """Tells retries from new work, and gives rejected callers moments to come back."""
+    """Distinguishes retries from new requests and reserves retry times for rejected callers."""
 
     def __init__(
         self,
@@ -59,10 +77,18 @@
         now: float,
         started_at: float,
     ) -> None:
-        """``started_at``: when the server started, for a cold one grows warm."""
+        """Create a controller without history.
+
+        Args:
+            storm_settings: The ``[storm]`` table.
+            settings: Settings of the service.
+            seed: Seed of the jitter and of the fingerprints.
+            now: Current time in seconds.
+            started_at: Time in seconds when the server started, from which a cold server warms up.
+        """
         self.settings = storm_settings
         self.rng = random.Random(seed)
-        self.fingerprints = Fingerprints(self.rng.getrandbits(64))
+        self.fingerprinter = Fingerprinter(self.rng.getrandbits(64))
         self.recent_rejections = RotatingBloomFilter(storm_settings.memory)
         self.retry_counts = CountMinSketch(storm_settings.memory)
         self.retrying_tenants = HeavyHitters()
@@ -75,46 +101,53 @@
             storm_settings.over, storm_settings.reading, self.capacity, self.in_storm
         )
         self.source_fairness = SourceFairness()
-        self.counts_connections = False  # attempts are counted before they are read
+        self.counts_connections = False  # whether attempts are counted as offered before they are read
         self.now = now
-        self.on_time_retry_count = 0  # retries that came at their moments
+        self.on_time_retry_count = 0  # retries at their reserved time
         self.early_retry_count = 0
         self.retry_count = 0
         self.reservation_count = 0
         self.schedule_full_count = 0
-        self.most_attempts = 0  # of one piece of rejected work, by the count-min sketch
+        self.max_retries_per_request = 0  # by the count-min sketch
 
     def _retry_capacity(self, when: float) -> float:
-        """Return places a second for retries: the capacity then, less the new work of now."""
+        """Return the retries per second to reserve at a time: its capacity less the current new requests."""
         capacity = self.capacity_estimator.rate(self.now, when)
-        return max(MIN_RETRY_SHARE * capacity, capacity - self.detector.new_rate(self.now))
+        return max(MIN_RETRY_SHARE * capacity, capacity - self.detector.new_request_rate(self.now))
 
     def capacity(self, now: float) -> float:
-        """Return requests a second that this server does now."""
+        """Return the requests per second that this server can serve now."""
         return self.capacity_estimator.rate(now, now)
 
-    # ---- what the fronts and the core report --------------------------------------------------
+    # ---- events from the fronts and the core --------------------------------------------------
 
     def admit_connection(self, now: float, source: int) -> ConnectionAdmission:
-        """Decide whether a connection of this source, a digest of its address, may be read."""
+        """Decide whether the request on a connection may be read.
+
+        Args:
+            now: Current time in seconds.
+            source: Digest of the client's address, from ``source_of``.
+        """
         self.now = now
         self.counts_connections = True
         self.detector.record_offer(now)
         count = self.source_fairness.record_offer(now, source)
-        crowd = CROWD_FACTOR * self.source_fairness.equal_part(self.settings.over * self.capacity(now))
-        takes_from_others = self._takes_from_others(now)
-        # How early a source comes tells nothing here: behind one address there may be many callers.
-        is_last = takes_from_others and count > crowd
-        weight = crowd_weight(count, crowd) if takes_from_others else 0.0
-        if not self.token_bucket.admit(now, is_last, weight):
+        heavy_threshold = HEAVY_SOURCE_FACTOR * self.source_fairness.fair_share(
+            self.settings.over * self.capacity(now)
+        )
+        sources_compete = self._sources_compete(now)
+        # The reserved retry time of a source is not considered: many callers may share one address.
+        is_heavy = sources_compete and count > heavy_threshold
+        heaviness = source_heaviness(count, heavy_threshold) if sources_compete else 0.0
+        if not self.token_bucket.admit(now, is_heavy, heaviness):
             return ConnectionAdmission.REFUSE
-        return ConnectionAdmission.READ_LAST if is_last else ConnectionAdmission.READ
+        return ConnectionAdmission.READ_LAST if is_heavy else ConnectionAdmission.READ
 
-    def _takes_from_others(self, now: float) -> bool:
-        """Whether one source's connection could take another's place.
+    def _sources_compete(self, now: float) -> bool:
+        """Return whether admitting one source's request can keep out another source's.
 
-        None could where there is nobody else, or room for all: a balancer that carries much is no crowd by
-        that alone.
+        It cannot with a single source or with enough capacity for all: a balancer with a large share of the
+        requests is not treated as heavy for that alone.
         """
         has_others = len(self.source_fairness.offers) >= 2
         return has_others and (self.in_storm(now) or self.detector.is_flooded(now, self.capacity(now)))
@@ -122,9 +155,18 @@
     def record_arrival(
         self, now: float, account: str, class_name: str, key: bytes | None, subject: str | None, body: bytes
     ) -> TrackedAttempt:
-        """Recognise an attempt that was read."""
+        """Recognise an attempt that was read.
+
+        Args:
+            now: Current time in seconds.
+            account: Account of the caller.
+            class_name: Name of the request's class.
+            key: Idempotency key of the request.
+            subject: Resource key of the request.
+            body: Body of the request.
+        """
         self.now = now
-        fingerprint = self.fingerprints.of(account, class_name, key, subject, body)
+        fingerprint = self.fingerprinter.fingerprint(account, class_name, key, subject, body)
         is_retry = self.recent_rejections.has(now, fingerprint)
         if not self.counts_connections:
             self.detector.record_offer(now)
@@ -132,66 +174,81 @@
         if not is_retry:
             return TrackedAttempt(fingerprint, is_retry=False, has_reservation=False, is_early=False)
         self.retry_count += 1
-        self.most_attempts = max(self.most_attempts, self.retry_counts.add(now, fingerprint))
+        self.max_retries_per_request = max(
+            self.max_retries_per_request, self.retry_counts.add(now, fingerprint)
+        )
         self.retrying_tenants.add(now, account)
-        moment = self.reservations.get(fingerprint)
-        if moment is None or now > moment + self.settings.grace:
+        retry_at = self.reservations.get(fingerprint)
+        if retry_at is None or now > retry_at + self.settings.grace:
             return TrackedAttempt(fingerprint, is_retry=True, has_reservation=False, is_early=False)
-        is_early = now < moment - EARLY_SECONDS
+        is_early = now < retry_at - EARLY_TOLERANCE_SECONDS
         self.early_retry_count += is_early
         self.on_time_retry_count += not is_early
         return TrackedAttempt(fingerprint, is_retry=True, has_reservation=not is_early, is_early=is_early)
 
     def record_rejection(self, now: float, fingerprint: int) -> RejectionAdvice:
-        """Record an attempt that was rejected; one that came early is told the same moment again."""
+        """Record that an attempt was rejected and return the advice to its caller.
+
+        An early attempt keeps its reserved retry time.
+        """
         self.now = now
         self.detector.record_rejection(now)
         self.recent_rejections.add(now, fingerprint)
-        feeds_storm = self.in_storm(now) and self.detector.amplification(now) >= FEEDING_AMPLIFICATION
-        return self._advise(now, fingerprint, feeds_storm)
+        is_final = self.in_storm(now) and self.detector.amplification(now) >= FINAL_REJECTION_AMPLIFICATION
+        return self._advise(now, fingerprint, is_final)
 
     def _advise(self, now: float, digest: int, is_final: bool) -> RejectionAdvice:
-        moment = self.reservations.get(digest)
-        if moment is None or moment < now + EARLY_SECONDS:
-            moment = self.schedule.reserve(now, self.settings.least)
-            if moment is None:  # nothing is free in all the horizon: a moment beyond it, and no place
+        retry_at = self.reservations.get(digest)
+        if retry_at is None or retry_at < now + EARLY_TOLERANCE_SECONDS:
+            retry_at = self.schedule.reserve(now, self.settings.least)
+            if retry_at is None:  # the schedule is full: a retry beyond the horizon, without a reservation
                 self.schedule_full_count += 1
                 return RejectionAdvice(self.settings.horizon * (1 + self.rng.random() / 2), True)
-            self.reservations.put(now, digest, moment)
+            self.reservations.put(now, digest, retry_at)
             self.reservation_count += 1
-        return RejectionAdvice(max(0.0, moment - now), is_final)
+        return RejectionAdvice(max(0.0, retry_at - now), is_final)
 
     def record_success(self, now: float, fingerprint: int, is_retry: bool) -> None:
-        """Record an attempt that was served."""
+        """Record that an attempt was served; removes the reservation of a retry."""
         self.now = now
         if is_retry:
             self.reservations.remove(fingerprint)
 
     def record_run(self, now: float, seconds: float, is_full: bool, running: int) -> None:
-        """Record a run that is over; ``is_full``: others waited for its slot."""
+        """Record a completed run.
+
+        Args:
+            now: Current time in seconds.
+            seconds: Duration of the run.
+            is_full: Whether other requests were held meanwhile.
+            running: Number of concurrent runs, this one included.
+        """
         self.capacity_estimator.record_run(now, seconds, is_full, running)
         self.token_bucket.record_run(is_full)
 
     def reject_unread(self, now: float, source: int) -> RejectionAdvice:
-        """Record a connection that was not read: its source is given a moment, the same until then."""
+        """Record a connection that was not read and return the advice to its source.
+
+        The source keeps its retry time until that time has come.
+        """
         return self._advise(now, source, is_final=False)
 
     def source_of(self, address: str) -> int:
-        """Return the digest by which a source is known."""
-        return self.fingerprints.of(address, "", None, None, b"")
+        """Return the digest that identifies the source at an address."""
+        return self.fingerprinter.fingerprint(address, "", None, None, b"")
 
     def record_advice(self, now: float, source: int, retry_after: float) -> None:
-        """Record that a source was told to come back after so many seconds."""
+        """Record that a source was advised to retry after so many seconds."""
         self.reservations.put(now, source, now + retry_after)
 
-    # ---- what is shown ------------------------------------------------------------------------
+    # ---- state and metrics --------------------------------------------------------------------
 
     def in_storm(self, now: float) -> bool:
-        """Whether a storm is under way."""
+        """Return whether a retry storm is in progress."""
         return self.detector.update(now, self.capacity(now)) is StormState.STORM
 
     def size_bytes(self) -> int:
-        """Return the bytes of the sketches and tables."""
+        """Return the total size of the sketches and the reservation table in bytes."""
         return (
             self.recent_rejections.size_bytes()
             + self.retry_counts.size_bytes()
@@ -199,26 +256,26 @@
         )
 
     def figures(self, now: float) -> list[tuple[str, int]]:
-        """Return the figures that operators are shown."""
+        """Return the metrics, by name."""
         detector = self.detector
         return [
             ("storm.on", int(self.in_storm(now))),
             ("storm.storms", detector.storm_count),
             ("storm.amplification_percent", round(100 * detector.amplification(now))),
-            ("storm.new_per_s", round(detector.new_rate(now))),
+            ("storm.new_per_s", round(detector.new_request_rate(now))),
             ("storm.again", self.retry_count),
             ("storm.kept", self.on_time_retry_count),
             ("storm.early", self.early_retry_count),
             ("storm.told", self.reservation_count),
             ("storm.calendar_full", self.schedule_full_count),
-            ("storm.most_tries", self.most_attempts),
+            ("storm.most_tries", self.max_retries_per_request),
             ("storm.unread", self.token_bucket.rejected_count),
         ]
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what the administration API shows."""
-        heaviest = self.retrying_tenants.top()
+        """Return the state that the administration API shows."""
+        top_tenants = self.retrying_tenants.top()
         return {
             **{name.removeprefix("storm."): value for name, value in self.figures(now)},
-            "amplifiers": [{"tenant": name, "tries": round(count)} for name, count in heaviest],
+            "amplifiers": [{"tenant": name, "tries": round(count)} for name, count in top_tenants],
         }
--- a/saltcart/retry_storm/retry_schedule.py
+++ b/saltcart/retry_storm/retry_schedule.py
@@ -1,9 +1,9 @@
-"""The schedule of retries: each caller that is rejected is given a moment at which there will be room.
+"""Schedule of retries: reserves a retry time for each rejected request, within the expected spare capacity.
 
-Room is what the server can do, which rises while it grows warm, less what comes anew.  It is given out in
-small slots of time, each place once; within the first second that has places one is drawn, so that callers
-don't come back together, and the fleet's servers, each with its own draws and its own load, don't act in
-step.
+The spare capacity is what the server can serve, which rises while it warms up, less the rate of new
+requests.  It is divided into short time slots, and each unit of it is reserved once.  The slot is drawn at
+random from the first second with free capacity.  This jitter keeps callers from returning together, and
+keeps the fleet's servers, each with its own random numbers and load, from acting in step.
 """
 
 from __future__ import annotations
@@ -13,58 +13,71 @@
 from collections.abc import Callable
 
 SLOT_SECONDS = 0.1
-SPREAD_SLOTS = 10  # among which a place is drawn
-MIN_RETRY_SHARE = 0.1  # of the capacity is given to retries, however much comes anew
+JITTER_SLOTS = 10  # consecutive slots from which one is drawn
+MIN_RETRY_SHARE = 0.1  # of the capacity, reserved for retries however many new requests arrive
 
 
 class RetrySchedule:
-    """Places for retries, slot by slot."""
+    """Free retry capacity by time slot."""
 
     def __init__(self, rng: random.Random, horizon: float, capacity_at: Callable[[float], float]) -> None:
-        """``capacity_at``: places a second at a moment, asked when its slot comes into reach.
+        """Create an empty schedule.
 
-        ``horizon``: seconds; no place is given out beyond it.
+        Args:
+            rng: Source of the jitter.
+            horizon: Seconds ahead within which retries are scheduled.
+            capacity_at: Returns the retries per second that can be served at a time; called once for each
+                slot, when the schedule is extended to it.
         """
         self.rng = rng
         self.horizon = horizon
         self.capacity_at = capacity_at
-        self.first_slot = 0  # its number
-        self.places = deque[int]()  # free in each slot from the first on
+        self.first_slot = 0  # number of the slot that holds the current time
+        self.free_capacity = deque[int]()  # unreserved retries in each slot, starting with the first slot
         self.reserved_count = 0
 
     def _advance(self, now: float) -> None:
-        """Drop the slots that have passed: their places were not taken."""
-        first = int(now / SLOT_SECONDS)
-        if first - self.first_slot > len(self.places):
-            self.places.clear()
-            self.first_slot = first
-        while self.first_slot < first and self.places:
-            self.places.popleft()
+        """Drop the slots that have passed, with their unreserved capacity."""
+        current_slot = int(now / SLOT_SECONDS)
+        if current_slot - self.first_slot > len(self.free_capacity):
+            self.free_capacity.clear()
+            self.first_slot = current_slot
+        while self.first_slot < current_slot and self.free_capacity:
+            self.free_capacity.popleft()
             self.first_slot += 1
-        self.first_slot = first
+        self.first_slot = current_slot
 
     def _add_slot(self) -> None:
-        """Add one more slot; parts of a place are given out by chance."""
-        middle = (self.first_slot + len(self.places) + 0.5) * SLOT_SECONDS
-        places = self.capacity_at(middle) * SLOT_SECONDS
-        whole = int(places)
-        self.places.append(whole + (self.rng.random() < places - whole))
+        """Add one more slot; the fraction of its capacity is rounded up or down at random."""
+        middle = (self.first_slot + len(self.free_capacity) + 0.5) * SLOT_SECONDS
+        capacity = self.capacity_at(middle) * SLOT_SECONDS
+        whole = int(capacity)
+        self.free_capacity.append(whole + (self.rng.random() < capacity - whole))
 
-    def reserve(self, now: float, least: float) -> float | None:
-        """Return a moment ``least`` seconds from now or later; None where the whole horizon is given out."""
+    def reserve(self, now: float, min_delay: float) -> float | None:
+        """Reserve capacity for one retry.
+
+        Args:
+            now: Current time in seconds.
+            min_delay: Minimum seconds until the retry.
+
+        Returns:
+            Time of the retry in seconds; None if no capacity is free within the horizon.
+        """
         self._advance(now)
-        start = int((now + least) / SLOT_SECONDS) + 1 - self.first_slot
+        start = int((now + min_delay) / SLOT_SECONDS) + 1 - self.first_slot
         end = int(self.horizon / SLOT_SECONDS)
-        for first in range(start, end, SPREAD_SLOTS):
+        for first in range(start, end, JITTER_SLOTS):
             chosen = self._draw_slot(first)
             if chosen is not None:
-                self.places[chosen] -= 1
+                self.free_capacity[chosen] -= 1
                 self.reserved_count += 1
                 return (self.first_slot + chosen + self.rng.random()) * SLOT_SECONDS
         return None
 
     def _draw_slot(self, first: int) -> int | None:
-        while len(self.places) <= first + SPREAD_SLOTS:
+        """Return the index of a random slot with free capacity, one of ``JITTER_SLOTS`` from an index on."""
+        while len(self.free_capacity) <= first + JITTER_SLOTS:
             self._add_slot()
-        free = [slot for slot in range(first, first + SPREAD_SLOTS) if self.places[slot] > 0]
-        return self.rng.choice(free) if free else None
+        free_slots = [slot for slot in range(first, first + JITTER_SLOTS) if self.free_capacity[slot] > 0]
+        return self.rng.choice(free_slots) if free_slots else None
--- a/saltcart/retry_storm/source_fairness.py
+++ b/saltcart/retry_storm/source_fairness.py
@@ -1,7 +1,8 @@
-"""Which source offers how much: so that one source's crowd does not take the places of the others.
+"""Source fairness: decayed counts of attempts per source, so that one source cannot crowd out the others.
 
-Nothing of a request is read yet, so a source is an address.  Its offers of late are held against an equal
-part of what is admitted; who is under that part is never made to wait for who is over it.
+Admission is decided before anything of a request is read, so a source is a client address.  The decayed
+count of its attempts is compared with an equal share of the admission rate.  A source below its fair share
+never has to wait for a source above it.
 """
 
 from __future__ import annotations
@@ -10,30 +11,36 @@
 
 from saltcart.core.rate import LN2
 
-HALF_LIFE = 3.0  # seconds, of an offer
-FORGET_SECONDS = 12.0  # without an offer, after which a source is no longer counted
-MAX_SOURCES = 2048  # that are known; beyond them the one that has been away longest is forgotten
-MIN_PART = 3.0  # offers of late that are nobody's crowd
+HALF_LIFE_SECONDS = 3.0  # of an attempt's weight
+SOURCE_IDLE_SECONDS = 12.0  # without an attempt, after which a source is no longer counted
+MAX_SOURCES = 2048  # beyond this, the source with the oldest last attempt is dropped
+MIN_FAIR_SHARE = 3.0  # decayed count of attempts that every source is granted
 
 
 class SourceFairness:
-    """Faded counts of offers by source digest, the one heard last at the end."""
+    """Decayed attempt counts by source, ordered by the time of the last attempt."""
 
     def __init__(self) -> None:
-        self.offers: OrderedDict[int, tuple[float, float]] = OrderedDict()  # faded count, and as of when
+        self.offers: OrderedDict[int, tuple[float, float]] = (
+            OrderedDict()
+        )  # decayed count, time of last attempt
 
     def record_offer(self, now: float, source: int) -> float:
-        """Count an offer; returns how many there were of late, this one included."""
-        before, at = self.offers.pop(source, (0.0, now))
-        count: float = before * 0.5 ** ((now - at) / HALF_LIFE) + 1
+        """Count an attempt of a source and return the source's decayed count, this attempt included."""
+        previous_count, counted_at = self.offers.pop(source, (0.0, now))
+        count: float = previous_count * 0.5 ** ((now - counted_at) / HALF_LIFE_SECONDS) + 1
         self.offers[source] = count, now
         while self.offers:
-            oldest, (_, heard_at) = next(iter(self.offers.items()))
-            if now - heard_at <= FORGET_SECONDS and len(self.offers) <= MAX_SOURCES:
+            oldest, (_, last_offer_at) = next(iter(self.offers.items()))
+            if now - last_offer_at <= SOURCE_IDLE_SECONDS and len(self.offers) <= MAX_SOURCES:
                 break
             del self.offers[oldest]
         return count
 
-    def equal_part(self, rate: float) -> float:
-        """Return an equal part of ``rate`` a second, as a faded count."""
-        return max(MIN_PART, rate * HALF_LIFE / LN2 / max(1, len(self.offers)))
+    def fair_share(self, rate: float) -> float:
+        """Return each source's equal share of an admission rate, as a decayed count of attempts.
+
+        Args:
+            rate: Requests admitted per second.
+        """
+        return max(MIN_FAIR_SHARE, rate * HALF_LIFE_SECONDS / LN2 / max(1, len(self.offers)))
--- a/tests/test_retry_storm.py
+++ b/tests/test_retry_storm.py
@@ -15,10 +15,10 @@
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.decision.settings import ClassSpec, Effect, Settings
 from saltcart.field_reader import InvalidFieldError
-from saltcart.retry_storm.admission_rate import MIN_TOKENS, AdmissionTokenBucket
+from saltcart.retry_storm.admission_rate import MIN_BURST_TOKENS, AdmissionTokenBucket
 from saltcart.retry_storm.capacity import CapacityEstimator, WarmUpCurve
 from saltcart.retry_storm.controller import RetryStormController
-from saltcart.retry_storm.fingerprints import Fingerprints
+from saltcart.retry_storm.fingerprints import Fingerprinter
 from saltcart.retry_storm.retry_reservations import TICK_SECONDS, RetryReservations
 from saltcart.retry_storm.retry_schedule import SLOT_SECONDS, RetrySchedule
 from saltcart.retry_storm.settings import StormSettings, read_storm
@@ -50,17 +50,17 @@
 
 
 def test_a_fingerprint_tells_what_is_the_same_work_and_nothing_else() -> None:
-    of = Fingerprints(7).of
-    first = of("acme", "oddaja", b"k", None, b"body")
-    assert first == of("acme", "oddaja", b"k", None, b"body")
+    fingerprint = Fingerprinter(7).fingerprint
+    first = fingerprint("acme", "oddaja", b"k", None, b"body")
+    assert first == fingerprint("acme", "oddaja", b"k", None, b"body")
     others = [
-        of("acmf", "oddaja", b"k", None, b"body"),
-        of("acme", "read", b"k", None, b"body"),
-        of("acme", "oddaja", b"l", None, b"body"),
-        of("acme", "oddaja", b"k", "s", b"body"),
-        of("acme", "oddaja", b"k", None, b"bodz"),
-        of("acm", "eoddaja", b"k", None, b"body"),
-        Fingerprints(8).of("acme", "oddaja", b"k", None, b"body"),
+        fingerprint("acmf", "oddaja", b"k", None, b"body"),
+        fingerprint("acme", "read", b"k", None, b"body"),
+        fingerprint("acme", "oddaja", b"l", None, b"body"),
+        fingerprint("acme", "oddaja", b"k", "s", b"body"),
+        fingerprint("acme", "oddaja", b"k", None, b"bodz"),
+        fingerprint("acm", "eoddaja", b"k", None, b"body"),
+        Fingerprinter(8).fingerprint("acme", "oddaja", b"k", None, b"body"),
     ]
     assert len({first, *others}) == len(others) + 1
 
@@ -226,7 +226,7 @@
     for storm in (False, True):
         gate = AdmissionTokenBucket(0.9, 0.25, lambda now: 20.0, lambda now, storm=storm: storm)  # type: ignore[misc]
         passed = sum(gate.admit(n * 0.01) for n in range(1000))  # 100 a second for 10 s
-        assert passed <= 20 * 10 + 20 + MIN_TOKENS and passed >= 0.9 * 20 * 10 - 1
+        assert passed <= 20 * 10 + 20 + MIN_BURST_TOKENS and passed >= 0.9 * 20 * 10 - 1
         assert gate.admitted_count == passed and gate.admitted_count + gate.rejected_count == 1000
 
 
@@ -245,7 +245,7 @@
         loud = sources.record_offer(n * 0.02, 1)
         if n % 50 == 0:
             quiet = sources.record_offer(n * 0.02, 2)
-    assert loud > 3 * sources.equal_part(10.0) and quiet < sources.equal_part(10.0)
+    assert loud > 3 * sources.fair_share(10.0) and quiet < sources.fair_share(10.0)
     for n in range(MAX_SOURCES + 500):
         sources.record_offer(6.0, n)
     assert len(sources.offers) <= MAX_SOURCES
@@ -336,7 +336,7 @@
         d.admit_connection(100.0 + n * 0.01, d.source_of("balancer")) is not ConnectionAdmission.REFUSE
         for n in range(8)
     )
-    assert let_in == MIN_TOKENS
+    assert let_in == MIN_BURST_TOKENS
 
 
 def test_runs_that_share_the_cores_do_not_make_the_capacity_look_smaller() -> None:
@@ -365,7 +365,7 @@
         gate = AdmissionTokenBucket(1.0, 0.25, lambda now: 20.0, lambda now: False)
         passed = 0
         for n in range(4000):  # 40 a second for 100 s
-            passed += gate.admit(n * 0.025, last=True)
+            passed += gate.admit(n * 0.025, leftover_only=True)
             if n % 2 == 0:
                 gate.record_run(full)
         rates.append(passed / 100)
@@ -384,7 +384,7 @@
     d, rng = damper(), random.Random(9)
     for n in range(20_000):
         d.record_rejection(100.0 + n * 0.001, rng.getrandbits(64))
-    assert d.size_bytes() <= 1 << 20 and len(d.schedule.places) <= 60 / SLOT_SECONDS + 20
+    assert d.size_bytes() <= 1 << 20 and len(d.schedule.free_capacity) <= 60 / SLOT_SECONDS + 20
 
 
 @pytest.mark.parametrize(
