--- a/saltcart/retry_storm/admission_rate.py
+++ b/saltcart/retry_storm/admission_rate.py
@@ -1,4 +1,4 @@
-"""Admission rate: how many requests per second are read, at most about as many as can run.
+"""Admission rate: limits the requests that are read per second, in proportion to the server's capacity.
 
 A token bucket whose rate follows the capacity, which is lower while the server is cold.  It also limits
 admission outside of storms, so that a flood is bounded before a storm is detected.  A request that is not
