--- a/saltcart/retry_storm/controller.py
+++ b/saltcart/retry_storm/controller.py
@@ -161,8 +161,8 @@
             now: Current time in seconds.
             account: Account of the caller.
             class_name: Name of the request's class.
-            key: Idempotency key of the request.
-            subject: Resource key of the request.
+            key: Idempotency key of the request, if it has one.
+            subject: Key of the resource that the request is about, if it names one.
             body: Body of the request.
         """
         self.now = now
--- a/saltcart/retry_storm/source_fairness.py
+++ b/saltcart/retry_storm/source_fairness.py
@@ -21,9 +21,8 @@
     """Decayed attempt counts by source, ordered by the time of the last attempt."""
 
     def __init__(self) -> None:
-        self.offers: OrderedDict[int, tuple[float, float]] = (
-            OrderedDict()
-        )  # decayed count, time of last attempt
+        # Decayed count and time of the last attempt.
+        self.offers: OrderedDict[int, tuple[float, float]] = OrderedDict()
 
     def record_offer(self, now: float, source: int) -> float:
         """Count an attempt of a source and return the source's decayed count, this attempt included."""
--- a/saltcart/retry_storm/storm_detector.py
+++ b/saltcart/retry_storm/storm_detector.py
@@ -84,7 +84,9 @@
 
     def _has_begun(self, now: float, capacity: float) -> bool:
         is_flooded = self.is_flooded(now, capacity)
-        has_retries = self.retry_share(now) >= ENTER_RETRY_SHARE and self.retry_rate.level >= MIN_RETRIES
+        has_retries = (
+            self.retry_share(now) >= ENTER_RETRY_SHARE and self.retry_rate.decayed_count >= MIN_RETRIES
+        )
         return has_retries or (is_flooded and self._is_rejecting_flood(now, capacity))
 
     def _is_rejecting_flood(self, now: float, capacity: float) -> bool:
@@ -92,7 +94,7 @@
         if read <= 0:
             return False
         usual_offers = capacity * HALF_LIFE_SECONDS / LN2  # decayed count at an offered load of the capacity
-        excess = self.offered_rate.level - usual_offers
+        excess = self.offered_rate.decayed_count - usual_offers
         if excess < MIN_DEVIATIONS * max(1.0, usual_offers) ** 0.5:
             return False
         return self.rejected_rate.per_second(now) >= FLOOD_REJECTED_SHARE * read
--- a/tests/test_retry_storm.py
+++ b/tests/test_retry_storm.py
@@ -128,7 +128,7 @@
     for n, digest in enumerate(digests):
         table.put(0.0, digest, float(n))
     assert table.size_bytes() == size
-    is_stored = [table.get(digest) is not None for digest in digests]
+    is_stored = [table.get(stored) is not None for stored in digests]
     assert sum(is_stored[-500:]) > 450 and sum(is_stored[:2000]) < 200
 
 
@@ -154,7 +154,7 @@
 
 def test_a_cold_servers_schedule_has_more_capacity_later() -> None:
     warm_up = WarmUpCurve(SETTINGS, 0.0)
-    assert [warm_up.speed_share_at(when) for when in (0, 4, 8, 99)] == [0.25, 0.625, 1.0, 1.0]
+    assert [warm_up.speed_share_at(seconds) for seconds in (0, 4, 8, 99)] == [0.25, 0.625, 1.0, 1.0]
     schedule = RetrySchedule(random.Random(7), 30.0, lambda when: 40 * warm_up.speed_share_at(when))
     retry_times = [at for at in (schedule.reserve(0.0, 0.0) for _ in range(150)) if at is not None]
     early, late = (sum(begin <= at < begin + 1 for at in retry_times) for begin in (0, 4))
--- a/tests/test_retry_storm_integration.py
+++ b/tests/test_retry_storm_integration.py
@@ -179,7 +179,7 @@
         async with Pool(auto=False) as pool, running(STORM_DEPLOYMENT, pool=pool.address) as app:
             controller = app.storm_controller
             assert controller is not None
-            # Four runs per second on two cores.
+            # The two cores serve about four runs per second.
             controller.capacity_estimator.record_run(app.service.clock.read_seconds(), 0.5, False)
             pending_responses = asyncio.create_task(send_concurrently(app, 60))
             await until(lambda: controller.token_bucket.rejected_count > 30)
@@ -188,7 +188,7 @@
                 pool.finish(request_id)
             responses = await pending_responses
             rejected = [headers for status, headers in responses if status == 503]
-            assert len(rejected) >= 30 and all(int(headers[b"retry-after"]) >= 1 for headers in rejected)
+            assert len(rejected) >= 30 and all(int(fields[b"retry-after"]) >= 1 for fields in rejected)
             # Health checks are not subject to admission.
             reader, writer = await asyncio.open_connection(*app.addresses["http"].split(":"))
             writer.write(b"GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
