--- a/saltcart/retry_storm/controller.py
+++ b/saltcart/retry_storm/controller.py
@@ -101,7 +101,7 @@
             storm_settings.over, storm_settings.reading, self.capacity, self.in_storm
         )
         self.source_fairness = SourceFairness()
-        self.counts_connections = False  # whether attempts are counted as offered before they are read
+        self.counts_connections = False  # whether attempts are counted on connection, before they are read
         self.now = now
         self.on_time_retry_count = 0  # retries at their reserved time
         self.early_retry_count = 0
@@ -130,8 +130,8 @@
         """
         self.now = now
         self.counts_connections = True
-        self.detector.record_offer(now)
-        count = self.source_fairness.record_offer(now, source)
+        self.detector.record_attempt(now)
+        count = self.source_fairness.record_attempt(now, source)
         heavy_threshold = HEAVY_SOURCE_FACTOR * self.source_fairness.fair_share(
             self.settings.over * self.capacity(now)
         )
@@ -149,7 +149,7 @@
         It cannot with a single source or with enough capacity for all: a balancer with a large share of the
         requests is not treated as heavy for that alone.
         """
-        has_others = len(self.source_fairness.offers) >= 2
+        has_others = len(self.source_fairness.attempts) >= 2
         return has_others and (self.in_storm(now) or self.detector.is_flooded(now, self.capacity(now)))
 
     def record_arrival(
@@ -169,7 +169,7 @@
         fingerprint = self.fingerprinter.fingerprint(account, class_name, key, subject, body)
         is_retry = self.recent_rejections.has(now, fingerprint)
         if not self.counts_connections:
-            self.detector.record_offer(now)
+            self.detector.record_attempt(now)
         self.detector.record_arrival(now, is_retry)
         if not is_retry:
             return TrackedAttempt(fingerprint, is_retry=False, has_reservation=False, is_early=False)
--- a/saltcart/retry_storm/source_fairness.py
+++ b/saltcart/retry_storm/source_fairness.py
@@ -22,18 +22,18 @@
 
     def __init__(self) -> None:
         # Decayed count and time of the last attempt.
-        self.offers: OrderedDict[int, tuple[float, float]] = OrderedDict()
+        self.attempts: OrderedDict[int, tuple[float, float]] = OrderedDict()
 
-    def record_offer(self, now: float, source: int) -> float:
+    def record_attempt(self, now: float, source: int) -> float:
         """Count an attempt of a source and return the source's decayed count, this attempt included."""
-        previous_count, counted_at = self.offers.pop(source, (0.0, now))
+        previous_count, counted_at = self.attempts.pop(source, (0.0, now))
         count: float = previous_count * 0.5 ** ((now - counted_at) / HALF_LIFE_SECONDS) + 1
-        self.offers[source] = count, now
-        while self.offers:
-            oldest, (_, last_offer_at) = next(iter(self.offers.items()))
-            if now - last_offer_at <= SOURCE_IDLE_SECONDS and len(self.offers) <= MAX_SOURCES:
+        self.attempts[source] = count, now
+        while self.attempts:
+            oldest, (_, last_attempt_at) = next(iter(self.attempts.items()))
+            if now - last_attempt_at <= SOURCE_IDLE_SECONDS and len(self.attempts) <= MAX_SOURCES:
                 break
-            del self.offers[oldest]
+            del self.attempts[oldest]
         return count
 
     def fair_share(self, rate: float) -> float:
@@ -42,4 +42,4 @@
         Args:
             rate: Requests admitted per second.
         """
-        return max(MIN_FAIR_SHARE, rate * HALF_LIFE_SECONDS / LN2 / max(1, len(self.offers)))
+        return max(MIN_FAIR_SHARE, rate * HALF_LIFE_SECONDS / LN2 / max(1, len(self.attempts)))
--- a/saltcart/retry_storm/storm_detector.py
+++ b/saltcart/retry_storm/storm_detector.py
@@ -48,7 +48,7 @@
         self.last_sign_at = 0.0
         self.storm_count = 0
 
-    def record_offer(self, now: float) -> None:
+    def record_attempt(self, now: float) -> None:
         """Count an attempt, whether or not it will be read."""
         self.offered_rate.add(now)
         self.slow_offered_rate.add(now)
@@ -93,9 +93,11 @@
         read = self.read_rate.per_second(now)
         if read <= 0:
             return False
-        usual_offers = capacity * HALF_LIFE_SECONDS / LN2  # decayed count at an offered load of the capacity
-        excess = self.offered_rate.decayed_count - usual_offers
-        if excess < MIN_DEVIATIONS * max(1.0, usual_offers) ** 0.5:
+        usual_attempts = (
+            capacity * HALF_LIFE_SECONDS / LN2
+        )  # decayed count at an offered load of the capacity
+        excess = self.offered_rate.decayed_count - usual_attempts
+        if excess < MIN_DEVIATIONS * max(1.0, usual_attempts) ** 0.5:
             return False
         return self.rejected_rate.per_second(now) >= FLOOD_REJECTED_SHARE * read
 
--- a/tests/test_retry_storm.py
+++ b/tests/test_retry_storm.py
@@ -184,17 +184,17 @@
 def test_a_storm_begins_within_half_a_second_and_ends_after_a_quiet_period() -> None:
     detector = StormDetector()
     for n in range(200):  # calm: 40 attempts per second
-        detector.record_offer(n * 0.025)
+        detector.record_attempt(n * 0.025)
         detector.record_arrival(n * 0.025, False)
         assert detector.update(n * 0.025, 50.0) is StormState.CALM
     now = 5.0
     while detector.update(now, 50.0) is StormState.CALM:  # 80 attempts per second, half of them retries
-        detector.record_offer(now)
+        detector.record_attempt(now)
         detector.record_arrival(now, int(now * 80) % 2 == 0)
         now += 1 / 80
     assert now - 5.0 <= 0.5 and 1.2 < detector.amplification(now) < 2.5
     while detector.update(now, 50.0) is StormState.STORM:
-        detector.record_offer(now)
+        detector.record_attempt(now)
         detector.record_arrival(now, False)
         now += 0.025
     assert 2.0 <= now - 5.0 < 8.0
@@ -203,7 +203,7 @@
 def test_a_cold_server_detects_a_flood_without_any_history() -> None:
     detector, now = StormDetector(), 0.0
     while detector.update(now, 10.0) is StormState.CALM and now < 2:
-        detector.record_offer(now)
+        detector.record_attempt(now)
         detector.record_arrival(now, False)
         if int(now * 100) % 2:
             detector.record_rejection(now)
@@ -216,7 +216,7 @@
     detector, rng, now = StormDetector(), random.Random(8), 0.0
     while now < 60:
         now += rng.expovariate(surge * 65)
-        detector.record_offer(now)
+        detector.record_attempt(now)
         detector.record_arrival(now, False)
         if rng.random() < max(0.0, 1 - 100 / (surge * 65)):
             detector.record_rejection(now)
@@ -251,15 +251,15 @@
 def test_a_heavy_source_exceeds_its_fair_share_and_a_light_one_does_not() -> None:
     sources = SourceFairness()
     for n in range(300):
-        heavy_count = sources.record_offer(n * 0.02, 1)
+        heavy_count = sources.record_attempt(n * 0.02, 1)
         if n % 50 == 0:
-            light_count = sources.record_offer(n * 0.02, 2)
+            light_count = sources.record_attempt(n * 0.02, 2)
     assert heavy_count > 3 * sources.fair_share(10.0) and light_count < sources.fair_share(10.0)
     for n in range(MAX_SOURCES + 500):
-        sources.record_offer(6.0, n)
-    assert len(sources.offers) <= MAX_SOURCES
-    sources.record_offer(60.0, 1)
-    assert len(sources.offers) == 1
+        sources.record_attempt(6.0, n)
+    assert len(sources.attempts) <= MAX_SOURCES
+    sources.record_attempt(60.0, 1)
+    assert len(sources.attempts) == 1
 
 
 # ---- controller -------------------------------------------------------------------------------
