--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -15,7 +15,7 @@
 from saltcart import config, deployment  # noqa: E402
 from saltcart.app import App  # noqa: E402
 from saltcart.log import JsonLog  # noqa: E402
-from saltcart.net.signals import on_notice  # noqa: E402
+from saltcart.net.signals import handle_signals  # noqa: E402
 
 LINGER = 1.0  # the process ends by itself this long after it should have been stopped
 
@@ -37,7 +37,7 @@
         except Exception as error:  # whatever a file may hold, a running service outlives it
             log("reload-failed", error=str(error))
 
-    on_notice((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, leave)
+    handle_signals((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, leave)
     await app.start()
     gc.collect()
     gc.freeze()  # what lives as long as the process need not be looked at again
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -214,7 +214,7 @@
         if name not in self.registry.upstreams:
             raise ApiError(404, f"no such upstream: {name}")
         u, runs = self.registry.upstreams[name], self.registry.runs
-        under_way = {} if runs is None else runs.open_runs(name)
+        under_way = {} if runs is None else runs.in_flight_by_member(name)
         return {
             "name": u.name,
             "members": [  # secrets only go in
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -91,13 +91,13 @@
         if self.runs is not None:
             for upstream in upstreams:
                 if before.get(upstream.name) != upstream:
-                    self.runs.put(upstream)
+                    self.runs.set_upstream(upstream)
             for name in before.keys() - self.upstreams.keys():
-                self.runs.remove(name)
+                self.runs.remove_upstream(name)
             for tenant in tenants:
-                self.runs.assign(tenant.name, tenant.upstream)
+                self.runs.assign_tenant(tenant.name, tenant.upstream)
             for name in left:
-                self.runs.assign(name, None)
+                self.runs.assign_tenant(name, None)
                 self.forget(name)
         self.service.set_tenants(specs(tenants))
         if self.path is not None:
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -16,13 +16,13 @@
         self.api, self.parser = api, http1.RequestParser(MAX_BODY)
 
     def received(self) -> None:
-        self.awaits()
+        self.mark_awaiting_request()
         try:
-            while not self.ending and self.transport is not None and not self.transport.is_closing():
+            while not self.is_ending and self.transport is not None and not self.transport.is_closing():
                 request = self.parser.next(self.buffer)
                 if request is None:
                     return
-                self.rests()
+                self.mark_idle()
                 status, body, fields = self.api.handle(
                     request.method.decode("latin-1"),
                     request.target.decode("latin-1"),
@@ -37,4 +37,4 @@
         kind = {"Content-Type": "application/json"} if body else {}
         self.send(http1.response(status, body, tuple({**kind, **fields}.items()), not keep_alive))
         if not keep_alive:
-            self.end()
+            self.half_close()
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -78,7 +78,13 @@
         key_room = int(conf.memory_mb * KEYS_SHARE * 1024 * 1024)
         clock = clock or Clock()
         self.service = Service(
-            settings, conf.gauges, conf.seed, clock, log, max_key_bytes=key_room, seconds_ahead=clock.ahead
+            settings,
+            conf.gauges,
+            conf.seed,
+            clock,
+            log,
+            max_key_bytes=key_room,
+            seconds_ahead=clock.seconds_ahead,
         )
         self.service.intake.requires_tenant = hosted
         self.listeners: list[Listener] = []
@@ -178,7 +184,7 @@
                     lambda owner: AdminConnection(owner, api),
                     lambda: ADMIN_IDLE,
                     administration,
-                    shared=self.takeover is not None,
+                    reuse_port=self.takeover is not None,
                 ),
             )
 
@@ -272,7 +278,7 @@
                 lambda owner: AjpConnection(owner, service, secret),
                 lambda: service.idle_timeout,
                 ajp_most,
-                shared=shared,
+                reuse_port=shared,
             )
             await self._listen("ajp", front)
             self.fronts["ajp"] = front
@@ -318,7 +324,7 @@
                 raise ConfigError(f"config: field {name} can't come or go while the program runs")
         for _, part, peer in parts:
             if part is not None and peer is not None:
-                part.move(peer)
+                part.change_address(peer)
         self.log("reloaded", pool=conf.pool, index=conf.index, announce=conf.announce)
 
     async def close(self) -> None:
--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -33,7 +33,7 @@
                 return False
             case ajp.CPing():
                 self.send(ajp.CPONG_PACKET)
-                self.rests()
+                self.mark_idle()
             case ajp.MoreBody(data):
                 self.send(data)
             case ajp.ForwardRequest():
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -98,13 +98,13 @@
 
     def hand_over(self) -> bool:
         """Pass the connection to the process that takes over, unless a request or an end is under way."""
-        heir, transport = self.listener.pass_on, self.transport
+        heir, transport = self.listener.pass_connection, self.transport
         if (
             heir is None
             or transport is None
             or transport.is_closing()
             or self.open
-            or self.ending
+            or self.is_ending
             or (not self.keep_alive or transport.get_write_buffer_size())
         ):
             return False
@@ -115,15 +115,15 @@
         """Whether a further request may be read: one at a time, and none for a peer that reads no answers."""
         return (
             not self.open
-            and self not in self.listener.blocked
-            and not self.ending
+            and self not in self.listener.write_blocked
+            and not self.is_ending
             and (self.transport is not None and not self.transport.is_closing())
         )
 
     def received(self) -> None:
         if not self.open:
-            self.awaits()
-            if self.listener.pass_on is not None and self.keep_alive and self.unread() is not None:
+            self.mark_awaiting_request()
+            if self.listener.pass_connection is not None and self.keep_alive and self.unread() is not None:
                 if not self.hand_over() and self.transport is not None:
                     self.transport.pause_reading()  # it goes later, and no more must come here meanwhile
                 return
@@ -133,7 +133,7 @@
                     break
                 if not self.enters() or not self.step():
                     if self.partial():  # its time runs, whatever was answered before it
-                        self.awaits()
+                        self.mark_awaiting_request()
                     return
             else:
                 self.continue_reading()
@@ -159,7 +159,7 @@
         super().resume_writing()
         self.continue_reading()
 
-    def expire(self) -> None:
+    def on_request_timeout(self) -> None:
         if self.partial():
             self.cut_off(408, b"the request did not come whole in its time")
         else:
@@ -167,23 +167,23 @@
 
     def cut_off(self, status: int, why: bytes, fields: Fields = ()) -> None:
         """Answer what was no request.  Nothing more is read; what still comes must not cost that answer."""
-        if self.ending or self.transport is None or self.transport.is_closing():
+        if self.is_ending or self.transport is None or self.transport.is_closing():
             return
         self.keep_alive = False
         self.write(status, why, fields)
-        self.awaits()  # it may make way for others
-        self.end()
+        self.mark_awaiting_request()  # it may make way for others
+        self.half_close()
 
     def respond(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
         self.write(status, body, fields)
         self.entered = False
-        self.rests()
+        self.mark_idle()
         if not self.keep_alive:
-            self.end()
+            self.half_close()
 
     def dispatch(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], body: bytes) -> None:
         """One whole request of either front."""
-        self.carries()
+        self.mark_busy()
         path = target.partition(b"?")[0]
         if path == b"/ping":
             hint = answer_fields(FinalResponse(ResponseStatus.SERVED, load_level=self.service.load_level))
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -25,9 +25,9 @@
         except MalformedMessageError as error:
             answer = f"ERR {error}\n"
         if answer is not None:
-            self.listener.leave(self)
+            self.listener.clear_state(self)
             self.send(answer.encode())
-            self.end()  # one call a connection: what follows it is not one
+            self.half_close()  # one call a connection: what follows it is not one
 
     def answer(self, call: str) -> str:
         match call:
--- a/saltcart/lab/faults/links.py
+++ b/saltcart/lab/faults/links.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple, cast
 
-from saltcart.net.base import address
+from saltcart.net.base import parse_address
 
 
 @dataclass(frozen=True)
@@ -134,7 +134,7 @@
 
     def know(self, number: int, at: str) -> None:
         """A process listens at its own address, once it has one."""
-        place = address(at)
+        place = parse_address(at)
         self.sender[place[1]], self.receiver[number] = number, place
 
     def came(self, receiver: int, data: bytes, port: int) -> None:
--- a/saltcart/lab/faults/programs.py
+++ b/saltcart/lab/faults/programs.py
@@ -22,7 +22,7 @@
 import orjson
 import tomli_w
 
-from saltcart.net.base import Connection, address
+from saltcart.net.base import Connection, parse_address
 from saltcart.wire import http1
 
 START_WAIT = 30.0  # seconds for a program to say where it listens
@@ -61,7 +61,9 @@
 async def call(at: str, data: bytes, wait: float) -> http1.HttpResponse:
     """One request on a connection of its own; ``OSError`` or ``TimeoutError`` where it got no answer."""
     async with asyncio.timeout(wait):
-        _, caller = await asyncio.get_running_loop().create_connection(lambda: Caller(data), *address(at))
+        _, caller = await asyncio.get_running_loop().create_connection(
+            lambda: Caller(data), *parse_address(at)
+        )
         try:
             return await caller.answer
         finally:
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -7,12 +7,12 @@
 import orjson
 
 from saltcart.core.ports import Log
-from saltcart.net.base import Connection, address
+from saltcart.net.base import Connection, parse_address
 from saltcart.net.supervision import SupervisedTask
 from saltcart.wire import http1
 from saltcart.wire.errors import MalformedMessageError
 
-EVERY, WAIT, RETRY = 0.9, 0.7, 0.2
+REPORT_INTERVAL_SECONDS, REPORT_TIMEOUT_SECONDS, RETRY_DELAY_SECONDS = 0.9, 0.7, 0.2
 
 
 class ReportConnection(Connection):
@@ -43,12 +43,12 @@
         self.peer, self.name, self.log = peer, name, log
         self.state: bool | None = None
         self.changed = asyncio.Event()
-        self.failing = False
+        self.is_failing = False
         self.connection: ReportConnection | None = None
         self.kept = SupervisedTask("announcer", self._run, log)
 
-    def set_accepting(self, on: bool) -> None:
-        self.state = on
+    def set_accepting(self, is_accepting: bool) -> None:
+        self.state = is_accepting
         self.changed.set()
 
     def start(self) -> None:
@@ -60,7 +60,7 @@
             self.connection.close()
             self.connection = None
 
-    def move(self, peer: str) -> None:
+    def change_address(self, peer: str) -> None:
         """Another address from now on; it is told at once."""
         if peer != self.peer:
             running = self.kept.running
@@ -77,18 +77,18 @@
             await self.changed.wait()
         while True:
             self.changed.clear()
-            pause = EVERY
+            pause = REPORT_INTERVAL_SECONDS
             try:
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(REPORT_TIMEOUT_SECONDS):
                     await self._report()
-                if self.failing:
-                    self.failing = False
+                if self.is_failing:
+                    self.is_failing = False
                     self.log("announce-back")
             except (OSError, TimeoutError) as error:
-                if not self.failing:
-                    self.failing = True
+                if not self.is_failing:
+                    self.is_failing = True
                     self.log("announce-lost", error=str(error))
-                pause = RETRY
+                pause = RETRY_DELAY_SECONDS
                 if self.connection is not None:
                     self.connection.close()
                     self.connection = None
@@ -101,7 +101,7 @@
     async def _report(self) -> None:
         loop = asyncio.get_running_loop()
         if self.connection is None or self.connection.transport is None:
-            _, self.connection = await loop.create_connection(ReportConnection, *address(self.peer))
+            _, self.connection = await loop.create_connection(ReportConnection, *parse_address(self.peer))
         connection = self.connection
         connection.answer = loop.create_future()
         body = orjson.dumps({"accepting": "true" if self.state else "false"})
--- a/saltcart/net/base.py
+++ b/saltcart/net/base.py
@@ -59,7 +59,7 @@
         """The connection has ended, whoever ended it."""
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -77,12 +77,12 @@
             before.close()
         super().connection_made(transport)
 
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         return self.link.connection is self
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        if self.current():
+        if self.is_current():
             self.link.connection = None
             self.link.ended.set()
 
@@ -90,25 +90,25 @@
 class Link:
     """Keeps one connection to a peer open: waits a little longer after each failure."""
 
-    FIRST_WAIT, LONGEST_WAIT = 0.02, 0.5
+    INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.02, 0.5
 
     def __init__(self, name: str, peer: str, log: Log) -> None:
-        self.name, self.peer, self.log = name, address(peer), log
+        self.name, self.peer, self.log = name, parse_address(peer), log
         self.connection: LinkConnection | None = None
         self.ended = asyncio.Event()
         self.kept = SupervisedTask(f"{name} link", self._run, log)
 
-    def make(self) -> LinkConnection:
+    def make_connection(self) -> LinkConnection:
         raise NotImplementedError
 
     def start(self) -> None:
         self.kept.start()
 
-    def move(self, peer: str) -> None:
+    def change_address(self, peer: str) -> None:
         """Another address from now on; what the old connection still had to say is asked for again."""
-        if address(peer) == self.peer:
+        if parse_address(peer) == self.peer:
             return
-        self.peer = address(peer)
+        self.peer = parse_address(peer)
         self.close()
         self.start()
 
@@ -119,20 +119,20 @@
             self.connection = None
 
     async def _run(self) -> None:
-        wait = self.FIRST_WAIT
+        wait = self.INITIAL_BACKOFF_SECONDS
         loop = asyncio.get_running_loop()
         while True:
             self.ended.clear()
             try:
                 async with asyncio.timeout(2.0):
-                    await loop.create_connection(self.make, *self.peer)
+                    await loop.create_connection(self.make_connection, *self.peer)
             except (OSError, TimeoutError) as error:
-                if wait == self.FIRST_WAIT:
+                if wait == self.INITIAL_BACKOFF_SECONDS:
                     self.log("link-refused", link=self.name, error=str(error))
                 await asyncio.sleep(wait)
-                wait = min(self.LONGEST_WAIT, 2 * wait)
+                wait = min(self.MAX_BACKOFF_SECONDS, 2 * wait)
                 continue
-            wait = self.FIRST_WAIT
+            wait = self.INITIAL_BACKOFF_SECONDS
             await self.ended.wait()
             self.log("link-lost", link=self.name)
-            await asyncio.sleep(self.FIRST_WAIT)
+            await asyncio.sleep(self.INITIAL_BACKOFF_SECONDS)
--- a/saltcart/net/clock.py
+++ b/saltcart/net/clock.py
@@ -1,4 +1,4 @@
-"""The core's clock, and its timers on the event loop."""
+"""The service's clock, and the event loop's timer for the core's timers."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 
 
 class Clock:
-    """Seconds since 1970 at the start, and on evenly from there, whatever is done to the Unix clock.
+    """Unix time at the start, advanced from there by the monotonic clock.
 
-    On the Unix clock alone, setting it back by a minute would stop every timer for that minute, and setting
-    it forward would end every wait and every key's window.  ``ahead`` tells how far this clock is before the
-    Unix clock now: what peers write as Unix time is moved by it as it is read.
+    With the Unix clock alone, setting it back by a minute would stop every timer for that minute, and setting
+    it forward would end every wait and every key window.
     """
 
     def __init__(
-        self, unix: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
+        self,
+        unix_clock: Callable[[], float] = time.time,
+        monotonic_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.unix, self.steady = unix, steady
-        self.base = unix() - steady()
+        self.unix_clock, self.monotonic_clock = unix_clock, monotonic_clock
+        self.offset = unix_clock() - monotonic_clock()
 
     def __call__(self) -> float:
-        return self.base + self.steady()
+        """Return the time in seconds."""
+        return self.offset + self.monotonic_clock()
 
-    def ahead(self) -> float:
-        return self() - self.unix()
+    def seconds_ahead(self) -> float:
+        """Return by how many seconds this clock is ahead of the Unix clock, in which peers express times."""
+        return self() - self.unix_clock()
 
 
 class Ticker:
-    """One handle on the loop, for the earliest timer of the core."""
+    """Runs the core's timers when they are due, by one timer on the event loop for the earliest of them."""
 
     def __init__(self, service: Service, loop: asyncio.AbstractEventLoop) -> None:
         self.service, self.loop = service, loop
@@ -40,17 +43,21 @@
         self.arm()
 
     def close(self) -> None:
+        """Cancel the timer."""
         self.service.timers.on_earlier_due = None
         if self.handle is not None:
             self.handle.cancel()
 
     def arm(self) -> None:
+        """Set the loop's timer to the core's earliest timer, in place of the one that is set."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
-        due = self.service.next_due()
-        if due is not None:
-            self.handle = self.loop.call_later(max(0.0, due - self.service.clock.read_seconds()), self._tick)
+        due_at = self.service.next_due()
+        if due_at is not None:
+            self.handle = self.loop.call_later(
+                max(0.0, due_at - self.service.clock.read_seconds()), self._tick
+            )
 
     def _tick(self) -> None:
         self.handle = None
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -11,27 +11,30 @@
 
 from saltcart.core.ports import DependencyCallEvents, Log
 from saltcart.decision.outcome import Outcome
-from saltcart.net.base import Connection, address
+from saltcart.net.base import Connection, parse_address
 from saltcart.net.supervision import PeriodicTask
 from saltcart.wire import index as wire
 from saltcart.wire.errors import MalformedMessageError
 
 # Only SHED and NOBODY prove that the call never ran, and a connection that was never made.
-ENDS = {
+OUTCOMES = {
     b"HIT": Outcome.SUCCEEDED,
     b"SHED": Outcome.REJECTED,
     b"BROKEN": Outcome.FAILED,
     b"SLOW": Outcome.TIMED_OUT,
     b"NOBODY": Outcome.REJECTED,
 }
-CONNECT_WAIT = 2.0
-REFUSED_WAITS = (0.02, 0.05)  # a proxy that refuses is asked again: calls must not spin
-REUSE, IDLE = 0.5, 2.0  # used again within the first, closed after the second: the proxy may forget idle ones
-SWEEP = 0.5
-STALL = 0.25  # a reply that has begun comes whole; its sender is on the same machine
+CONNECT_TIMEOUT_SECONDS = 2.0
+CONNECT_RETRY_DELAYS_SECONDS = (0.02, 0.05)  # a proxy that refuses is asked again: calls must not spin
+REUSE_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS = (
+    0.5,
+    2.0,
+)  # used again within the first, closed after the second: the proxy may forget idle ones
+SWEEP_INTERVAL_SECONDS = 0.5
+STALLED_REPLY_TIMEOUT_SECONDS = 0.25  # a reply that has begun comes whole; its sender is on the same machine
 
 
-class Call:
+class IndexCall:
     """One call under way."""
 
     __slots__ = ("connection", "data", "ident", "once", "task")
@@ -46,7 +49,7 @@
     def __init__(self, client: IndexClient) -> None:
         super().__init__()
         self.client, self.peer, self.parser = client, client.peer, wire.ReplyParser()
-        self.call: Call | None = None
+        self.call: IndexCall | None = None
         self.stall: asyncio.TimerHandle | None = None
         self.last = b""  # whose call it carried last: a second copy must not answer that one's next call
         self.used = 0.0
@@ -62,12 +65,14 @@
             for reply in self.parser.messages(self.buffer):
                 # A second copy, or a reply to what was given up or never asked, stands for nothing.
                 if self.call is not None and reply.ident == self.call.ident:
-                    self.client.ended(self.call, ENDS[reply.end], reply.body)
+                    self.client.ended(self.call, OUTCOMES[reply.end], reply.body)
         except MalformedMessageError as error:
             self.spoilt(str(error))
         else:
             if self.parser.partial(self.buffer):  # a length that does not fit: what is missing never comes
-                self.stall = asyncio.get_running_loop().call_later(STALL, self.spoilt, "reply stands still")
+                self.stall = asyncio.get_running_loop().call_later(
+                    STALLED_REPLY_TIMEOUT_SECONDS, self.spoilt, "reply stands still"
+                )
 
     def spoilt(self, why: str) -> None:
         """Of no further use; the call under way has run."""
@@ -85,20 +90,25 @@
 class IndexClient:
     """Owns the connections: each is idle, or belongs to the one call it carries."""
 
-    def __init__(self, peer: str, events: DependencyCallEvents, log: Log, most: int = 64) -> None:
-        self.peer, self.events, self.log, self.most = address(peer), events, log, most
-        self.calls: dict[bytes, Call] = {}
+    def __init__(self, peer: str, events: DependencyCallEvents, log: Log, max_connections: int = 64) -> None:
+        self.peer, self.events, self.log, self.max_connections = (
+            parse_address(peer),
+            events,
+            log,
+            max_connections,
+        )
+        self.calls: dict[bytes, IndexCall] = {}
         self.connections = set[IndexConnection]()
-        self.tasks = set[asyncio.Task[None]]()  # that connect
+        self.connect_tasks = set[asyncio.Task[None]]()  # that connect
         self.idle: list[IndexConnection] = []  # the one used last is at the end
-        self.waiting = deque[Call]()  # for a descriptor
-        self.sweeper = PeriodicTask(SWEEP, self._sweep)
+        self.waiting = deque[IndexCall]()  # for a descriptor
+        self.sweeper = PeriodicTask(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     # ---- the port -----------------------------------------------------------------------------
 
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
         self.cancel_call(ident)  # a second call for a request gives up the first
-        call = self.calls[ident] = Call(ident, wire.get(ident, limit, body), once)
+        call = self.calls[ident] = IndexCall(ident, wire.get(ident, limit, body), once)
         self._begin(call)
 
     def cancel_call(self, ident: bytes) -> None:
@@ -109,10 +119,10 @@
                 call.connection.send(wire.stop(ident))
             self._finish(call)
 
-    def move(self, peer: str) -> None:
+    def change_address(self, peer: str) -> None:
         """Another address from now on; calls under way end where they were made."""
-        if address(peer) != self.peer:
-            self.peer = address(peer)
+        if parse_address(peer) != self.peer:
+            self.peer = parse_address(peer)
             self._close_idle(0.0)
 
     def close(self) -> None:
@@ -125,11 +135,11 @@
     # ---- connections --------------------------------------------------------------------------
 
     def _full(self) -> bool:
-        return len(self.connections) + len(self.tasks) >= self.most
+        return len(self.connections) + len(self.connect_tasks) >= self.max_connections
 
-    def _begin(self, call: Call) -> None:
+    def _begin(self, call: IndexCall) -> None:
         loop = asyncio.get_running_loop()
-        found = None if call.once else self._rested(call.ident, loop.time() - REUSE)
+        found = None if call.once else self._rested(call.ident, loop.time() - REUSE_TIMEOUT_SECONDS)
         if found is not None:
             self._write(call, found)
         elif self._full() and not self.idle:
@@ -138,7 +148,7 @@
             if self._full():
                 self.idle.pop(0).abort()
             call.task = loop.create_task(self._connect(call))
-            self.tasks.add(call.task)
+            self.connect_tasks.add(call.task)
             call.task.add_done_callback(self._connected)
 
     def _rested(self, ident: bytes, since: float) -> IndexConnection | None:
@@ -155,11 +165,11 @@
                 return self.idle.pop(n)
         return None
 
-    async def _connect(self, call: Call) -> None:
+    async def _connect(self, call: IndexCall) -> None:
         connection = None
-        for wait in (*REFUSED_WAITS, 0.0):
+        for wait in (*CONNECT_RETRY_DELAYS_SECONDS, 0.0):
             try:
-                async with asyncio.timeout(CONNECT_WAIT):
+                async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                     _, connection = await asyncio.get_running_loop().create_connection(
                         lambda: IndexConnection(self), *self.peer
                     )
@@ -181,14 +191,14 @@
 
     def _connected(self, task: asyncio.Task[None]) -> None:
         """Its descriptor is a connection's by now, or free: also if its call was given up meanwhile."""
-        self.tasks.discard(task)
+        self.connect_tasks.discard(task)
         self._serve_waiting()
 
-    def _write(self, call: Call, connection: IndexConnection) -> None:
+    def _write(self, call: IndexCall, connection: IndexConnection) -> None:
         call.connection, connection.call, connection.last = connection, call, call.ident
         connection.send(call.data)
 
-    def ended(self, call: Call, outcome: Outcome, reply: bytes) -> None:
+    def ended(self, call: IndexCall, outcome: Outcome, reply: bytes) -> None:
         """Every call that is not given up ends here, once."""
         if self.calls.get(call.ident) is not call:
             return
@@ -205,7 +215,7 @@
         self.events.call_finished(call.ident, outcome, reply)
         self._serve_waiting()
 
-    def _finish(self, call: Call) -> None:
+    def _finish(self, call: IndexCall) -> None:
         """Give back what a call that was given up had taken."""
         connection, call.connection = call.connection, None
         if connection is not None:
@@ -236,6 +246,6 @@
             connection.close()
 
     def _sweep(self) -> None:
-        self._close_idle(IDLE)
+        self._close_idle(IDLE_TIMEOUT_SECONDS)
         if not self.idle:
             self.sweeper.stop()
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -80,7 +80,7 @@
 
     def _load(self, host: str) -> float:
         member = self.ajp_upstream.by_host[host]
-        return (member.open + 1) / member.weight
+        return (member.in_flight + 1) / member.weight
 
     def zone_leaders(self) -> Mapping[str, str]:
         """Return the leader's name by zone."""
@@ -92,16 +92,16 @@
 
     # ---- choice of members for the upstream ---------------------------------------------------
 
-    def arrived(self, class_name: str) -> bool:
-        """Count a request; it is always accepted here, as ``choose`` decides whether to reject it."""
+    def admit_request(self, class_name: str) -> bool:
+        """Count a request; it is always accepted here, as ``choose_member`` decides whether to reject it."""
         self.router.record_arrival(self.loop.time(), self._weight(class_name))
         return True
 
-    def choose(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
+    def choose_member(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
         """Return the member that an attempt goes to; None to reject the request."""
         return self.router.choose(self.loop.time(), attempted_hosts, is_idempotent, self._weight(class_name))
 
-    def ended(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
+    def attempt_finished(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
         """Count the outcome of an attempt that lasted ``seconds``."""
         self.router.record_outcome(self.loop.time(), host, good, seconds, connection_refused)
 
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -14,7 +14,7 @@
 from saltcart.membership.settings import LOOPBACK_ADDRESS, MemberSettings
 from saltcart.membership.shared_registers import RegisterValue
 from saltcart.membership.view import MembershipChange
-from saltcart.net.base import address
+from saltcart.net.base import parse_address
 from saltcart.wire.errors import MalformedMessageError
 
 MAX_DATAGRAM = 4096  # bytes; longer ones are not of this protocol
@@ -50,7 +50,7 @@
     async def open(self) -> str:
         """Listen and join; returns the address."""
         transport, _ = await self.loop.create_datagram_endpoint(
-            lambda: self, local_addr=address(self.settings.listen)
+            lambda: self, local_addr=parse_address(self.settings.listen)
         )
         host, port = transport.get_extra_info("sockname")[:2]
         listening_at = f"{host}:{port}"
@@ -123,7 +123,7 @@
             # An address is what a peer says: none may lead elsewhere, or have a name looked up.
             if not LOOPBACK_ADDRESS.match(receiver):
                 raise ValueError("not a loopback address")
-            self.transport.sendto(messages.encode(datagram), address(receiver))
+            self.transport.sendto(messages.encode(datagram), parse_address(receiver))
         except (OSError, ValueError) as error:  # a port that is none, a full buffer
             self.unsent += 1
             if self.unsent <= MAX_LOGGED:
--- a/saltcart/net/signals.py
+++ b/saltcart/net/signals.py
@@ -7,7 +7,9 @@
 from collections.abc import Callable
 
 
-def on_notice(numbers: tuple[int, ...], clock: Callable[[], float], leave: Callable[[float], None]) -> None:
+def handle_signals(
+    numbers: tuple[int, ...], clock: Callable[[], float], leave: Callable[[float], None]
+) -> None:
     """``leave`` is told how long ago the first of these signals came, in seconds.
 
     The loop hears of a signal once the turn is over in which it came, and the drain counts from the signal.
--- a/saltcart/net/subset_driver.py
+++ b/saltcart/net/subset_driver.py
@@ -55,7 +55,7 @@
         self.balancer.on_direct_message(now, sender, topic, data)
 
     def _load(self, host: str) -> float:
-        return self.runs.by_host[host].open + 1.0  # weights are for upstreams that are not shared out
+        return self.runs.by_host[host].in_flight + 1.0  # weights are for upstreams that are not shared out
 
     def present(self) -> Sequence[str]:
         """Return the names of those present, sorted."""
@@ -67,15 +67,15 @@
 
     # ---- the upstream's chooser ---------------------------------------------------------------
 
-    def arrived(self, klass: str) -> bool:
+    def admit_request(self, klass: str) -> bool:
         """Whether a request fits into this instance's share."""
         return self.balancer.admit(self.loop.time())
 
-    def choose(self, klass: str, tried: set[str], safe: bool) -> str | None:
+    def choose_member(self, klass: str, tried: set[str], safe: bool) -> str | None:
         """Return the member that a request goes to."""
         return self.balancer.choose(self.loop.time(), tried)
 
-    def ended(self, host: str, good: bool, took: float, refused: bool) -> None:
+    def attempt_finished(self, host: str, good: bool, took: float, refused: bool) -> None:
         """Count a request that is over."""
         self.balancer.record_outcome(self.loop.time(), host, good, refused)
 
--- a/saltcart/net/upstreams.py
+++ b/saltcart/net/upstreams.py
@@ -22,32 +22,32 @@
         self.where: dict[bytes, AjpUpstream] = {}  # runs under way
         self.asked: dict[bytes, tuple[AjpUpstream, Told]] = {}  # calls of composed runs
         for conf in deployment.upstreams:
-            self.put(conf)
+            self.set_upstream(conf)
         for tenant in deployment.tenants:
-            self.assign(tenant.name, tenant.upstream)
+            self.assign_tenant(tenant.name, tenant.upstream)
 
     # ---- changes by the administration --------------------------------------------------------
 
-    def put(self, conf: UpstreamConf) -> None:
+    def set_upstream(self, conf: UpstreamConf) -> None:
         """A new upstream, or other members for one; what runs on the old members is left to end there."""
         if conf.name in self.by_name:
-            self.remove(conf.name)
+            self.remove_upstream(conf.name)
         self.by_name[conf.name] = AjpUpstream(
             [AjpMember(m.host, m.weight, m.secret.encode()) for m in conf.members], self._ended, self.log
         )
 
-    def remove(self, name: str) -> None:
+    def remove_upstream(self, name: str) -> None:
         self.by_name.pop(name).close()
 
-    def open_runs(self, name: str) -> dict[str, int]:
+    def in_flight_by_member(self, name: str) -> dict[str, int]:
         """Requests under way, by member."""
-        return {m.host: m.open for m in self.by_name[name].members}
+        return {m.host: m.in_flight for m in self.by_name[name].members}
 
     def close(self) -> None:
         for upstream in self.by_name.values():
             upstream.close()
 
-    def assign(self, tenant: str, upstream: str | None) -> None:
+    def assign_tenant(self, tenant: str, upstream: str | None) -> None:
         if upstream is None:
             self.by_tenant.pop(tenant, None)
         else:
@@ -56,51 +56,65 @@
     # ---- the port -----------------------------------------------------------------------------
 
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
         name = self.by_tenant.get(account)
         upstream = self.by_name.get(name) if name else next(iter(self.by_name.values()), None)
         if upstream is None:
-            self.events.run_finished(ident, Outcome.NOT_STARTED, 0.0, b"")
+            self.events.run_finished(request_id, Outcome.NOT_STARTED, 0.0, b"")
             return
-        self.where[ident] = upstream
-        upstream.spawn(ident, klass, account, body, once, within)
+        self.where[request_id] = upstream
+        upstream.spawn(request_id, class_name, account, body, must_run_once, time_to_deadline)
 
     def call(
-        self, name: str, ident: bytes, what: str, account: str, body: bytes, within: float, told: Told
+        self,
+        name: str,
+        request_id: bytes,
+        what: str,
+        account: str,
+        body: bytes,
+        time_to_deadline: float,
+        told: Told,
     ) -> bool:
         """One call of a composed run: sent once, whatever becomes of it.  False: no such upstream."""
         upstream = self.by_name.get(name)
         if upstream is None:
             return False
-        self.asked[ident] = upstream, told
-        upstream.spawn(ident, what, account, body, True, within)
+        self.asked[request_id] = upstream, told
+        upstream.spawn(request_id, what, account, body, True, time_to_deadline)
         return True
 
-    def cancel_call(self, ident: bytes) -> None:
+    def cancel_call(self, request_id: bytes) -> None:
         """Nobody waits for this call any more, and nobody is told how it ends."""
-        if (asked := self.asked.pop(ident, None)) is not None:
-            asked[0].suspend(ident)
+        if (asked := self.asked.pop(request_id, None)) is not None:
+            asked[0].suspend(request_id)
 
-    def suspend(self, ident: bytes) -> None:
-        if (upstream := self.where.get(ident)) is not None:
-            upstream.suspend(ident)
+    def suspend(self, request_id: bytes) -> None:
+        if (upstream := self.where.get(request_id)) is not None:
+            upstream.suspend(request_id)
 
-    def resume(self, ident: bytes) -> None:
+    def resume(self, request_id: bytes) -> None:
         """Nothing is ever paused."""
 
-    def supply_reply(self, ident: bytes, reply: bytes) -> None:
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None:
         """Nothing waits for a call."""
 
-    def skip_call(self, ident: bytes, notice: int) -> None:
+    def skip_call(self, request_id: bytes, notice_number: int) -> None:
         """Nothing waits for a call."""
 
     def poll_gauges(self) -> None:
         busy = len(self.where)
         self.events.gauges_polled((min(1.0, busy / self.slots), float(busy)))
 
-    def _ended(self, ident: bytes, outcome: Outcome, took: float, result: bytes) -> None:
-        if (asked := self.asked.pop(ident, None)) is not None:
-            asked[1](ident, outcome, result)
-        elif self.where.pop(ident, None) is not None:
-            self.events.run_finished(ident, outcome, took, result)
+    def _ended(self, request_id: bytes, outcome: Outcome, took: float, result: bytes) -> None:
+        if (asked := self.asked.pop(request_id, None)) is not None:
+            asked[1](request_id, outcome, result)
+        elif self.where.pop(request_id, None) is not None:
+            self.events.run_finished(request_id, outcome, took, result)
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -64,7 +64,7 @@
         link.on_closed = self._on_closed
         link.start()
         if self.index is not None:
-            self.index.most //= 2  # the descriptors of both processes count together
+            self.index.max_connections //= 2  # the descriptors of both processes count together
         if self.service.controller is None:
             await pool_is_up.wait()
         if link.is_open:
@@ -115,7 +115,7 @@
             passed = wire.read_connection(packet)
             await self._fronts_open()
             front = self.fronts[passed.front]
-            await front.attach(client, passed.unread, passed.is_resting, passed.age)
+            await front.attach_connection(client, passed.unread, passed.is_resting, passed.age)
         except (OSError, KeyError, TimeoutError, MalformedMessageError) as error:
             client.close()
             self.log("connection-lost", error=repr(error))
@@ -133,7 +133,7 @@
         self.is_settled.set()
         self.count_connections(0)
         if self.index is not None:
-            self.index.most *= 2
+            self.index.max_connections *= 2
         self.service.predecessor_lost()
 
     def close(self) -> None:
@@ -165,7 +165,7 @@
         link.send(HandoverPacket(PacketKind.HANDED_OVER, {}))
         for listener in self.fronts.values():
             listener.stop_accepting()
-            listener.pass_on = self._pass_connection
+            listener.pass_connection = self._pass_connection
         self.log("handed-over", open=len(self.service.requests), keys=len(self.service.keys))
         self._pass_free_connections()
 
@@ -188,8 +188,8 @@
         listener = connection.listener
         passed = wire.PassedConnection(
             front=next(name for name, front in self.fronts.items() if front is listener),
-            is_resting=connection in listener.resting,
-            age=asyncio.get_running_loop().time() - connection.since,
+            is_resting=connection in listener.idle,
+            age=asyncio.get_running_loop().time() - connection.state_since,
             unread=unread,
         )
         descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -210,7 +210,7 @@
     def _pass_some(self) -> int:
         passed = 0
         for listener in self.fronts.values():
-            for connection in listener.in_order():
+            for connection in listener.connections_by_age():
                 if isinstance(connection, FrontConnection) and passed < MAX_PASSES:
                     passed += connection.hand_over()
         return passed
@@ -221,7 +221,7 @@
         self.stop_passing()
         self.service.lifecycle.attempts.cancel_hand_over()
         for listener in self.fronts.values():
-            listener.pass_on = None
+            listener.pass_connection = None
             for connection in list(listener.connections):
                 if isinstance(connection, FrontConnection):
                     connection.continue_reading()
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -45,8 +45,8 @@
 
 def test_connections_to_a_member_rest_only_so_long(monkeypatch: pytest.MonkeyPatch) -> None:
     """A member may forget an idle connection, and each holds a descriptor."""
-    monkeypatch.setattr(module, "IDLE", 0.05)
-    monkeypatch.setattr(module, "SWEEP", 0.02)
+    monkeypatch.setattr(module, "IDLE_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(module, "SWEEP_INTERVAL_SECONDS", 0.02)
 
     async def act(_: ajp.ForwardRequest) -> bytes:
         return container_answer(200, b"good")
@@ -58,7 +58,7 @@
             used = app.upstreams.by_name["u"]
             for n in (1, 2):
                 assert (await client.ask(n)).body == b"good"
-                await until(lambda: not used.members[0].idle and used.sweeper.handle is None)
+                await until(lambda: not used.members[0].idle_connections and used.sweeper.handle is None)
                 assert len(server.writers) == n  # a new one each time: the one before was closed
 
     asyncio.run(play())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -92,7 +92,7 @@
 
 
 def test_silent_operators_keep_no_one_from_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Listener, "READ_WAIT", 0.4)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address, control="127.0.0.1:0") as app:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,7 @@
 from saltcart.net.clock import Clock
 from saltcart.net.index import IndexClient
 from saltcart.net.listener import Listener, ServerConnection
-from saltcart.net.pool import PoolLink, Pulse
+from saltcart.net.pool import PoolLink, PoolLiveness
 from saltcart.wire import handover as wire
 from tests.fakes import KEYED, READ, ServiceHarness
 from tests.fakes import SETTINGS as CORE
@@ -69,7 +69,7 @@
     if dies == "announcer":
         monkeypatch.setattr(Announcer, "_report", failing(Announcer._report))
     else:
-        monkeypatch.setattr(PoolLink, "make", failing(PoolLink.make))
+        monkeypatch.setattr(PoolLink, "make_connection", failing(PoolLink.make_connection))
     logged: list[tuple[str, Any]] = []
 
     async def play() -> None:
@@ -90,10 +90,10 @@
 
 
 def test_a_fault_in_one_sweep_is_not_the_last_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Listener, "READ_WAIT", 0.2)
-    monkeypatch.setattr(Listener, "SWEEP", 0.05)
-    monkeypatch.setattr(ServerConnection, "expire", failing(ServerConnection.expire))
-    monkeypatch.setattr("saltcart.net.index.SWEEP", 0.02)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.2)
+    monkeypatch.setattr(Listener, "SWEEP_INTERVAL_SECONDS", 0.05)
+    monkeypatch.setattr(ServerConnection, "on_request_timeout", failing(ServerConnection.on_request_timeout))
+    monkeypatch.setattr("saltcart.net.index.SWEEP_INTERVAL_SECONDS", 0.02)
     monkeypatch.setattr(IndexClient, "_close_idle", failing(IndexClient._close_idle))
 
     async def play() -> None:
@@ -236,7 +236,7 @@
 
 
 def test_a_link_that_falls_silent_is_left_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool_link, "SILENCE", 0.3)
+    monkeypatch.setattr(pool_link, "SILENCE_TIMEOUT_SECONDS", 0.3)
     logged: list[str] = []
 
     async def play() -> None:
@@ -262,24 +262,24 @@
 
 
 def test_silence_counts_once_the_pool_was_up_and_not_while_the_machine_stood_still() -> None:
-    pulse = Pulse()
+    liveness = PoolLiveness()
     for turn in range(1000):
-        assert not pulse.silence(turn * 0.04)  # accepted, not bound: the pool may come up long after
-    assert not pulse.bound(40.0, 0.0)
-    pulse.heard(40.0)
-    assert not pulse.silence(40.04) and not pulse.silence(400.0)
-    assert any(pulse.silence(400.0 + turn * 0.04) for turn in range(60))
+        assert not liveness.record_poll(turn * 0.04)  # accepted, not bound: the pool may come up long after
+    assert not liveness.record_bound(40.0, 0.0)
+    liveness.record_received(40.0)
+    assert not liveness.record_poll(40.04) and not liveness.record_poll(400.0)
+    assert any(liveness.record_poll(400.0 + turn * 0.04) for turn in range(60))
 
 
 @pytest.mark.parametrize(("age", "other"), [(70.0, False), (62.0, False), (0.0, True), (30.0, True)])
 def test_a_pool_is_another_one_if_it_is_younger_than_it_must_be(age: float, other: bool) -> None:
-    pulse = Pulse()
-    pulse.opened()
-    assert not pulse.bound(100.0, 60.0)
-    pulse.heard(102.5)
-    pulse.opened()
-    pulse.heard(110.0)  # of the new link: says nothing of the one before
-    assert pulse.bound(110.0, age) is other
+    liveness = PoolLiveness()
+    liveness.record_connected()
+    assert not liveness.record_bound(100.0, 60.0)
+    liveness.record_received(102.5)
+    liveness.record_connected()
+    liveness.record_received(110.0)  # of the new link: says nothing of the one before
+    assert liveness.record_bound(110.0, age) is other
 
 
 # ---- keys -------------------------------------------------------------------------------------
@@ -473,13 +473,13 @@
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             listener = app.fronts["http"]
-            listener.turns.stop()
+            listener.sweeper.stop()
             client = await HttpClient(app.addresses["http"]).open()
             assert (await client.ask(1)).status == 200
             idle = await HttpClient(app.addresses["http"]).open()
             assert (await idle.ask(2)).status == 200
-            for connection in listener.resting:
-                connection.since -= 100.0
+            for connection in listener.idle:
+                connection.state_since -= 100.0
             # In one and the same turn: the request is written, and the sweep finds its connection idle.
             at_once(client)
             client.send(3)
@@ -589,8 +589,8 @@
 
 @pytest.mark.parametrize("how", ["hangs", "resets", "says 500", "says noise", "closes behind it"])
 def test_reports_go_on_whatever_the_announce_service_does(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("saltcart.net.announcer.WAIT", 0.1)
-    monkeypatch.setattr("saltcart.net.announcer.EVERY", 0.1)
+    monkeypatch.setattr("saltcart.net.announcer.REPORT_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr("saltcart.net.announcer.REPORT_INTERVAL_SECONDS", 0.1)
     heard: list[bytes] = []
 
     async def play() -> None:
@@ -614,7 +614,7 @@
             await until(lambda: len(heard) > 6)
             app.service.set_withdrawn(True)
             await until(lambda: b"false" in heard[-1])
-            assert app.announcer is not None and not app.announcer.failing
+            assert app.announcer is not None and not app.announcer.is_failing
             assert len(announce.writers) >= 1 and b"true" in heard[0]
 
     asyncio.run(play())
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -14,9 +14,9 @@
 from saltcart.decision.events import RequestArrived, Started, TimerFired
 from saltcart.decision.outcome import Outcome
 from saltcart.log import JsonLog
-from saltcart.net.index import Call, IndexClient
+from saltcart.net.index import IndexCall, IndexClient
 from saltcart.net.listener import Listener, ServerConnection
-from saltcart.net.signals import on_notice
+from saltcart.net.signals import handle_signals
 from tests.fakes import SETTINGS as CORE
 from tests.fakes import ServiceHarness
 from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, at_once, ident, running, until
@@ -34,7 +34,7 @@
                 app.leave(heard.set, ago)
                 heard.set()
 
-            on_notice((signal.SIGTERM, signal.SIGINT), clock, leave)
+            handle_signals((signal.SIGTERM, signal.SIGINT), clock, leave)
             for number in (signal.SIGTERM, signal.SIGINT):  # the second one moves nothing
                 os.kill(os.getpid(), number)
                 came.append(clock())
@@ -82,12 +82,12 @@
     async def play() -> None:
         async with Pool() as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             listener = app.fronts[front]
-            listener.turns.stop()
+            listener.sweeper.stop()
             client = await CLIENTS[front](app.addresses[front]).open()
             silent = await CLIENTS[front](app.addresses[front]).open()
-            await until(lambda: len(listener.awaiting) == 2)
-            for connection in listener.awaiting:
-                connection.since -= 100.0
+            await until(lambda: len(listener.awaiting_request) == 2)
+            for connection in listener.awaiting_request:
+                connection.state_since -= 100.0
             at_once(client)
             client.send(1)
             listener._sweep()
@@ -102,12 +102,12 @@
     front: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer says that the connection ends; what crosses it stands unread at the socket."""
-    monkeypatch.setattr(ServerConnection, "LINGER", 60.0)  # what ends it is the client's close
+    monkeypatch.setattr(ServerConnection, "LINGER_SECONDS", 60.0)  # what ends it is the client's close
 
     async def play() -> None:
         async with Pool(auto=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             listener = app.fronts[front]
-            listener.turns.stop()
+            listener.sweeper.stop()
             client = await CLIENTS[front](app.addresses[front]).open()
             client.send(1)
             await until(lambda: pool.spawned == [ident(1)])
@@ -127,12 +127,12 @@
 def test_answers_that_are_never_read_do_not_hold_a_descriptor(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Listener, "READ_WAIT", 0.02)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.02)
 
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             listener = app.listeners[0]
-            listener.turns.stop()
+            listener.sweeper.stop()
             client = await HttpClient(app.addresses["http"]).open()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await until(lambda: len(listener.connections) == 1)
@@ -141,10 +141,10 @@
             # Fewer bytes than make it count as stuck, were the system's buffers as small.
             served.transport.set_write_buffer_limits(1 << 30)
             served.send(b"x" * (16 << 20))
-            served.rests()
-            assert served.transport.get_write_buffer_size() and served not in listener.blocked
+            served.mark_idle()
+            assert served.transport.get_write_buffer_size() and served not in listener.write_blocked
             if end == "idle":
-                served.since -= 100.0
+                served.state_since -= 100.0
                 listener._sweep()
             else:
                 client.writer.write_eof()
@@ -153,12 +153,12 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("ended", ["end", "close"])
+@pytest.mark.parametrize("ended", ["half_close", "close"])
 def test_a_long_answer_that_is_read_slowly_is_not_cut_off(
     ended: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(ServerConnection, "LINGER", 0.0)
-    monkeypatch.setattr(Listener, "READ_WAIT", 60.0)
+    monkeypatch.setattr(ServerConnection, "LINGER_SECONDS", 0.0)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 60.0)
 
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
@@ -181,21 +181,23 @@
 ) -> None:
     begun: list[bytes] = []
 
-    async def connect(client: IndexClient, call: Call) -> None:
+    async def connect(client: IndexClient, call: IndexCall) -> None:
         begun.append(call.ident)
         await asyncio.Event().wait()  # a proxy that takes no connection and refuses none
 
     monkeypatch.setattr(IndexClient, "_connect", connect)
 
     async def play() -> None:
-        client = IndexClient("127.0.0.1:1", ServiceHarness().service, lambda event, **_: None, most=1)
+        client = IndexClient(
+            "127.0.0.1:1", ServiceHarness().service, lambda event, **_: None, max_connections=1
+        )
         client.call(b"a", 1.0, b"", False)
         client.call(b"b", 1.0, b"", False)
         await until(lambda: begun == [b"a"])
         client.cancel_call(b"a")
         await until(lambda: begun == [b"a", b"b"])
         client.close()
-        await until(lambda: not client.tasks)
+        await until(lambda: not client.connect_tasks)
 
     asyncio.run(play())
 
@@ -246,8 +248,8 @@
             running(pool=pool.address, control="127.0.0.1:0", limits={"sockets": sockets}) as app,
         ):
             listeners: list[Listener] = app.listeners
-            assert app.index is None and app.fronts["http"].most >= sockets // 2
-            assert sum(one.most for one in listeners) <= sockets - max(16, sockets // 16)
+            assert app.index is None and app.fronts["http"].max_connections >= sockets // 2
+            assert sum(one.max_connections for one in listeners) <= sockets - max(16, sockets // 16)
 
     asyncio.run(play())
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -209,7 +209,7 @@
 
 
 def test_idle_and_half_sent_connections_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Listener, "READ_WAIT", 0.4)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
     async def play() -> None:
         async with Pool(auto=False) as pool, running(pool=pool.address) as app:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -139,7 +139,8 @@
 @pytest.fixture
 def platform(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[dict[str, str]]:
     """What the platform holds: the clients' listening socket and the folder that both processes share."""
-    monkeypatch.setattr(Listener, "READ_WAIT", 60.0)  # a slow machine must not close what a test passes on
+    # A slow machine must not close what a test passes on.
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 60.0)
     with socket.create_server(("127.0.0.1", 0)) as held:
         yield {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path / ("long" * 30))}
 
@@ -185,7 +186,7 @@
             async with running(None, platform, pool=other.address, **PATIENT) as new:
                 await until(lambda: len(new.fronts["http"].connections) == 2)
                 # Each stays in its place: the silent make way before those that balancers keep.
-                assert len(new.fronts["http"].resting) == len(new.fronts["http"].awaiting) == 1
+                assert len(new.fronts["http"].idle) == len(new.fronts["http"].awaiting_request) == 1
                 assert new.service.controller is not None and new.service.controller.predecessor.running == 2
                 half.writer.write(b"lf")
                 assert (await half.answer()).body == b"done half"
@@ -216,14 +217,14 @@
     class Came(ServerConnection):
         def opened(self) -> None:
             super().opened()
-            waited = self.listener.loop.time() - self.since
-            seen.append((self in self.listener.resting, self in self.listener.awaiting, waited))
+            waited = self.listener.loop.time() - self.state_since
+            seen.append((self in self.listener.idle, self in self.listener.awaiting_request, waited))
 
     async def play() -> None:
         listener = Listener("127.0.0.1:0", Came, lambda: 30.0, 8)
         here, there = socket.socketpair()
         here.setblocking(False)
-        await listener.attach(here, b"", rests, 5.0)
+        await listener.attach_connection(here, b"", rests, 5.0)
         assert seen[0][:2] == (rests, not rests) and seen[0][2] >= 5.0
         there.close()
         listener.close()
@@ -278,7 +279,7 @@
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address, limits={"sockets": 200}) as app:
             listener = app.listeners[0]
-            listener.predecessor_connections = listener.most
+            listener.predecessor_connections = listener.max_connections
             client = await HttpClient(app.addresses["http"]).open()
             assert (await client.ask(1)).status == 200
 
@@ -297,7 +298,7 @@
             running(None, platform, pool=pool.address, limits=limits) as old,
         ):
             crowd = await asyncio.gather(*(HttpClient(address).open() for _ in range(150)))
-            most = old.fronts["http"].most
+            most = old.fronts["http"].max_connections
             await until(lambda: len(old.fronts["http"].connections) == most)
             before, highest = len(os.listdir("/proc/self/fd")), 0
             async with running(None, platform, pool=other.address, limits=limits) as new:
@@ -306,7 +307,7 @@
                     nonlocal highest
                     highest = max(highest, len(os.listdir("/proc/self/fd")))
                     both = len(old.fronts["http"].connections) + len(new.fronts["http"].connections)
-                    assert both <= most + Listener.COMING
+                    assert both <= most + Listener.TAKEOVER_EXTRA_CONNECTIONS
                     return not old.fronts["http"].connections
 
                 await until(moved)
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -46,7 +46,7 @@
 def test_what_never_becomes_a_request_is_refused_or_closed_in_time(
     front: str, data: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Listener, "READ_WAIT", 0.4)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
     async def play() -> None:
         async with Pool() as pool, running(BOTH_FRONTS, pool=pool.address) as app:
@@ -67,7 +67,7 @@
 
 
 def test_bytes_that_drip_in_do_not_renew_the_time_to_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Listener, "READ_WAIT", 0.3)
+    monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.3)
 
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
@@ -93,11 +93,13 @@
             assert (await good.ask(1)).status == 200
             crowd = await asyncio.gather(
                 *(  # at once: those that make way are told of some turns later
-                    HttpClient(app.addresses["http"]).open() for _ in range(3 * listener.most)
+                    HttpClient(app.addresses["http"]).open() for _ in range(3 * listener.max_connections)
                 )
             )
-            await until(lambda: not listener.resting and len(listener.awaiting) == listener.most)
-            assert len(listener.connections) <= listener.most < 64 - 24
+            await until(
+                lambda: not listener.idle and len(listener.awaiting_request) == listener.max_connections
+            )
+            assert len(listener.connections) <= listener.max_connections < 64 - 24
             late = await HttpClient(app.addresses["http"]).open()
             assert (await late.ask(2)).status == 200
             for client in crowd:
@@ -117,10 +119,13 @@
             for _ in range(2000):
                 client.writer.write(ping)
                 await asyncio.sleep(0)
-                if served in app.listeners[0].blocked:
+                if served in app.listeners[0].write_blocked:
                     break
             assert served.transport is not None
-            assert served in app.listeners[0].blocked and served.transport.get_write_buffer_size() < 1 << 17
+            assert (
+                served in app.listeners[0].write_blocked
+                and served.transport.get_write_buffer_size() < 1 << 17
+            )
             client.drop()
 
     asyncio.run(play())
@@ -220,7 +225,7 @@
     spoil: Spoil, klass: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What is safe to repeat is called again or goes on without; what must run once is not."""
-    monkeypatch.setattr(index, "STALL", 0.05)
+    monkeypatch.setattr(index, "STALLED_REPLY_TIMEOUT_SECONDS", 0.05)
 
     async def play() -> None:
         async with Pool(auto=False) as pool:
@@ -267,7 +272,7 @@
 
     async def play() -> None:
         async with Server(proxy) as proxied:
-            client = index.IndexClient(proxied.address, Events(), lambda *_, **__: None, most=2)
+            client = index.IndexClient(proxied.address, Events(), lambda *_, **__: None, max_connections=2)
             for name in (b"a", b"b", b"c", b"d"):
                 client.call(name, 9.0, b"?", name == b"d")
             await until(lambda: links.keys() == {b"a", b"b"})
@@ -279,11 +284,11 @@
             assert ended[1:] == [(b"b", "REJECTED")]
             assert links[b"d"] is not links[b"b"]  # what must run once takes no connection that was idle
             client.cancel_call(b"c")
-            client.move("127.0.0.1:1")
+            client.change_address("127.0.0.1:1")
             links[b"d"].write(b"d HIT 1\r\n!\r\n")  # a call under way ends where it was made
             await until(lambda: ended[2:] == [(b"d", "SUCCEEDED")] and not client.connections)
             client.call(b"e", 9.0, b"?", True)
-            await until(lambda: ended[3:] == [(b"e", "UNREACHABLE")] and not client.tasks)
+            await until(lambda: ended[3:] == [(b"e", "UNREACHABLE")] and not client.connect_tasks)
             client.close()
 
     asyncio.run(play())
@@ -349,7 +354,7 @@
 @pytest.mark.parametrize("shown", [True, False])
 def test_a_move_waits_until_no_run_is_in_doubt(shown: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """A link left before its poll was answered leaves a spawn that can't be repeated: it would fail."""
-    monkeypatch.setattr(pool_link, "DOUBT", 10.0 if shown else 0.1)
+    monkeypatch.setattr(pool_link, "UNCERTAIN_RUNS_TIMEOUT_SECONDS", 10.0 if shown else 0.1)
 
     async def play() -> None:
         async with Pool(auto=False) as old, Pool(auto=False) as new, running(pool=old.address) as app:
@@ -359,7 +364,7 @@
             client.send(1, "oddaja", key="k")
             await until(lambda: old.spawned == [ident(1)])
             mark = app.pool.session.mark
-            app.pool.move(new.address)
+            app.pool.change_address(new.address)
             late = await HttpClient(app.addresses["http"]).open()
             late.send(2)  # waits for the new link
             if shown:
