--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -101,9 +101,9 @@
         """Return the member that an attempt goes to; None to reject the request."""
         return self.router.choose(self.loop.time(), attempted_hosts, is_idempotent, self._weight(class_name))
 
-    def attempt_finished(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
+    def attempt_finished(self, host: str, is_success: bool, seconds: float, connection_refused: bool) -> None:
         """Count the outcome of an attempt that lasted ``seconds``."""
-        self.router.record_outcome(self.loop.time(), host, good, seconds, connection_refused)
+        self.router.record_outcome(self.loop.time(), host, is_success, seconds, connection_refused)
 
     def _weight(self, class_name: str) -> float:
         return self.weights.get(class_name, self.least_weight)
