--- a/saltcart/lab/experiments.py
+++ b/saltcart/lab/experiments.py
@@ -81,9 +81,9 @@
 
 def zones(choice: Choice) -> dict[str, Any]:
     """Zones that fall, slow down, are cut off and flap, in a model of thousands and with real processes."""
-    from saltcart.lab import nearness
+    from saltcart.lab import locality_experiment
 
-    rows, figures, curves = nearness.run(choice.quick, choice.seed)
+    rows, figures, curves = locality_experiment.run(choice.quick, choice.seed)
     if choice.plot is not None:
         report.plot_lines(choice.plot, curves, "share of the troubled work served")
     return told(rows, figures)
