--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -20,7 +20,7 @@
 from saltcart.lab.faults.members import CLASSES, LOOK
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
 from saltcart.lab.standins import Act, AjpStandIn, Asked
-from saltcart.lab.zones import agreement
+from saltcart.lab.zones import agreement_share
 
 MEMBERS = 3  # of a zone
 RATE = 8.0  # requests a second of one instance
@@ -216,7 +216,7 @@
         states = [s for s in await self.states() if s is not None]
         told.plans = [s["plan"] for s in states]
         held = Counter(repr(sorted((z, sorted(row.items())) for z, row in s["rows"].items())) for s in states)
-        told.agree = agreement(held, self.instances)
+        told.agree = agreement_share(held, self.instances)
         for half in range(int(2 * play.begin), int(2 * play.end) - 2):
             span = range(half, half + 3)
             offered = sum(told.offered[h] for h in span)
--- a/saltcart/lab/locality_experiment.py
+++ b/saltcart/lab/locality_experiment.py
@@ -8,14 +8,14 @@
 
 from saltcart.lab import zones as model
 from saltcart.lab.faults import zones as rig
-from saltcart.lab.zones import POLICIES, Day, Seen
+from saltcart.lab.zones import POLICIES, ZoneDay, ZoneResult
 
 SIZE = {True: 180, False: 2_000}  # instances of the model, by --quick
 FLAP_S = {True: 1_800.0, False: 3_600.0}  # seconds of the flapping day
 Curves = dict[str, dict[str, Sequence[float]]]
 
 
-def days(quick: bool) -> list[Day]:
+def days(quick: bool) -> list[ZoneDay]:
     """The model's days; the flapping one is as long as the size of the experiment allows."""
     seconds = FLAP_S[quick]
     return [
@@ -30,7 +30,7 @@
     jobs.sort(key=lambda job: -job[0].seconds * job[0].instances)
     with ProcessPoolExecutor(len(rig.PLAYS)) as real, ProcessPoolExecutor(6) as other:
         started = [real.submit(rig.play, (n, seed)) for n in range(len(rig.PLAYS))]
-        seen = dict(zip([(day.name, policy) for day, policy, _ in jobs], other.map(model.play, jobs)))
+        seen = dict(zip([(day.name, policy) for day, policy, _ in jobs], other.map(model.simulate, jobs)))
         told = {p.name: future.result() for p, future in zip(rig.PLAYS, started)}
     rows = [
         [
@@ -57,7 +57,7 @@
                     policy,
                     f"{s.success:.4f}",
                     f"{s.worth_kept:.4f}",
-                    f"{s.refused / s.requests:.4f}",
+                    f"{s.refused / s.request_count:.4f}",
                     f"{s.kept_local:.3f}",
                     _span(s.failover),
                     _span(s.back_home),
@@ -85,7 +85,7 @@
             ]
         )
     curves: Curves = {
-        name: {policy: seen[name, policy].lost_share for policy in POLICIES}
+        name: {policy: seen[name, policy].served_share_by_half_second for policy in POLICIES}
         for name in ("zone lost", "half slow", "region lost")
     }
     return rows, figures(seen, told, quick, seed), curves
@@ -96,12 +96,12 @@
 
 
 def figures(
-    seen: dict[tuple[str, str], Seen], told: dict[str, rig.Told], quick: bool, seed: int
+    seen: dict[tuple[str, str], ZoneResult], told: dict[str, rig.Told], quick: bool, seed: int
 ) -> dict[str, Any]:
     ours = {day: s for (day, policy), s in seen.items() if policy == "common"}
     flap, lost = ours["flap"], ours["zone lost"]
 
-    everyone: list[Seen | rig.Told] = [*ours.values(), *told.values()]
+    everyone: list[ZoneResult | rig.Told] = [*ours.values(), *told.values()]
     out: dict[str, Any] = {
         "kept_local": round(min(s.kept_local for s in everyone), 3),
         "failover_s": lost.failover,
--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -25,7 +25,7 @@
 CONF = MemberSettings("127.0.0.1:0", "model")
 
 
-class Day(NamedTuple):
+class MemberDay(NamedTuple):
     """Times in seconds.  ``crashes``: when each further member falls silent for good."""
 
     name: str
@@ -38,23 +38,25 @@
 
 
 @dataclass
-class Seen:
-    detected: list[float] = field(default_factory=list)  # seconds, of each live member for each crash
-    missed: int = 0  # live members that had not found out at the end
-    deaths: int = 0  # of healthy members, by name and incarnation
+class MemberResult:
+    detection_seconds: list[float] = field(
+        default_factory=list
+    )  # seconds, of each live member for each crash
+    missed_count: int = 0  # live members that had not found out at the end
+    false_death_count: int = 0  # of healthy members, by name and incarnation
     packets: int = 0
-    quiet: float = 0.0  # packets a member and second before the first crash
+    quiet_packet_rate: float = 0.0  # packets a member and second before the first crash
     rate: float = 0.0  # the same over all the play
     hours: float = 0.0  # of members
-    agree: float = 0.0  # share of the live members that hold the most common view at the end
-    converged: float | None = None  # seconds from the end of the split until all views are the same
+    agreement: float = 0.0  # share of the live members that hold the most common view at the end
+    convergence_seconds: float | None = None  # seconds from the end of the split until all views are the same
     took: float = 0.0
 
 
-class Net:
+class SimulatedNetwork:
     """Members of one kind or the other, and what happens between them."""
 
-    def __init__(self, day: Day, seed: int) -> None:
+    def __init__(self, day: MemberDay, seed: int) -> None:
         self.day, self.events, self.luck = day, Events(1_000.0), random.Random(seed)
         self.begun = self.events.now
         self.up = [True] * day.members
@@ -94,30 +96,30 @@
     def _cut(self, on: bool) -> None:
         self.cut = on
 
-    def run(self) -> Seen:
-        begun, day, seen, events = time.perf_counter(), self.day, Seen(), self.events
+    def run(self) -> MemberResult:
+        begun, day, seen, events = time.perf_counter(), self.day, MemberResult(), self.events
         for n, at in enumerate(day.crashes):
             events.at(self.begun + at, self.crash, day.members - 1 - n)
         if day.split is not None:
             events.at(self.begun + day.split[0], self._cut, True)
             events.at(self.begun + day.split[1], self._cut, False)
             events.run(self.begun + day.split[1])
-            while events.now < self.begun + day.seconds and seen.converged is None:
+            while events.now < self.begun + day.seconds and seen.convergence_seconds is None:
                 events.run(events.now + 0.1)
                 views = self.views()
                 if len(views) == 1 and self.whole():
-                    seen.converged = events.now - self.begun - day.split[1]
+                    seen.convergence_seconds = events.now - self.begun - day.split[1]
         events.run(self.begun + day.seconds)
         live = sum(self.up)
-        seen.detected = sorted(self.found[k] for k in self.found if self.up[k[1]])
-        seen.missed = len(self.dead_at) * live - len(seen.detected)
-        seen.deaths, seen.packets = len(self.wrong), self.packets
+        seen.detection_seconds = sorted(self.found[k] for k in self.found if self.up[k[1]])
+        seen.missed_count = len(self.dead_at) * live - len(seen.detection_seconds)
+        seen.false_death_count, seen.packets = len(self.wrong), self.packets
         seen.rate = self.packets / day.members / day.seconds
-        seen.quiet = seen.rate
+        seen.quiet_packet_rate = seen.rate
         if day.crashes:
-            seen.quiet = self.before_crash / day.members / day.crashes[0]
+            seen.quiet_packet_rate = self.before_crash / day.members / day.crashes[0]
         seen.hours = day.members * day.seconds / 3600
-        seen.agree = max(self.views().values()) / live
+        seen.agreement = max(self.views().values()) / live
         seen.took = time.perf_counter() - begun
         return seen
 
@@ -126,10 +128,10 @@
         raise NotImplementedError
 
 
-class Swim(Net):
+class SwimNetwork(SimulatedNetwork):
     """The service's own members."""
 
-    def __init__(self, day: Day, seed: int, conf: MemberSettings = CONF) -> None:
+    def __init__(self, day: MemberDay, seed: int, conf: MemberSettings = CONF) -> None:
         super().__init__(day, seed)
         self.place = {f"h:{n}": n for n in range(day.members)}
         roster = MembershipSnapshot(MemberRecord(f"m{n}", f"h:{n}", 1) for n in range(day.members))
@@ -177,10 +179,10 @@
         return all(m.view.present_count == sum(self.up) for n, m in enumerate(self.members) if self.up[n])
 
 
-class Heartbeats(Net):
+class HeartbeatNetwork(SimulatedNetwork):
     """All to all, with a fixed time-out: what it is measured against."""
 
-    def __init__(self, day: Day, seed: int) -> None:
+    def __init__(self, day: MemberDay, seed: int) -> None:
         super().__init__(day, seed)
         now, count = self.events.now, day.members
         self.heard = [[now] * count for _ in range(count)]
@@ -212,9 +214,9 @@
         return not any(self.dead[n] for n in range(self.day.members) if self.up[n])
 
 
-def play(job: tuple[str, Day, int]) -> Seen:
+def simulate(job: tuple[str, MemberDay, int]) -> MemberResult:
     kind, day, seed = job
-    return (Swim if kind == "swim" else Heartbeats)(day, seed).run()
+    return (SwimNetwork if kind == "swim" else HeartbeatNetwork)(day, seed).run()
 
 
 def percentile(values: list[float], share: float) -> float:
--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -8,33 +8,33 @@
 
 from saltcart.lab import members as model
 from saltcart.lab.faults import plays
-from saltcart.lab.members import Day, Seen, percentile
+from saltcart.lab.members import MemberDay, MemberResult, percentile
 
 EVERY = 7.0  # seconds between two crashes of the model's twin of the processes' play
-TWIN = Day("crash", 25, 4.0 + 60 * EVERY, tuple(4.0 + n * EVERY for n in range(20)))
+TWIN = MemberDay("crash", 25, 4.0 + 60 * EVERY, tuple(4.0 + n * EVERY for n in range(20)))
 LARGE = (1_000, 10_000)
 LOSSY_S = {True: 300.0, False: 5_400.0}  # seconds of each play with packets lost, by --quick
 LOSSY = {True: 4, False: 28}  # and how many plays
 
 
-SPLIT = Day("split", 5, 60.0, split=(5.0, 25.0))
-SLOW = Day("slow", 9, 60.0, slow=0.05)
+SPLIT = MemberDay("split", 5, 60.0, split=(5.0, 25.0))
+SLOW = MemberDay("slow", 9, 60.0, slow=0.05)
 
 
-def large(count: int, quick: bool) -> Day:
+def large(count: int, quick: bool) -> MemberDay:
     """Ten thousand with a crash take a core for minutes: quickly they are only looked at in peace."""
     if quick and count == max(LARGE):
-        return Day("quiet", count, 3.0)
-    return Day("crash", count, 11.0, (3.0,))
+        return MemberDay("quiet", count, 3.0)
+    return MemberDay("crash", count, 11.0, (3.0,))
 
 
-def jobs(quick: bool, seed: int) -> list[tuple[str, Day, int]]:
-    loss = Day("loss", 25, LOSSY_S[quick], loss=0.3)
+def jobs(quick: bool, seed: int) -> list[tuple[str, MemberDay, int]]:
+    loss = MemberDay("loss", 25, LOSSY_S[quick], loss=0.3)
     out = [("swim", large(count, quick), seed) for count in reversed(LARGE)]
     out += [("swim", loss, seed * 100 + n) for n in range(LOSSY[quick])]
     out += [("swim", TWIN, seed), ("beats", TWIN, seed), ("beats", loss, seed)]
     out += [(kind, day, seed) for kind in ("swim", "beats") for day in (SPLIT, SLOW)]
-    return [*out, ("beats", Day("crash", 200, 11.0, (3.0,)), seed)]
+    return [*out, ("beats", MemberDay("crash", 200, 11.0, (3.0,)), seed)]
 
 
 Truth = dict[str, dict[str, Sequence[float]]]
@@ -45,8 +45,8 @@
     # The processes are in real time and need little; the model's plays take what is left.
     with ProcessPoolExecutor(len(plays.PLAYS)) as real, ProcessPoolExecutor(6) as other:
         started = {p.name: real.submit(plays.play, (n, seed + 1000 * n)) for n, p in enumerate(plays.PLAYS)}
-        modelled: list[tuple[tuple[str, Day, int], Future[Seen]]] = [
-            (job, other.submit(model.play, job)) for job in jobs(quick, seed)
+        modelled: list[tuple[tuple[str, MemberDay, int], Future[MemberResult]]] = [
+            (job, other.submit(model.simulate, job)) for job in jobs(quick, seed)
         ]
         told = {name: future.result() for name, future in started.items()}
         seen = [(job, future.result()) for job, future in modelled]
@@ -71,13 +71,13 @@
             [
                 f"{kind}: {day.name}",
                 str(day.members),
-                *_spans(s.detected),
-                str(s.missed),
-                str(s.deaths),
+                *_spans(s.detection_seconds),
+                str(s.missed_count),
+                str(s.false_death_count),
                 f"{s.hours:.2f}",
-                f"{s.quiet:.2f}",
-                f"{s.agree:.3f}",
-                "-" if s.converged is None else f"{s.converged:.1f}",
+                f"{s.quiet_packet_rate:.2f}",
+                f"{s.agreement:.3f}",
+                "-" if s.convergence_seconds is None else f"{s.convergence_seconds:.1f}",
             ]
         )
     return rows, figures(told, seen, quick, seed), {name: {"true views": t.truth} for name, t in told.items()}
@@ -90,9 +90,12 @@
 
 
 def figures(
-    told: dict[str, plays.Told], seen: list[tuple[tuple[str, Day, int], Seen]], quick: bool, seed: int
+    told: dict[str, plays.Told],
+    seen: list[tuple[tuple[str, MemberDay, int], MemberResult]],
+    quick: bool,
+    seed: int,
 ) -> dict[str, Any]:
-    def of(kind: str, name: str, members: int) -> list[Seen]:
+    def of(kind: str, name: str, members: int) -> list[MemberResult]:
         return [s for (k, day, _), s in seen if (k, day.name, day.members) == (kind, name, members)]
 
     (twin,), (beats,), (split,) = of("swim", "crash", 25), of("beats", "crash", 25), of("swim", "split", 5)
@@ -103,31 +106,34 @@
     detected = [s for t in crashes for s in t.detected]
     quiet = _mean([t.quiet for t in crashes if t.quiet is not None])
     hours = sum(s.hours for s in loss) + sum(t.hours for t in told.values())
-    deaths = sum(s.deaths for s in loss) + sum(t.deaths for t in told.values())
-    gaps = [_apart(_mean(detected), _mean(twin.detected)), _apart(quiet, twin.quiet)]
+    deaths = sum(s.false_death_count for s in loss) + sum(t.deaths for t in told.values())
+    gaps = [_apart(_mean(detected), _mean(twin.detection_seconds)), _apart(quiet, twin.quiet_packet_rate)]
     return {
         "detect_p99_s": round(percentile(detected, 0.99), 2),
-        "detect_p99_s_heartbeats": round(percentile(beats.detected, 0.99), 2),
+        "detect_p99_s_heartbeats": round(percentile(beats.detection_seconds, 0.99), 2),
         "crashes": len(detected) // 24,
         "missed": sum(t.missed for t in told.values()),
         "false_positive_rate": round(deaths / hours, 5),
         "false_positive_hours": round(hours, 1),
         "false_positive_rate_heartbeats": round(
-            sum(s.deaths for s in beats_loss) / sum(s.hours for s in beats_loss), 1
+            sum(s.false_death_count for s in beats_loss) / sum(s.hours for s in beats_loss), 1
         ),
         "converge_s": None if (c := told["partition 5"].converged) is None else round(c, 2),
-        "converge_s_model": split.converged,
-        "converge_s_heartbeats": beats_split.converged,
+        "converge_s_model": split.convergence_seconds,
+        "converge_s_heartbeats": beats_split.convergence_seconds,
         "join_s": None if (c := told["join 15"].converged) is None else round(c, 2),
         "refuted": told["pause 5"].refuted,
         "views_agree": int(all(t.settled for t in told.values())),
-        "msgs_per_member_s": round(twin.quiet, 2),
-        "msgs_growth": round(sizes[10_000].quiet / twin.quiet, 3),
-        "msgs_per_member_s_heartbeats": {"25": round(beats.quiet, 1), "200": round(beats_large.quiet, 1)},
+        "msgs_per_member_s": round(twin.quiet_packet_rate, 2),
+        "msgs_growth": round(sizes[10_000].quiet_packet_rate / twin.quiet_packet_rate, 3),
+        "msgs_per_member_s_heartbeats": {
+            "25": round(beats.quiet_packet_rate, 1),
+            "200": round(beats_large.quiet_packet_rate, 1),
+        },
         "detect_p99_s_model": {
-            str(count): round(percentile(s.detected, 0.99), 2)
+            str(count): round(percentile(s.detection_seconds, 0.99), 2)
             for count, s in (*sizes.items(), (25, twin))
-            if s.detected
+            if s.detection_seconds
         },
         "model_gap": round(max(gaps), 3),
         "seed": seed,
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -40,13 +40,13 @@
     ClassSpec("pregled-statusa", Effect.SAFE, 2.0, 4.0, 1.0),
     ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.6, 4.0, 5.0, key_window=12.0),
 )
-KEYED = 0.25  # of the requests
+KEYED_SHARE = 0.25  # of the requests
 TENANTS = ("loud", "quiet-1", "quiet-2", "quiet-3")
-OUT_AT, OUT_FOR, THIRD = 8.0, 20.0, 3
+OUTAGE_START_SECONDS, OUTAGE_SECONDS, THIRD = 8.0, 20.0, 3
 DEPLOY = 20.0  # seconds in which the rolling deploy goes through the other nodes
 QUICK, FULL = 60.0, 90.0  # seconds of a day
 RECOVERED, STEADY = 0.9, 3.0  # share of the normal worth, over so many seconds
-HURRY = (0.15, 0.5)  # seconds after which a client that takes no advice tries again
+IMPATIENT_RETRY_SECONDS = (0.15, 0.5)  # seconds after which a client that takes no advice tries again
 ADDRESSES = 4  # of one tenant
 CONNECT = 0.02  # seconds that a refused connection costs a client
 
@@ -71,7 +71,7 @@
 )
 
 
-class Day(NamedTuple):
+class StormDay(NamedTuple):
     """``obeying``: share of the clients that come back when they are told to."""
 
     name: str
@@ -103,21 +103,23 @@
 
 
 @dataclass
-class Seen:
+class StormResult:
     """What came of one play."""
 
-    worth: list[float] = field(default_factory=list)  # share of the worth kept, by second of birth
+    weight_share_by_second: list[float] = field(
+        default_factory=list
+    )  # share of the worth kept, by second of birth
     by_tenant: dict[str, float] = field(default_factory=dict)
-    tries: int = 0
+    attempt_count: int = 0
     requests: int = 0
     peak: float = 1.0  # most tries for each new request over 5 s
-    twice: int = 0
-    held_back: int = 0
+    duplicate_run_count: int = 0
+    unanswered_rejection_count: int = 0
     storm_seconds: int = 0
     node_seconds: int = 0
     kept: int = 0
     early: int = 0
-    told: int = 0
+    advice_count: int = 0
     sketch_bytes: int = 0
     took: float = 0.0
 
@@ -125,7 +127,7 @@
 class Node:
     """One server: its cores, which read and run, and the core of the service, which may be replaced."""
 
-    def __init__(self, fleet: Fleet, number: int) -> None:
+    def __init__(self, fleet: SimulatedStormFleet, number: int) -> None:
         self.fleet, self.number, self.life, self.power = fleet, number, 0, 0
         self.rng = random.Random(fleet.seed * 1000 + number)
         self.up = True
@@ -173,7 +175,7 @@
             self.fleet.events.at(self.fleet.events.now + 0.1, self._look_back, request)
 
     def _look_back(self, request: CoreRequest) -> None:
-        self.fleet.seen.held_back += request.respond is not None
+        self.fleet.seen.unanswered_rejection_count += request.respond is not None
 
     def speed(self) -> float:
         return self.strength.speed_share_at(self.fleet.events.now)
@@ -331,10 +333,10 @@
         self.service.gauges_polled((min(1.0, self.node.busy / CORES), float(self.node.busy)))
 
 
-class Fleet:
+class SimulatedStormFleet:
     """The nodes and the clients of one day under one policy."""
 
-    def __init__(self, day: Day, policy: str, seed: int) -> None:
+    def __init__(self, day: StormDay, policy: str, seed: int) -> None:
         self.day, self.policy, self.seed, self.events = day, policy, seed, Events(0.0)
         rng = np.random.default_rng([seed, day.nodes])
         rate = PER_NODE * day.nodes
@@ -346,7 +348,7 @@
             names = list(TENANTS)
         births = self._births(rng, rate, names)
         count = len(births)
-        kinds, works = rng.random(count) < KEYED, rng.gamma(4.0, WORK / 4, count)
+        kinds, works = rng.random(count) < KEYED_SHARE, rng.gamma(4.0, WORK / 4, count)
         obeys, starts = rng.random(count) < day.obeying, rng.integers(0, day.nodes, count)
         self.ranks = rng.random(count).tolist()
         self.requests = [
@@ -357,8 +359,8 @@
         self.rng = random.Random(seed)
         self.open: dict[int, dict[int, SimulatedRequest]] = {}  # tries under way by node
         self.runs: dict[tuple[int, int, int], float] = {}  # when the try came that ran last, by node and life
-        self.tries, self.news = Counter[int](), Counter[int]()
-        self.seen, self.earned = Seen(), Counter[tuple[str, int]]()
+        self.attempts_by_second, self.news = Counter[int](), Counter[int]()
+        self.seen, self.earned = StormResult(), Counter[tuple[str, int]]()
         self.nodes: list[Node] = []
         self.nodes = [Node(self, n) for n in range(day.nodes)]
         self.left = [0.0] * count  # when a client's present wait has begun: one try at a time
@@ -370,12 +372,17 @@
             mine = rate / len(names)
             parts = [(0.0, day.seconds, mine)]
             if day.surge > 1:
-                parts.append((OUT_AT, OUT_AT + OUT_FOR, (day.surge - 1) * mine))
+                parts.append(
+                    (OUTAGE_START_SECONDS, OUTAGE_START_SECONDS + OUTAGE_SECONDS, (day.surge - 1) * mine)
+                )
             if name == "loud":
                 parts = (
                     []
                     if day.quiet_alone
-                    else [(0.0, day.seconds, mine), (OUT_AT, OUT_AT + OUT_FOR, (day.loud - 1) * mine)]
+                    else [
+                        (0.0, day.seconds, mine),
+                        (OUTAGE_START_SECONDS, OUTAGE_START_SECONDS + OUTAGE_SECONDS, (day.loud - 1) * mine),
+                    ]
                 )
             for begin, end, per_s in parts:
                 at = rng.random(rng.poisson(per_s * (end - begin))) * (end - begin) + begin
@@ -388,7 +395,7 @@
         if request.done or self.events.now > self.day.seconds:
             return
         node = self.nodes[request.at]
-        self.tries[int(self.events.now)] += 1
+        self.attempts_by_second[int(self.events.now)] += 1
         if not node.up:
             self.later(request, CONNECT, self.next(request))
             return
@@ -420,7 +427,9 @@
         if found is not None:
             node.service.abandon(found.number)
         keyed = CLASSES[request.klass].effect is Effect.IDEMPOTENT_BY_KEY
-        self.later(request, self.rng.uniform(*HURRY), request.at if keyed else self.next(request))
+        self.later(
+            request, self.rng.uniform(*IMPATIENT_RETRY_SECONDS), request.at if keyed else self.next(request)
+        )
 
     def answered(
         self,
@@ -442,7 +451,7 @@
             return
         if marks and node.damper is not None and answer.retry_after_seconds > 0:
             node.damper.record_advice(now, source_of(request), answer.retry_after_seconds)
-        wait, at = self.rng.uniform(*HURRY), self.next(request)
+        wait, at = self.rng.uniform(*IMPATIENT_RETRY_SECONDS), self.next(request)
         if answer.status is ResponseStatus.FAILED and spec.effect is Effect.IDEMPOTENT_BY_KEY:
             at = node.number  # it may have run there
         if self.policy == "bound":
@@ -460,12 +469,14 @@
     def ran(self, node: int, life: int, request: SimulatedRequest) -> None:
         """A keyed request is run: twice within the window of the try that ran is a broken rule."""
         came, key = self.sent[request.number], (node, life, request.number)
-        self.seen.twice += key in self.runs and came <= self.runs[key] + CLASSES[request.klass].key_window
+        self.seen.duplicate_run_count += (
+            key in self.runs and came <= self.runs[key] + CLASSES[request.klass].key_window
+        )
         self.runs[key] = came
 
     # ---- the day ------------------------------------------------------------------------------
 
-    def run(self) -> Seen:
+    def run(self) -> StormResult:
         begun, day, seen = time.perf_counter(), self.day, self.seen
         self._schedule_events()
         self.events.run(day.seconds)
@@ -476,23 +487,24 @@
         seconds = int(day.seconds) - 4  # those born later may still be under way
         for second in range(seconds):
             mine = [sum(c[t, second] for t in {k[0] for k in offered}) for c in (self.earned, offered)]
-            seen.worth.append(mine[0] / max(1e-9, mine[1]))
+            seen.weight_share_by_second.append(mine[0] / max(1e-9, mine[1]))
         for tenant in {k[0] for k in offered}:
             whole = [
-                sum(v for (t, s), v in c.items() if t == tenant and OUT_AT <= s < seconds)
+                sum(v for (t, s), v in c.items() if t == tenant and OUTAGE_START_SECONDS <= s < seconds)
                 for c in (self.earned, offered)
             ]
             seen.by_tenant[tenant] = whole[0] / max(1e-9, whole[1])
-        seen.tries, seen.requests = sum(self.tries.values()), len(self.requests)
+        seen.attempt_count, seen.requests = sum(self.attempts_by_second.values()), len(self.requests)
         spans = [range(s, s + 5) for s in range(seconds - 5)]
         seen.peak = max(
-            sum(self.tries[s] for s in span) / max(1, sum(self.news[s] for s in span)) for span in spans
+            sum(self.attempts_by_second[s] for s in span) / max(1, sum(self.news[s] for s in span))
+            for span in spans
         )
         for node in self.nodes:
             if node.damper is not None:
                 seen.kept += node.damper.on_time_retry_count
                 seen.early += node.damper.early_retry_count
-                seen.told += node.damper.reservation_count
+                seen.advice_count += node.damper.reservation_count
                 seen.sketch_bytes = node.damper.size_bytes()
         return seen
 
@@ -503,17 +515,17 @@
             self.news[int(request.born)] += 1
         if day.outage:
             for node in self.nodes[::THIRD]:
-                events.at(OUT_AT, node.die)
-                events.at(OUT_AT + OUT_FOR, node.back)
+                events.at(OUTAGE_START_SECONDS, node.die)
+                events.at(OUTAGE_START_SECONDS + OUTAGE_SECONDS, node.back)
         if day.deploy:
             others = [n for n in self.nodes if n.number % THIRD]
             for n, node in enumerate(others):
-                events.at(OUT_AT + OUT_FOR + DEPLOY * n / len(others), node.replace)
+                events.at(OUTAGE_START_SECONDS + OUTAGE_SECONDS + DEPLOY * n / len(others), node.replace)
         for second in range(1, int(day.seconds)):
             events.at(float(second), self._look)
 
     def _look(self) -> None:
-        if OUT_AT <= self.events.now <= OUT_AT + OUT_FOR:
+        if OUTAGE_START_SECONDS <= self.events.now <= OUTAGE_START_SECONDS + OUTAGE_SECONDS:
             for node in self.nodes:
                 if node.up:
                     self.seen.node_seconds += 1
@@ -522,7 +534,9 @@
                     )
 
 
-def recovered(worth: list[float], out_at: float = OUT_AT, out_for: float = OUT_FOR) -> float | None:
+def recovery_seconds(
+    worth: list[float], out_at: float = OUTAGE_START_SECONDS, out_for: float = OUTAGE_SECONDS
+) -> float | None:
     """Seconds from the return until nine tenths of the normal worth are kept again; None if never."""
     normal = sum(worth[1 : int(out_at) - 2]) / (int(out_at) - 3)
     begin, span = int(out_at + out_for), int(STEADY)
@@ -532,15 +546,15 @@
     return None
 
 
-def play(job: tuple[Day, str, int]) -> Seen:
-    return Fleet(*job).run()
+def simulate(job: tuple[StormDay, str, int]) -> StormResult:
+    return SimulatedStormFleet(*job).run()
 
 
-def days(quick: bool, nodes: int | None) -> list[Day]:
+def days(quick: bool, nodes: int | None) -> list[StormDay]:
     seconds, sizes = (QUICK, [12, 200]) if quick else (FULL, [12, 200, 2000])
     out = []
     for size in [nodes] if nodes else sizes:
-        out += [Day("room", size, seconds), Day("room+deploy", size, seconds, deploy=True)]
+        out += [StormDay("room", size, seconds), StormDay("room+deploy", size, seconds, deploy=True)]
     return out
 
 
@@ -548,10 +562,12 @@
 MODES = (1.3, 1.45, 1.6)  # surges that are no storm
 
 
-def play_surge(job: tuple[int, float, int]) -> Seen:
+def simulate_surge(job: tuple[int, float, int]) -> StormResult:
     """New work alone, more of it than ever, from clients that try three times and back off."""
     nodes, surge, seed = job
-    fleet = Fleet(Day("surge", nodes, 36.0, outage=False, surge=surge, obeying=1.0), "storm", seed)
+    fleet = SimulatedStormFleet(
+        StormDay("surge", nodes, 36.0, outage=False, surge=surge, obeying=1.0), "storm", seed
+    )
     return fleet.run()
 
 
@@ -560,14 +576,14 @@
     jobs = [(day, policy, seed) for day in days(quick, nodes) for policy in POLICIES]
     size = nodes or 40
     loud = [
-        Day("loud", size, 40.0, outage=False, loud=6.0, obeying=0.5),
-        Day("alone", size, 40.0, outage=False, quiet_alone=True),
+        StormDay("loud", size, 40.0, outage=False, loud=6.0, obeying=0.5),
+        StormDay("alone", size, 40.0, outage=False, quiet_alone=True),
     ]
     jobs += [(loud[0], "storm", seed), (loud[0], "off", seed), (loud[1], "storm", seed)]
     surges = [(size, surge, seed) for surge in MODES]
     with ProcessPoolExecutor() as pool:
-        calm = pool.map(play_surge, surges)
-        seen = dict(zip([(j[0].name, j[0].nodes, j[1]) for j in jobs], pool.map(play, jobs)))
+        calm = pool.map(simulate_surge, surges)
+        seen = dict(zip([(j[0].name, j[0].nodes, j[1]) for j in jobs], pool.map(simulate, jobs)))
         surged = list(calm)
     rows = [
         [
@@ -585,22 +601,25 @@
         ]
     ]
     for (name, count, policy), s in seen.items():
-        out, after = int(OUT_AT + 2), int(OUT_AT + OUT_FOR)
-        rec = recovered(s.worth) if name.startswith("room") else None
+        out, after = int(OUTAGE_START_SECONDS + 2), int(OUTAGE_START_SECONDS + OUTAGE_SECONDS)
+        rec = recovery_seconds(s.weight_share_by_second) if name.startswith("room") else None
         rows.append(
             [
                 name,
                 str(count),
                 policy,
                 "-" if rec is None else f"{rec:.0f}",
-                f"{mean(s.worth[out:after]):.3f}",
-                *told(s, s.worth[after:]),
+                f"{mean(s.weight_share_by_second[out:after]):.3f}",
+                *told(s, s.weight_share_by_second[after:]),
             ]
         )
     for job, s in zip(surges, surged):
-        rows.append([f"surge x{job[1]}", str(job[0]), "storm", "-", "-", *told(s, s.worth)])
+        rows.append([f"surge x{job[1]}", str(job[0]), "storm", "-", "-", *told(s, s.weight_share_by_second)])
     rooms = {k: s for k, s in seen.items() if k[0].startswith("room")}
-    worst = {p: [recovered(s.worth) for k, s in rooms.items() if k[2] == p] for p in POLICIES}
+    worst = {
+        p: [recovery_seconds(s.weight_share_by_second) for k, s in rooms.items() if k[2] == p]
+        for p in POLICIES
+    }
     quiet = [
         seen["loud", size, p].by_tenant[t] / seen["alone", size, "storm"].by_tenant[t]
         for p in ("storm", "off")
@@ -613,10 +632,14 @@
         "recover_s_off": most(worst["off"]),
         "recover_s_bucket": most(worst["bucket"]),
         "recover_s_bound": most(worst["bound"]),
-        "amplification": round(max(s.tries / s.requests for k, s in rooms.items() if k[2] == "storm"), 2),
-        "amplification_off": round(max(s.tries / s.requests for k, s in rooms.items() if k[2] == "off"), 2),
-        "oddaja_twice": sum(s.twice for s in ours),
-        "held_back": sum(s.held_back for s in ours),
+        "amplification": round(
+            max(s.attempt_count / s.requests for k, s in rooms.items() if k[2] == "storm"), 2
+        ),
+        "amplification_off": round(
+            max(s.attempt_count / s.requests for k, s in rooms.items() if k[2] == "off"), 2
+        ),
+        "oddaja_twice": sum(s.duplicate_run_count for s in ours),
+        "held_back": sum(s.unanswered_rejection_count for s in ours),
         "quiet_tenant_kept": round(min(quiet[:3]), 3),
         "quiet_tenant_kept_off": round(min(quiet[3:]), 3),
         "false_positives": round(false / sum(s.node_seconds for s in surged), 4),
@@ -624,13 +647,17 @@
         "seed": seed,
         "seconds": QUICK if quick else FULL,
     }
-    return rows, figures, {f"{k[0]} {k[1]}": {p: rooms[k[0], k[1], p].worth for p in POLICIES} for k in rooms}
+    return (
+        rows,
+        figures,
+        {f"{k[0]} {k[1]}": {p: rooms[k[0], k[1], p].weight_share_by_second for p in POLICIES} for k in rooms},
+    )
 
 
-def told(s: Seen, after: list[float]) -> list[str]:
+def told(s: StormResult, after: list[float]) -> list[str]:
     return [
         f"{mean(after):.3f}",
-        f"{s.tries / max(1, s.requests):.2f}",
+        f"{s.attempt_count / max(1, s.requests):.2f}",
         f"{s.peak:.1f}",
         str(s.kept),
         str(s.early),
--- a/saltcart/lab/storm_sockets.py
+++ b/saltcart/lab/storm_sockets.py
@@ -23,10 +23,10 @@
 from saltcart.decision.settings import Effect
 from saltcart.lab.faults.programs import Program, call, fleet, request, settings, start_all
 from saltcart.lab.standins import Act, AjpStandIn, Asked
-from saltcart.lab.storm import CLASSES, HURRY, KEYED, recovered
+from saltcart.lab.storm import CLASSES, IMPATIENT_RETRY_SECONDS, KEYED_SHARE, recovery_seconds
 
 NODES, CORES, WORK, LOAD = 4, 2, 0.08, 0.65
-OUT_AT, OUT_FOR, OUT = 8.0, 8.0, (0, 1)  # seconds, and which nodes
+OUTAGE_START_SECONDS, OUTAGE_SECONDS, OUT = 8.0, 8.0, (0, 1)  # seconds, and which nodes
 CRASHES = ((26.0, 2), (30.0, 3))  # killed and restarted at once
 SECONDS, TAIL = 40.0, 5.0  # of new work, and for the last of it to end
 COLD_FROM, COLD_SPAN = 0.3, 6.0
@@ -84,7 +84,7 @@
         while (at := at + self.rng.expovariate(rate)) < SECONDS:
             self.births.append(at)
         self.works = [self.rng.gammavariate(4.0, WORK / 4) for _ in self.births]
-        self.kinds = [int(self.rng.random() < KEYED) for _ in self.births]
+        self.kinds = [int(self.rng.random() < KEYED_SHARE) for _ in self.births]
         self.obeys = [self.rng.random() < 0.5 for _ in self.births]
         self.orders = [self.rng.sample(range(NODES), NODES) for _ in self.births]
         self.places = [Works(self.works) for _ in range(NODES)]
@@ -137,7 +137,7 @@
         while loop.time() - begun < SECONDS + TAIL:
             node, sent = self.orders[n][at % NODES], loop.time()
             self.seen.tries += 1
-            wait, follow = rng.uniform(*HURRY), at + 1
+            wait, follow = rng.uniform(*IMPATIENT_RETRY_SECONDS), at + 1
             try:
                 answer = await call(programs[node].addresses["http"], self.request(n), spec.deadline + 0.5)
             except ConnectionRefusedError:
@@ -169,10 +169,10 @@
         async def until(at: float) -> None:
             await asyncio.sleep(max(0.0, begun + at - loop.time()))
 
-        await until(OUT_AT)
+        await until(OUTAGE_START_SECONDS)
         for n in OUT:
             programs[n].kill()
-        await until(OUT_AT + OUT_FOR - 0.5)  # about what a start takes
+        await until(OUTAGE_START_SECONDS + OUTAGE_SECONDS - 0.5)  # about what a start takes
         await asyncio.gather(*(self.revive(programs[n], self.places[n]) for n in OUT))
         for at, n in CRASHES:
             await until(at)
@@ -200,7 +200,7 @@
         worth = [self.seen.earned[s] / max(1, self.seen.offered[s]) for s in range(int(SECONDS) - 4)]
         return {
             "worth": worth,
-            "recover_s": recovered(worth, OUT_AT, OUT_FOR),
+            "recover_s": recovery_seconds(worth, OUTAGE_START_SECONDS, OUTAGE_SECONDS),
             "lives": lives,
             "amplification": round(self.seen.tries / len(self.births), 2),
             "oddaja_twice": sum(p.twice for p in self.places),
@@ -224,7 +224,7 @@
         ["policy", "recovered s", "kept out", "kept after", "tries", "told", "twice", "late", "unanswered"]
     ]
     for policy, s in seen.items():
-        out, back = int(OUT_AT), int(OUT_AT + OUT_FOR)
+        out, back = int(OUTAGE_START_SECONDS), int(OUTAGE_START_SECONDS + OUTAGE_SECONDS)
         kept = [sum(part) / len(part) for part in (s["worth"][out:back], s["worth"][back:])]
         rows.append(
             [
--- a/saltcart/lab/subsets.py
+++ b/saltcart/lab/subsets.py
@@ -20,42 +20,42 @@
 from saltcart.subsetting.subset_assignment import digest, next_assignment
 
 SUBSET = 25  # members of an instance in the large fleets: with fewer, classes differ more in demand
-Links = dict[str, frozenset[str]]  # by instance: its upstreams
+Subsets = dict[str, frozenset[str]]  # by instance: its upstreams
 
 
-class State(NamedTuple):
+class FleetState(NamedTuple):
     instances: tuple[str, ...]
     upstreams: tuple[str, ...]
 
 
-class Way:
+class SubsetPolicy:
     """One way of choosing; ``links`` is asked after each change."""
 
     def __init__(self, classes: int, seed: int) -> None:
         self.classes, self.seed = classes, seed
 
-    def links(self, state: State) -> Links:
+    def links(self, state: FleetState) -> Subsets:
         raise NotImplementedError
 
-    def size(self, state: State) -> int:
+    def size(self, state: FleetState) -> int:
         return max(1, round(len(state.upstreams) / self.classes))
 
 
-class Kept(Way):
+class AssignmentTablePolicy(SubsetPolicy):
     def __init__(self, classes: int, seed: int) -> None:
         super().__init__(classes, seed)
         self.upstreams: dict[str, int] = {}
         self.instances: dict[str, int] = {}
 
-    def links(self, state: State) -> Links:
+    def links(self, state: FleetState) -> Subsets:
         self.upstreams = next_assignment(self.upstreams, state.upstreams, self.classes)
         self.instances = next_assignment(self.instances, state.instances, self.classes)
         parts = [frozenset(u for u, c in self.upstreams.items() if c == n) for n in range(self.classes)]
         return {i: parts[c] for i, c in self.instances.items()}
 
 
-class Random(Way):
-    def links(self, state: State) -> Links:
+class RandomPolicy(SubsetPolicy):
+    def links(self, state: FleetState) -> Subsets:
         size, out = self.size(state), {}
         for name in state.instances:
             luck = random.Random(f"{self.seed} {name}")  # the same for a name as long as the list is the same
@@ -63,10 +63,10 @@
         return out
 
 
-class Rounds(Way):
+class ShuffledRoundsPolicy(SubsetPolicy):
     """The client's number among the sorted names gives the round and the part of its shuffled list."""
 
-    def links(self, state: State) -> Links:
+    def links(self, state: FleetState) -> Subsets:
         size, ups, out = self.size(state), sorted(state.upstreams), {}
         parts = max(1, len(ups) // size)
         shuffled: dict[int, list[str]] = {}
@@ -80,8 +80,8 @@
         return out
 
 
-class Rendezvous(Way):
-    def links(self, state: State) -> Links:
+class RendezvousPolicy(SubsetPolicy):
+    def links(self, state: FleetState) -> Subsets:
         size, salts = self.size(state), {u: digest(u) for u in state.upstreams}
         return {
             i: frozenset(sorted(state.upstreams, key=lambda u: digest(i, salts[u]))[:size])
@@ -89,28 +89,28 @@
         }
 
 
-class All(Way):
-    def links(self, state: State) -> Links:
+class FullMeshPolicy(SubsetPolicy):
+    def links(self, state: FleetState) -> Subsets:
         return dict.fromkeys(state.instances, frozenset(state.upstreams))
 
 
-WAYS: dict[str, Callable[[int, int], Way]] = {
-    "kept": Kept,
-    "random": Random,
-    "rounds": Rounds,
-    "rendezvous": Rendezvous,
-    "all": All,
+POLICIES: dict[str, Callable[[int, int], SubsetPolicy]] = {
+    "kept": AssignmentTablePolicy,
+    "random": RandomPolicy,
+    "rounds": ShuffledRoundsPolicy,
+    "rendezvous": RendezvousPolicy,
+    "all": FullMeshPolicy,
 }
 
 
-def clients(links: Links, state: State) -> Counter[str]:
+def clients(links: Subsets, state: FleetState) -> Counter[str]:
     out = Counter[str](dict.fromkeys(state.upstreams, 0))
     for ups in links.values():
         out.update(ups)
     return out
 
 
-def least_moves(before: State, after: State, links: Links, way: Way) -> float:
+def least_moves(before: FleetState, after: FleetState, links: Subsets, way: SubsetPolicy) -> float:
     """The fewest connections that any way must make anew so that all have subsets of the same size.
 
     Each instance that came needs a subset; each upstream that came needs as many clients as the others; each
@@ -125,21 +125,21 @@
     return len(new) * way.size(after) + came * mean + max(0, lost - shrunk)
 
 
-def steps(quick: bool, luck: random.Random) -> list[tuple[str, list[State]]]:
+def scenarios(quick: bool, luck: random.Random) -> list[tuple[str, list[FleetState]]]:
     """The days: each a list of states, one after the other."""
     small = tuple(f"u{n}" for n in range(40))
     grow = [tuple(f"i{luck.getrandbits(40):010x}" for _ in range(200))]
-    up = [State(grow[0][:n], small) for n in range(10, 201, 5 if quick else 1)]
+    up = [FleetState(grow[0][:n], small) for n in range(10, 201, 5 if quick else 1)]
     count, ups = (400, 120) if quick else (2_000, 500)
     many = tuple(f"i{luck.getrandbits(40):010x}" for _ in range(count))
     wide = tuple(f"u{luck.getrandbits(40):010x}" for _ in range(ups))
-    whole = State(many, wide)
+    whole = FleetState(many, wide)
     single = [whole]
-    single += [State(many, wide[n + 1 :]) for n in range(6)]
-    single += [State(many, wide[n:]) for n in range(5, -1, -1)]
-    third = [whole, State(many, wide[ups // 3 :]), whole]
+    single += [FleetState(many, wide[n + 1 :]) for n in range(6)]
+    single += [FleetState(many, wide[n:]) for n in range(5, -1, -1)]
+    third = [whole, FleetState(many, wide[ups // 3 :]), whole]
     restarted = many[: count // 2] + tuple(f"r{luck.getrandbits(40):010x}" for _ in range(count // 2))
-    restart = [whole, State(many[: count // 2], wide), State(restarted, wide)]
+    restart = [whole, FleetState(many[: count // 2], wide), FleetState(restarted, wide)]
     return [
         ("grow and shrink", up + up[-2::-1]),
         ("upstreams one by one", single),
@@ -148,7 +148,7 @@
     ]
 
 
-def play(way: Way, states: list[State]) -> tuple[float, float, float]:
+def measure_scenario(way: SubsetPolicy, states: list[FleetState]) -> tuple[float, float, float]:
     """Worst spread and churn over the changes, and milliseconds for the slowest of them."""
     spread, slowest = 1.0, 0.0
     moved = least = 0.0
@@ -166,7 +166,7 @@
     return spread, moved / max(1.0, least), 1000 * slowest
 
 
-def loads(links: Links, state: State, seed: int, choice: str, slow: bool = False) -> float:
+def loads(links: Subsets, state: FleetState, seed: int, choice: str, slow: bool = False) -> float:
     """The busiest upstream over the mean, by requests of instances whose demand differs.
 
     ``choice``: ``two`` takes the less loaded of two by the load that all share, as it was a little before;
@@ -190,7 +190,7 @@
     return max(busy.values()) / (sum(busy.values()) / len(busy))
 
 
-def limits(quick: bool, seed: int, shared: bool) -> tuple[float, float]:
+def measure_shared_limit(quick: bool, seed: int, shared: bool) -> tuple[float, float]:
     """How far what all send to a shared limit goes over it, in the worst second, and how much of it is used.
 
     Demand moves between instances all the time; each hears the sum half a second late.
@@ -260,10 +260,10 @@
 def modelled(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
     luck, worst = random.Random(seed), dict[str, list[float]]()
     rows = [["day", "way", "spread", "churn", "ms"]]
-    for name, states in steps(quick, luck):
+    for name, states in scenarios(quick, luck):
         classes = 2 if name == "grow and shrink" else max(2, len(states[0].upstreams) // SUBSET)
-        for way, kind in WAYS.items():
-            spread, churn, slow = play(kind(classes, seed), states)
+        for way, kind in POLICIES.items():
+            spread, churn, slow = measure_scenario(kind(classes, seed), states)
             rows.append([name, way, f"{spread:.3f}", f"{churn:.2f}", f"{slow:.1f}"])
             worst.setdefault(way, [1.0, 0.0])
             worst[way] = [max(worst[way][0], spread), max(worst[way][1], churn)]
@@ -271,8 +271,8 @@
     for way, (spread, churn) in worst.items():
         key = "" if way == "kept" else f"_{way}"
         figures |= {f"spread{key}": round(min(spread, 1e6), 3), f"churn{key}": round(churn, 2)}
-    state = steps(quick, random.Random(seed))[1][1][0]
-    for way, kind in WAYS.items():
+    state = scenarios(quick, random.Random(seed))[1][1][0]
+    for way, kind in POLICIES.items():
         links = kind(max(2, len(state.upstreams) // SUBSET), seed).links(state)
         spans = [
             loads(links, state, seed, choice, slow) for choice in ("two", "any") for slow in (False, True)
@@ -285,7 +285,7 @@
             f"load_spread_one_choice{key}": round(spans[2], 3),
         }
     for key, shared in (("", True), ("_alone", False)):
-        over, used = limits(quick, seed, shared)
+        over, used = measure_shared_limit(quick, seed, shared)
         figures |= {f"overshoot{key}": round(max(0.0, over), 4), f"limit_used{key}": round(used, 3)}
     for when in ("turns", "random", "fixed"):
         key = "" if when == "turns" else f"_{when}"
--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -43,7 +43,7 @@
 CONF = LocalitySettings(upstream="work")
 
 
-class Day(NamedTuple):
+class ZoneDay(NamedTuple):
     """Times in seconds; the trouble lasts from ``begin`` to ``end``."""
 
     name: str
@@ -59,15 +59,17 @@
 
 
 @dataclass
-class Seen:
-    requests: int = 0
-    good: int = 0
+class ZoneResult:
+    request_count: int = 0
+    success_count: int = 0
     worth: float = 0.0  # of all requests, and of these
     worth_good: float = 0.0  # of those that ended well
     home_healthy: int = 0  # requests of zones in health, and of these
     home_kept: int = 0  # those that their own zone served
     refused: int = 0
-    lost_share: list[float] = field(default_factory=list)  # of the troubled zones' work, by half second
+    served_share_by_half_second: list[float] = field(
+        default_factory=list
+    )  # of the troubled zones' work, by half second
     failover: float | None = None  # seconds
     moves: int = 0
     swings: int = 0  # of these, such that took the troubled zone's work away from home, or back
@@ -80,7 +82,7 @@
 
     @property
     def success(self) -> float:
-        return self.good / self.requests
+        return self.success_count / self.request_count
 
     @property
     def kept_local(self) -> float:
@@ -91,12 +93,12 @@
         return self.worth_good / self.worth
 
 
-def agreement(held: Counter[str], count: int) -> float:
+def agreement_share(held: Counter[str], count: int) -> float:
     """The share of all pairs of ``count`` that hold the same; ``held``: how many hold each."""
     return sum(n * (n - 1) for n in held.values()) / (count * (count - 1))
 
 
-class Policy:
+class RoutingPolicy:
     """How one instance places its requests."""
 
     def arrived(self, now: float, worth: float) -> None: ...
@@ -107,13 +109,13 @@
     def tick(self, now: float) -> None: ...
 
 
-class Common(Policy):
+class CommonPlanPolicy(RoutingPolicy):
     """The service's own decisions."""
 
-    def __init__(self, fleet: Fleet, number: int) -> None:
+    def __init__(self, fleet: SimulatedZoneFleet, number: int) -> None:
         self.fleet, self.number = fleet, number
         self.zone = number % len(fleet.sites.zones)
-        self.locality = ZoneRouter(
+        self.router = ZoneRouter(
             CONF,
             fleet.sites,
             f"i{number:05}",
@@ -123,15 +125,15 @@
             fleet.load,
             0.0,
         )
-        self.locality.on_plan_changed = lambda plan, n, by: fleet.planned(plan)
-        self.arrived = self.locality.record_arrival  # type: ignore[method-assign, assignment]
-        self.ended = self.locality.record_outcome  # type: ignore[method-assign, assignment]
+        self.router.on_plan_changed = lambda plan, n, by: fleet.planned(plan)
+        self.arrived = self.router.record_arrival  # type: ignore[method-assign, assignment]
+        self.ended = self.router.record_outcome  # type: ignore[method-assign, assignment]
 
     def choose(self, now: float, tried: set[str], worth: float) -> str | None:
-        return self.locality.choose(now, tried, True, worth)
+        return self.router.choose(now, tried, True, worth)
 
     def tick(self, now: float) -> None:
-        self.locality.tick(now, now)
+        self.router.tick(now, now)
 
     # the port
     def zone_leaders(self) -> Mapping[str, str]:
@@ -144,10 +146,10 @@
         self.fleet.give(self, int(name[1:]), topic, data)
 
 
-class Even(Policy):
+class RoundRobinPolicy(RoutingPolicy):
     """Round robin over all members, with further tries where one refuses."""
 
-    def __init__(self, fleet: Fleet, number: int) -> None:
+    def __init__(self, fleet: SimulatedZoneFleet, number: int) -> None:
         self.hosts = [b.host for b in fleet.sites.endpoints]
         self.at = fleet.luck.randrange(len(self.hosts))
 
@@ -156,10 +158,10 @@
         return self.hosts[self.at % len(self.hosts)]
 
 
-class Alone(Policy):
+class IndependentPolicy(RoutingPolicy):
     """The own zone while its own errors do not speak against it; else any other zone that they do not."""
 
-    def __init__(self, fleet: Fleet, number: int) -> None:
+    def __init__(self, fleet: SimulatedZoneFleet, number: int) -> None:
         self.fleet, self.own = fleet, number % len(fleet.sites.zones)
         self.outliers = OutlierDetector(CONF, fleet.sites.members)
         self.luck = random.Random(fleet.luck.random())
@@ -185,13 +187,17 @@
         self.outliers.record_outcome(now, host, good, took, refused)
 
 
-POLICIES: dict[str, Callable[[Fleet, int], Policy]] = {"common": Common, "alone": Alone, "even": Even}
+POLICIES: dict[str, Callable[[SimulatedZoneFleet, int], RoutingPolicy]] = {
+    "common": CommonPlanPolicy,
+    "alone": IndependentPolicy,
+    "even": RoundRobinPolicy,
+}
 
 
-class Fleet:
+class SimulatedZoneFleet:
     """The instances, members and links of one day under one policy."""
 
-    def __init__(self, day: Day, policy: str, seed: int) -> None:
+    def __init__(self, day: ZoneDay, policy: str, seed: int) -> None:
         self.day, self.luck, self.now = day, random.Random(seed), 0.0
         count = REGIONS * ZONES_EACH
         capacity = RATE * day.instances / count * SPARE / MEMBERS_EACH
@@ -212,7 +218,7 @@
         self.inflow = np.zeros((int(day.seconds / STEP) + 2, count))
         self.luck_of_worths = random.Random(f"{seed} worths")
         self.rng = np.random.default_rng([seed, day.instances])
-        self.seen = Seen()
+        self.seen = ZoneResult()
         self.served = Counter[int]()  # by half second, of the troubled zones' work
         self.offered = Counter[int]()
         self.home = Counter[int]()  # of these, at home
@@ -263,25 +269,25 @@
     def sides(self) -> bool:
         return self.day.cut is not None and self.troubled()
 
-    def post(self, author: Common, topic: str, data: bytes) -> None:
+    def post(self, author: CommonPlanPolicy, topic: str, data: bytes) -> None:
         """On the board: to all on this side of a cut, each a little later."""
         side = self.sides() and author.zone == self.day.cut
         before = max(
             (n for (s, t), (n, *_) in self.latest.items() if t == topic and (s == side or not self.sides())),
             default=0,
         )
-        name = author.locality.name
+        name = author.router.name
         self.latest[side, topic] = before + 1, name, data, author.zone
         for n, instance in enumerate(self.instances):
-            assert isinstance(instance, Common)
+            assert isinstance(instance, CommonPlanPolicy)
             if instance is author:
-                instance.locality.on_register_changed(self.now, topic, before + 1, name, data)
+                instance.router.on_register_changed(self.now, topic, before + 1, name, data)
                 continue
             if not self.sides() or (instance.zone == self.day.cut) == side:
                 wait = self.luck.uniform(*HEARD) + (5.0 if n in self.day.late else 0.0)
                 self.after(
                     wait,
-                    lambda i=instance, k=before + 1: i.locality.on_register_changed(  # type: ignore[misc]
+                    lambda i=instance, k=before + 1: i.router.on_register_changed(  # type: ignore[misc]
                         self.now, topic, k, name, data
                     ),
                 )
@@ -293,21 +299,21 @@
             self.latest[False, topic] = number, name, data, 0
             self.latest.pop((True, topic), None)
             for instance in self.instances:
-                assert isinstance(instance, Common)
+                assert isinstance(instance, CommonPlanPolicy)
                 self.after(
                     self.luck.uniform(0.5, 3.0),
                     lambda i=instance, t=topic, v=(number, name, data): (  # type: ignore[misc]
-                        i.locality.on_register_changed(self.now, t, *v)
+                        i.router.on_register_changed(self.now, t, *v)
                     ),
                 )
 
-    def give(self, sender: Common, to: int, topic: str, data: bytes) -> None:
+    def give(self, sender: CommonPlanPolicy, to: int, topic: str, data: bytes) -> None:
         receiver = self.instances[to]
-        assert isinstance(receiver, Common)
-        record = MemberRecord(sender.locality.name, "h:1", 1, zone=sender.locality.zone)
+        assert isinstance(receiver, CommonPlanPolicy)
+        record = MemberRecord(sender.router.name, "h:1", 1, zone=sender.router.zone)
         self.after(
             self.luck.uniform(0.001, 0.01),
-            lambda: receiver.locality.on_direct_message(self.now, record, topic, data),
+            lambda: receiver.router.on_direct_message(self.now, record, topic, data),
         )
 
     def planned(self, plan: FailoverPlan) -> None:
@@ -350,7 +356,7 @@
         instance, zone = self.instances[number], number % len(self.sites.zones)
         worth = self.luck_of_worths.choices(WORTHS, OFTEN)[0]
         instance.arrived(now, worth)
-        seen.requests += 1
+        seen.request_count += 1
         seen.worth += worth
         half = int(now * 2)
         hurt = self._hurt(zone)
@@ -391,7 +397,7 @@
                 ),
             )
             if good:
-                seen.good += 1
+                seen.success_count += 1
                 seen.worth_good += worth
                 self.served[half] += counted
                 self.home[half] += counted and target == zone
@@ -404,7 +410,7 @@
 
     # ---- the day ------------------------------------------------------------------------------
 
-    def run(self) -> Seen:
+    def run(self) -> ZoneResult:
         begun, day, seen = time.perf_counter(), self.day, self.seen
         healed = day.cut is None
         for step in range(int(day.seconds / STEP)):
@@ -412,7 +418,7 @@
             end = self.now + STEP
             if not healed and self.now >= day.end:
                 healed = True
-                if isinstance(self.instances[0], Common):
+                if isinstance(self.instances[0], CommonPlanPolicy):
                     self.heal()
             comes = self.rng.random(self.rng.poisson(RATE * STEP * day.instances))
             who = self.rng.integers(0, day.instances, len(comes))
@@ -426,14 +432,18 @@
             if step >= 10:
                 came = self.inflow[step - 9 : step + 1].sum(0)
                 seen.over_seconds += STEP * float((came > able + 3 * np.sqrt(able)).sum())
-        seen.lost_share = [self.served[h] / max(1, self.offered[h]) for h in range(int(2 * day.seconds))]
+        seen.served_share_by_half_second = [
+            self.served[h] / max(1, self.offered[h]) for h in range(int(2 * day.seconds))
+        ]
         seen.failover = self._failover()
         seen.back_home = self._back_home()
-        if isinstance(self.instances[0], Common):
+        if isinstance(self.instances[0], CommonPlanPolicy):
             held = Counter(
-                repr(sorted(i.locality.plan.rows.items())) for i in self.instances if isinstance(i, Common)
+                repr(sorted(i.router.plan.rows.items()))
+                for i in self.instances
+                if isinstance(i, CommonPlanPolicy)
             )
-            seen.agree = agreement(held, day.instances)
+            seen.agree = agreement_share(held, day.instances)
         seen.hours, seen.took = day.seconds / 3600, time.perf_counter() - begun
         return seen
 
@@ -461,18 +471,18 @@
         return None
 
 
-def play(job: tuple[Day, str, int]) -> Seen:
-    return Fleet(*job).run()
+def simulate(job: tuple[ZoneDay, str, int]) -> ZoneResult:
+    return SimulatedZoneFleet(*job).run()
 
 
-def days(count: int) -> list[Day]:
+def days(count: int) -> list[ZoneDay]:
     """The days at one size; the flapping one lasts an hour and has few instances."""
     return [
-        Day("calm", 40.0, count),
-        Day("zone lost", 120.0, count, 20.0, 60.0, down=(0,)),
-        Day("half slow", 90.0, count, 20.0, 60.0, half_slow=0),
-        Day("cut", 90.0, count, 20.0, 50.0, cut=0),
-        Day("flap", 3_600.0, 45, 20.0, 3_590.0, flap=(0, 2.0)),
-        Day("region lost", 120.0, count, 20.0, 60.0, down=(0, 1, 2)),
-        Day("views apart", 90.0, count, 20.0, 50.0, down=(0,), late=(1, 10)),
+        ZoneDay("calm", 40.0, count),
+        ZoneDay("zone lost", 120.0, count, 20.0, 60.0, down=(0,)),
+        ZoneDay("half slow", 90.0, count, 20.0, 60.0, half_slow=0),
+        ZoneDay("cut", 90.0, count, 20.0, 50.0, cut=0),
+        ZoneDay("flap", 3_600.0, 45, 20.0, 3_590.0, flap=(0, 2.0)),
+        ZoneDay("region lost", 120.0, count, 20.0, 60.0, down=(0, 1, 2)),
+        ZoneDay("views apart", 90.0, count, 20.0, 50.0, down=(0,), late=(1, 10)),
     ]
--- a/tests/test_retry_storm_integration.py
+++ b/tests/test_retry_storm_integration.py
@@ -310,36 +310,46 @@
 # ---- in the laboratory's fleet model ----------------------------------------------------------
 
 
-def run_fleet(name: str, policy: str, **day_options: Any) -> lab.Seen:
-    return lab.Fleet(lab.Day(name, 12, 44.0, **day_options), policy, 1).run()
+def run_fleet(name: str, policy: str, **day_options: Any) -> lab.StormResult:
+    return lab.SimulatedStormFleet(lab.StormDay(name, 12, 44.0, **day_options), policy, 1).run()
 
 
 def test_the_fleet_recovers_after_an_outage_and_nothing_runs_twice() -> None:
     controlled, uncontrolled = run_fleet("room", "storm"), run_fleet("room", "off")
-    outage_end = int(lab.OUT_AT + lab.OUT_FOR)
-    assert lab.mean(controlled.worth[outage_end:]) > 0.75 and lab.mean(uncontrolled.worth[outage_end:]) < 0.4
-    assert (controlled.twice, controlled.held_back) == (0, 0) and controlled.tries < uncontrolled.tries / 2
+    outage_end = int(lab.OUTAGE_START_SECONDS + lab.OUTAGE_SECONDS)
+    assert (
+        lab.mean(controlled.weight_share_by_second[outage_end:]) > 0.75
+        and lab.mean(uncontrolled.weight_share_by_second[outage_end:]) < 0.4
+    )
+    assert (controlled.duplicate_run_count, controlled.unanswered_rejection_count) == (
+        0,
+        0,
+    ) and controlled.attempt_count < uncontrolled.attempt_count / 2
 
 
 def test_the_fleet_recovers_from_an_outage_during_a_rolling_deploy() -> None:
     result = run_fleet("room+deploy", "storm", deploy=True)
-    assert (result.twice, result.held_back) == (0, 0)
-    assert lab.mean(result.worth[int(lab.OUT_AT + lab.OUT_FOR) :]) > 0.6
+    assert (result.duplicate_run_count, result.unanswered_rejection_count) == (0, 0)
+    assert lab.mean(result.weight_share_by_second[int(lab.OUTAGE_START_SECONDS + lab.OUTAGE_SECONDS) :]) > 0.6
 
 
 def test_callers_that_all_follow_retry_after_do_not_return_together() -> None:
-    fleet = lab.Fleet(lab.Day("room", 12, 40.0, obeying=1.0), "storm", 2)
+    fleet = lab.SimulatedStormFleet(lab.StormDay("room", 12, 40.0, obeying=1.0), "storm", 2)
     result = fleet.run()
-    attempts_by_second = [fleet.tries[second] for second in range(28, 38)]
+    attempts_by_second = [fleet.attempts_by_second[second] for second in range(28, 38)]
     assert (
         max(attempts_by_second) < 2.5 * lab.mean([float(count) for count in attempts_by_second])
-        and result.twice == 0
+        and result.duplicate_run_count == 0
     )
 
 
 def test_the_fleet_model_is_deterministic() -> None:
     first, second = run_fleet("room", "storm"), run_fleet("room", "storm")
-    assert (first.worth, first.tries, first.told) == (second.worth, second.tries, second.told)
+    assert (first.weight_share_by_second, first.attempt_count, first.advice_count) == (
+        second.weight_share_by_second,
+        second.attempt_count,
+        second.advice_count,
+    )
 
 
 def test_the_lab_prints_its_figures_on_the_last_line() -> None:
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -125,8 +125,8 @@
 
 
 def test_a_shared_limit_is_not_exceeded_and_is_used() -> None:
-    overshoot, used_share = subsets.limits(True, 5, True)
-    overshoot_unshared, _ = subsets.limits(True, 5, False)
+    overshoot, used_share = subsets.measure_shared_limit(True, 5, True)
+    overshoot_unshared, _ = subsets.measure_shared_limit(True, 5, False)
     assert overshoot <= 0.05 and used_share >= 0.85 and overshoot_unshared > 0.2
 
 
@@ -171,13 +171,13 @@
 
 def test_stored_assignments_are_even_with_few_moves_and_the_alternatives_are_not_both() -> None:
     rng = random.Random(2)
-    for name, states in subsets.steps(True, rng):
+    for name, states in subsets.scenarios(True, rng):
         class_count = 2 if name == "grow and shrink" else 6
-        spread, churn, _ = subsets.play(subsets.Kept(class_count, 1), states)
+        spread, churn, _ = subsets.measure_scenario(subsets.AssignmentTablePolicy(class_count, 1), states)
         assert spread <= 1.2 and churn <= 1.5, name
-    grow = subsets.steps(True, random.Random(2))[0][1]
-    assert subsets.play(subsets.Random(2, 1), grow)[0] > 1.5
-    assert subsets.play(subsets.Rounds(2, 1), grow)[1] > 3
+    grow = subsets.scenarios(True, random.Random(2))[0][1]
+    assert subsets.measure_scenario(subsets.RandomPolicy(2, 1), grow)[0] > 1.5
+    assert subsets.measure_scenario(subsets.ShuffledRoundsPolicy(2, 1), grow)[1] > 3
 
 
 # ---- instances that exchange messages ---------------------------------------------------------
