--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -1,12 +1,15 @@
-"""The experiment on retry storms: a fleet in the model, whose clients repeat without limit.
-
-Each node hosts the service's own core, decision module and damper.  A third of them goes for 20 s and comes
-back cold; in another play a rolling deploy lies over the return.  Reading costs a quarter of a request's
-work and is done on the same cores, so that refusing by itself does not help: that is what makes a storm
-last.
-
-``off`` is the program without the damper, ``bucket`` with a token bucket at the door in its place, and
-``bound`` the program without it while clients back off by themselves, doubling with jitter.
+"""Retry storm experiment: a simulated fleet whose clients retry without limit.
+
+Each node runs the service's own core, decision module and retry storm control.  A third of the nodes fails
+for 20 s and restarts cold; on another day a rolling deploy overlaps with the restart.  Reading a request
+costs a quarter of its work and runs on the same cores, so rejecting alone does not end an overload, and the
+storm lasts.
+
+Policies:
+    storm: The service with its storm control.
+    off: The service without storm control.
+    bucket: A token bucket on new requests in place of storm control.
+    bound: No storm control, and clients that double their backoff with jitter.
 """
 
 from __future__ import annotations
@@ -33,28 +36,29 @@
 from saltcart.retry_storm.controller import RetryStormController
 from saltcart.retry_storm.settings import StormSettings
 
-READING, UNREAD = 0.25, 0.005  # of a mean request's work: to read it, and to refuse it unread
-WORK = 0.4  # seconds of one warm core, in the mean
-CORES, LOAD = 2, 0.65
+# Shares of a mean request's work: to read a request, and to reject it unread.
+READ_WORK_SHARE, UNREAD_REJECT_WORK_SHARE = 0.25, 0.005
+MEAN_WORK_SECONDS = 0.4  # on one warm core
+CORE_COUNT, LOAD_SHARE = 2, 0.65
 CLASSES = (
     ClassSpec("pregled-statusa", Effect.SAFE, 2.0, 4.0, 1.0),
     ClassSpec("oddaja", Effect.IDEMPOTENT_BY_KEY, 1.6, 4.0, 5.0, key_window=12.0),
 )
 KEYED_SHARE = 0.25  # of the requests
 TENANTS = ("loud", "quiet-1", "quiet-2", "quiet-3")
-OUTAGE_START_SECONDS, OUTAGE_SECONDS, THIRD = 8.0, 20.0, 3
-DEPLOY = 20.0  # seconds in which the rolling deploy goes through the other nodes
-QUICK, FULL = 60.0, 90.0  # seconds of a day
-RECOVERED, STEADY = 0.9, 3.0  # share of the normal worth, over so many seconds
-IMPATIENT_RETRY_SECONDS = (0.15, 0.5)  # seconds after which a client that takes no advice tries again
-ADDRESSES = 4  # of one tenant
-CONNECT = 0.02  # seconds that a refused connection costs a client
+OUTAGE_START_SECONDS, OUTAGE_SECONDS, OUTAGE_NODE_STRIDE = 8.0, 20.0, 3
+DEPLOY_SECONDS = 20.0  # in which the rolling deploy replaces the nodes that did not fail
+QUICK_DAY_SECONDS, FULL_DAY_SECONDS = 60.0, 90.0
+RECOVERED_SHARE, RECOVERED_SPAN_SECONDS = 0.9, 3.0  # share of the normal weight, and for how long
+IMPATIENT_RETRY_SECONDS = (0.15, 0.5)  # range of delays of a client that ignores Retry-After
+ADDRESSES_PER_TENANT = 4
+CONNECTION_REFUSED_SECONDS = 0.02  # that a refused connection costs a client
 
-PER_NODE = LOAD * CORES / (WORK * (1 + READING))  # requests a second
+REQUESTS_PER_SECOND_PER_NODE = LOAD_SHARE * CORE_COUNT / (MEAN_WORK_SECONDS * (1 + READ_WORK_SHARE))
 
 SETTINGS = Settings(
     classes=CLASSES,
-    cores=CORES,
+    cores=CORE_COUNT,
     memory_kb=1e6,
     answer_slack=0.08,
     drain_grace=1.0,
@@ -72,73 +76,121 @@
 
 
 class StormDay(NamedTuple):
-    """``obeying``: share of the clients that come back when they are told to."""
+    """One scenario of load and faults.
+
+    Attributes:
+        name: Name in the printed table.
+        node_count: Nodes of the fleet.
+        duration_seconds: Simulated time.
+        outage: Whether a third of the nodes fails and restarts cold.
+        rolling_deploy: Whether the other nodes are redeployed one by one after the outage.
+        obeying_share: Share of the clients that obey Retry-After.
+        surge_factor: New requests during the outage's time, relative to the normal rate.
+        loud_factor: Requests of the tenant ``loud`` in that time, relative to its own share; the other
+            tenants send as usual.  The day has tenants if this is not 0 or ``quiet_alone`` is set.
+        quiet_alone: Whether the tenant ``loud`` sends nothing.
+    """
 
     name: str
-    nodes: int
-    seconds: float
+    node_count: int
+    duration_seconds: float
     outage: bool = True
-    deploy: bool = False
-    obeying: float = 0.5
-    surge: float = 1.0  # new work in the middle of the day, of the usual
-    loud: float = 0.0  # how many times its own share one tenant sends, the others as ever
+    rolling_deploy: bool = False
+    obeying_share: float = 0.5
+    surge_factor: float = 1.0
+    loud_factor: float = 0.0
     quiet_alone: bool = False
 
 
 @dataclass(eq=False)
 class SimulatedRequest:
-    """A client's piece of work, through all its tries."""
+    """A client's request through all its attempts.
+
+    Attributes:
+        number: Index of the request in the fleet.
+        class_index: Index into ``CLASSES``.
+        tenant: Its tenant, or the empty string on a day without tenants.
+        created_at: Simulated time of the first attempt.
+        work: Seconds on one warm core.
+        node_number: The node of the current or next attempt.
+        obeys_retry_after: Whether the client obeys Retry-After.
+        attempt_count: Attempts that were read by a node.
+        done: Whether it was served.
+        request_id: Id of the attempt that was read last.
+        admitted_last: Whether its connection is read after those of others.
+    """
 
     number: int
-    klass: int
+    class_index: int
     tenant: str
-    born: float
+    created_at: float
     work: float
-    at: int  # the node that it tries next
-    obeys: bool
-    tries: int = 0
+    node_number: int
+    obeys_retry_after: bool
+    attempt_count: int = 0
     done: bool = False
-    ident: bytes = b""
-    last: bool = False
+    request_id: bytes = b""
+    admitted_last: bool = False
 
 
 @dataclass
 class StormResult:
-    """What came of one play."""
-
-    weight_share_by_second: list[float] = field(
-        default_factory=list
-    )  # share of the worth kept, by second of birth
-    by_tenant: dict[str, float] = field(default_factory=dict)
+    """Measurements of one simulated day.
+
+    Attributes:
+        weight_share_by_second: Share of the priority weight that was earned, by second of creation.
+        weight_share_by_tenant: The same by tenant, from the start of the outage's time.
+        attempt_count: Attempts of all clients.
+        request_count: New requests of all clients.
+        peak_attempts_per_request: Highest ratio of attempts to new requests over 5 s.
+        duplicate_run_count: Keyed requests that ran again within their key window.
+        unanswered_rejection_count: Rejected requests that had no response 0.1 s later.
+        storm_seconds: Node-seconds of the outage's time in which a node detected a storm.
+        node_seconds: Node-seconds of the outage's time in which a node was up.
+        on_time_retry_count: Retries that came at the time that Retry-After gave.
+        early_retry_count: Retries that came before that time.
+        advice_count: Retry-After times that were reserved.
+        sketch_bytes: Memory of the storm control of one node.
+        wall_seconds: Real time that the simulation used.
+    """
+
+    weight_share_by_second: list[float] = field(default_factory=list)
+    weight_share_by_tenant: dict[str, float] = field(default_factory=dict)
     attempt_count: int = 0
-    requests: int = 0
-    peak: float = 1.0  # most tries for each new request over 5 s
+    request_count: int = 0
+    peak_attempts_per_request: float = 1.0
     duplicate_run_count: int = 0
     unanswered_rejection_count: int = 0
     storm_seconds: int = 0
     node_seconds: int = 0
-    kept: int = 0
-    early: int = 0
+    on_time_retry_count: int = 0
+    early_retry_count: int = 0
     advice_count: int = 0
     sketch_bytes: int = 0
-    took: float = 0.0
+    wall_seconds: float = 0.0
 
 
 class Node:
-    """One server: its cores, which read and run, and the core of the service, which may be replaced."""
+    """One server: cores that read and run requests, and the service's core, which a restart replaces."""
 
     def __init__(self, fleet: SimulatedStormFleet, number: int) -> None:
-        self.fleet, self.number, self.life, self.power = fleet, number, 0, 0
+        """Start the node warm."""
+        self.fleet, self.number, self.incarnation, self.core_generation = fleet, number, 0, 0
         self.rng = random.Random(fleet.seed * 1000 + number)
         self.up = True
         self.unread, self.ready = deque[SimulatedRequest](), deque[tuple[Service, bytes]]()
-        self.busy, self.turn = 0, False
-        self.born(False)
+        self.busy_cores, self.read_next = 0, False
+        self.start_process(False)
 
-    def born(self, cold: bool) -> None:
+    def start_process(self, cold: bool) -> None:
+        """Create a new service core with empty sketches.
+
+        Args:
+            cold: Whether its worker pool has just started; otherwise it is fully warm.
+        """
         fleet, events = self.fleet, self.fleet.events
-        self.life += 1
-        settings = replace(SETTINGS, replica_count=fleet.day.nodes)
+        self.incarnation += 1
+        settings = replace(SETTINGS, replica_count=fleet.day.node_count)
         if fleet.tenants:
             settings = replace(settings, tenants=fleet.tenants, over_quota_weight_share=0.0)
         service = self.service = Service(
@@ -150,441 +202,565 @@
             max_key_bytes=1 << 30,
         )
         service.ports.workers = SimulatedWorkers(self, service)
-        decide = service.executor.handlers[Reject]
-        service.executor.handlers[Reject] = lambda action: self._turned_away(service, action, decide)
+        execute = service.executor.handlers[Reject]
+        service.executor.handlers[Reject] = lambda action: self._reject_and_check(service, action, execute)
         service.pool_started(cold, 0.0 if cold else 100.0)
-        self.strength = WarmUpCurve(service.settings, events.now)
-        self.damper: RetryStormController | None = None
-        self.tokens, self.tokens_at = 0.0, events.now
+        self.warm_up_curve = WarmUpCurve(service.settings, events.now)
+        self.storm_control: RetryStormController | None = None
+        self.tokens, self.tokens_updated_at = 0.0, events.now
         if fleet.policy == "storm":
-            self.damper = RetryStormController(
-                StormSettings(reading=READING),
+            self.storm_control = RetryStormController(
+                StormSettings(reading=READ_WORK_SHARE),
                 service.settings,
                 self.rng.getrandbits(60),
                 events.now,
                 events.now - (0.0 if cold else 100.0),
             )
-            service.ports.storm_control = self.damper
+            service.ports.storm_control = self.storm_control
         host(events, service)
 
-    def _turned_away(self, service: Service, action: Reject, decide: Callable[..., None]) -> None:
-        """Whatever the module gives up is looked at again a tenth of a second later: it must be answered."""
+    def _reject_and_check(self, service: Service, action: Reject, execute: Callable[..., None]) -> None:
+        """Execute a rejection, and check 0.1 s later that the client had its response."""
         request = service.requests.get(action.id)
-        decide(action)
+        execute(action)
         if request is not None and request.respond is not None:
-            self.fleet.events.at(self.fleet.events.now + 0.1, self._look_back, request)
+            self.fleet.events.at(self.fleet.events.now + 0.1, self._check_answered, request)
 
-    def _look_back(self, request: CoreRequest) -> None:
-        self.fleet.seen.unanswered_rejection_count += request.respond is not None
+    def _check_answered(self, request: CoreRequest) -> None:
+        self.fleet.result.unanswered_rejection_count += request.respond is not None
 
-    def speed(self) -> float:
-        return self.strength.speed_share_at(self.fleet.events.now)
+    def speed_share(self) -> float:
+        """Current speed of a core, as a share of a warm core's."""
+        return self.warm_up_curve.speed_share_at(self.fleet.events.now)
 
-    def die(self) -> None:
-        """All that it had is lost; its clients see their connections break."""
+    def fail(self) -> None:
+        """Lose all state and break the connections of all clients."""
         self.up = False
-        gone = list(self.fleet.open.pop(self.number, {}).values())
+        lost_requests = list(self.fleet.open.pop(self.number, {}).values())
         self.service.timers.on_earlier_due = None
         self.service.timers.heap.clear()
         self.unread.clear()
         self.ready.clear()
-        self.power += 1  # what its cores still did is nobody's
-        self.busy = 0
-        for request in gone:
-            self.fleet.later(request, CONNECT, self.fleet.next(request))
+        self.core_generation += 1  # Discards the scheduled ends of what the cores were doing.
+        self.busy_cores = 0
+        for request in lost_requests:
+            self.fleet.schedule_attempt(request, CONNECTION_REFUSED_SECONDS, self.fleet.next_node(request))
 
-    def back(self) -> None:
+    def restart(self) -> None:
+        """Come back cold after a failure."""
         self.up = True
-        self.born(True)
+        self.start_process(True)
 
-    def replace(self) -> None:
-        """A rolling deploy: a cold process with empty sketches takes what comes; the old one ends its own."""
+    def redeploy(self) -> None:
+        """Drain the old process while a cold one with empty sketches accepts new requests."""
         self.service.start_drain(2.0)
-        self.born(True)
+        self.start_process(True)
 
-    def offer(self, request: SimulatedRequest) -> None:
-        """A connection with a request on it."""
+    def receive(self, request: SimulatedRequest) -> None:
+        """Accept a connection that carries one request, or reject it unread."""
         now, fleet = self.fleet.events.now, self.fleet
-        source = source_of(request)
-        entry = ConnectionAdmission.READ if self.damper is None else self.damper.admit_connection(now, source)
-        request.last = entry is ConnectionAdmission.READ_LAST
-        if self.damper is not None and entry is ConnectionAdmission.REFUSE:
-            back = self.damper.reject_unread(now, source)
-            self.unread.append(UNREAD_ONE)
-            fleet.answered(
+        source = source_digest(request)
+        admission = (
+            ConnectionAdmission.READ
+            if self.storm_control is None
+            else self.storm_control.admit_connection(now, source)
+        )
+        request.admitted_last = admission is ConnectionAdmission.READ_LAST
+        if self.storm_control is not None and admission is ConnectionAdmission.REFUSE:
+            rejection = self.storm_control.reject_unread(now, source)
+            self.unread.append(UNREAD_REJECTION)
+            fleet.receive_response(
                 request,
                 self,
-                FinalResponse(ResponseStatus.REJECTED, retry_after_seconds=back.retry_after),
-                marks=False,
+                FinalResponse(ResponseStatus.REJECTED, retry_after_seconds=rejection.retry_after),
+                record_advice=False,
             )
-        elif fleet.policy == "bucket" and not self._token(now):
-            fleet.answered(request, self, FinalResponse(ResponseStatus.REJECTED))
+        elif fleet.policy == "bucket" and not self._take_token(now):
+            fleet.receive_response(request, self, FinalResponse(ResponseStatus.REJECTED))
         else:
             fleet.open.setdefault(self.number, {})[request.number] = request
             self.unread.append(request)
-        self.work()
+        self.start_work()
 
-    def _token(self, now: float) -> bool:
-        rate = CORES / (WORK * (1 + READING)) * self.speed()
-        self.tokens = min(rate, self.tokens + (now - self.tokens_at) * rate)
-        self.tokens_at = now
+    def _take_token(self, now: float) -> bool:
+        rate = CORE_COUNT / (MEAN_WORK_SECONDS * (1 + READ_WORK_SHARE)) * self.speed_share()
+        self.tokens = min(rate, self.tokens + (now - self.tokens_updated_at) * rate)
+        self.tokens_updated_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
         return True
 
-    def work(self) -> None:
-        """Cores take reading and running in turn."""
+    def start_work(self) -> None:
+        """Give idle cores reads and runs in turn."""
         events = self.fleet.events
-        while self.busy < CORES and (self.unread or self.ready):
-            self.turn = not self.turn
-            self.busy += 1
-            if self.unread and (self.turn or not self.ready):
+        while self.busy_cores < CORE_COUNT and (self.unread or self.ready):
+            self.read_next = not self.read_next
+            self.busy_cores += 1
+            if self.unread and (self.read_next or not self.ready):
                 request = self.unread.popleft()
-                cost = UNREAD * WORK if request is UNREAD_ONE else READING * request.work
-                events.at(events.now + cost / self.speed(), self._read, self.power, request)
+                cost = (
+                    UNREAD_REJECT_WORK_SHARE * MEAN_WORK_SECONDS
+                    if request is UNREAD_REJECTION
+                    else READ_WORK_SHARE * request.work
+                )
+                events.at(
+                    events.now + cost / self.speed_share(), self._finish_read, self.core_generation, request
+                )
             else:
-                service, ident = self.ready.popleft()
-                if ident not in service.requests_by_id:  # stopped while it waited for a core
-                    self.busy -= 1
+                service, request_id = self.ready.popleft()
+                if request_id not in service.requests_by_id:  # stopped while it waited for a core
+                    self.busy_cores -= 1
                     continue
-                took = self.fleet.requests[int(ident, 16) >> 12].work / self.speed()
-                events.at(events.now + took, self._ran, self.power, service, ident, took)
+                duration = self.fleet.requests[int(request_id, 16) >> 12].work / self.speed_share()
+                events.at(
+                    events.now + duration,
+                    self._finish_run,
+                    self.core_generation,
+                    service,
+                    request_id,
+                    duration,
+                )
 
-    def _free(self, power: int) -> bool:
-        """A core is free again, unless the node was lost since."""
-        if power != self.power:
+    def _release_core(self, core_generation: int) -> bool:
+        """Free a core; return False if the node failed since the work was started."""
+        if core_generation != self.core_generation:
             return False
-        self.busy -= 1
+        self.busy_cores -= 1
         return True
 
-    def _read(self, power: int, request: SimulatedRequest) -> None:
-        if not self._free(power):
+    def _finish_read(self, core_generation: int, request: SimulatedRequest) -> None:
+        if not self._release_core(core_generation):
             return
-        if request is not UNREAD_ONE and not request.done and request.at == self.number:
-            self._arrive(request)
-        self.work()
-
-    def _arrive(self, request: SimulatedRequest) -> None:
-        spec = CLASSES[request.klass]
-        request.tries += 1
-        request.ident = b"%016x" % ((request.number << 12) + (request.tries & 0xFFF))
+        if request is not UNREAD_REJECTION and not request.done and request.node_number == self.number:
+            self._submit(request)
+        self.start_work()
+
+    def _submit(self, request: SimulatedRequest) -> None:
+        """Pass an attempt that was read to the service's core, under a request id of its own."""
+        spec = CLASSES[request.class_index]
+        request.attempt_count += 1
+        request.request_id = b"%016x" % ((request.number << 12) + (request.attempt_count & 0xFFF))
         keyed = spec.effect is Effect.IDEMPOTENT_BY_KEY
-        ask = InboundRequest(
-            request.ident,
+        inbound_request = InboundRequest(
+            request.request_id,
             spec.name,
             request.tenant,
-            self.fleet.sent[request.number],
+            self.fleet.attempt_started_at[request.number],
             None,
             10.0,
-            self.fleet.ranks[request.number],
+            self.fleet.priority_ranks[request.number],
             idempotency_key=b"k%d" % request.number if keyed else None,
-            admitted_last=request.last,
+            admitted_last=request.admitted_last,
             body=b"%d" % request.number,
         )
-        ident = request.ident
-        self.service.submit(ask, lambda answer: self.fleet.answered(request, self, answer, ident))
+        request_id = request.request_id
+        self.service.submit(
+            inbound_request,
+            lambda response: self.fleet.receive_response(request, self, response, request_id),
+        )
 
-    def _ran(self, power: int, service: Service, ident: bytes, took: float) -> None:
-        if not self._free(power):
+    def _finish_run(self, core_generation: int, service: Service, request_id: bytes, duration: float) -> None:
+        if not self._release_core(core_generation):
             return
-        if ident in service.requests_by_id:
-            service.run_finished(ident, Outcome.SUCCEEDED, took, b"done")
-        self.work()
+        if request_id in service.requests_by_id:
+            service.run_finished(request_id, Outcome.SUCCEEDED, duration, b"done")
+        self.start_work()
 
 
-def source_of(request: SimulatedRequest) -> int:
-    """A digest of the client's address: every client has its own, but a tenant's are its office's few."""
+def source_digest(request: SimulatedRequest) -> int:
+    """Digest of the client's address: one per client, or a tenant's few office addresses."""
     number = request.number + 1
     if request.tenant:
-        number = (TENANTS.index(request.tenant) + 1) * 1000 + request.number % ADDRESSES
+        number = (TENANTS.index(request.tenant) + 1) * 1000 + request.number % ADDRESSES_PER_TENANT
     return number * 0x9E3779B97F4A7C15 & (1 << 64) - 1
 
 
-UNREAD_ONE = SimulatedRequest(-1, 0, "", 0.0, WORK, -1, False)
+# Stands in the queue of a node for a connection that was rejected unread.
+UNREAD_REJECTION = SimulatedRequest(-1, 0, "", 0.0, MEAN_WORK_SECONDS, -1, False)
 
 
 class SimulatedWorkers:
-    """The runs port: a place in the node's queue for its cores."""
+    """Worker pool port of one process: queues runs for the node's cores."""
 
     def __init__(self, node: Node, service: Service) -> None:
-        self.node, self.service, self.life = node, service, node.life
+        """Belong to the process that the node has just started."""
+        self.node, self.service, self.incarnation = node, service, node.incarnation
 
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
-        request = self.node.fleet.requests[int(ident, 16) >> 12]
-        if CLASSES[request.klass].effect is Effect.IDEMPOTENT_BY_KEY:
-            self.node.fleet.ran(self.node.number, self.life, request)
-        self.node.ready.append((self.service, ident))
-        self.node.work()
+        """Queue a run for the node's cores."""
+        request = self.node.fleet.requests[int(request_id, 16) >> 12]
+        if CLASSES[request.class_index].effect is Effect.IDEMPOTENT_BY_KEY:
+            self.node.fleet.record_keyed_run(self.node.number, self.incarnation, request)
+        self.node.ready.append((self.service, request_id))
+        self.node.start_work()
 
-    def suspend(self, ident: bytes) -> None:
-        self.node.fleet.events.at(self.node.fleet.events.now, self._stopped, ident)
+    def suspend(self, request_id: bytes) -> None:
+        """Stop a run at once, losing what was done."""
+        self.node.fleet.events.at(self.node.fleet.events.now, self._stopped, request_id)
 
-    def _stopped(self, ident: bytes) -> None:
-        self.service.run_finished(ident, Outcome.CANCELLED, 0.0, b"")
+    def _stopped(self, request_id: bytes) -> None:
+        self.service.run_finished(request_id, Outcome.CANCELLED, 0.0, b"")
 
-    def resume(self, ident: bytes) -> None: ...
-    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip_call(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, request_id: bytes) -> None:
+        """Do nothing: runs are never paused."""
+
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None:
+        """Do nothing: runs make no calls."""
+
+    def skip_call(self, request_id: bytes, notice_number: int) -> None:
+        """Do nothing: runs make no calls."""
 
     def poll_gauges(self) -> None:
-        self.service.gauges_polled((min(1.0, self.node.busy / CORES), float(self.node.busy)))
+        """Report the busy cores."""
+        self.service.gauges_polled((min(1.0, self.node.busy_cores / CORE_COUNT), float(self.node.busy_cores)))
 
 
 class SimulatedStormFleet:
     """The nodes and the clients of one day under one policy."""
 
     def __init__(self, day: StormDay, policy: str, seed: int) -> None:
+        """Draw all requests of the day and start the nodes."""
         self.day, self.policy, self.seed, self.events = day, policy, seed, Events(0.0)
-        rng = np.random.default_rng([seed, day.nodes])
-        rate = PER_NODE * day.nodes
+        rng = np.random.default_rng([seed, day.node_count])
+        rate = REQUESTS_PER_SECOND_PER_NODE * day.node_count
         self.tenants: tuple[TenantSpec, ...] = ()
-        names = [""]
-        if day.loud or day.quiet_alone:
-            part = 1 / len(TENANTS)
-            self.tenants = tuple(TenantSpec(n, 1.3 * rate * part, part) for n in TENANTS)
-            names = list(TENANTS)
-        births = self._births(rng, rate, names)
-        count = len(births)
-        kinds, works = rng.random(count) < KEYED_SHARE, rng.gamma(4.0, WORK / 4, count)
-        obeys, starts = rng.random(count) < day.obeying, rng.integers(0, day.nodes, count)
-        self.ranks = rng.random(count).tolist()
+        tenant_names = [""]
+        if day.loud_factor or day.quiet_alone:
+            tenant_share = 1 / len(TENANTS)
+            self.tenants = tuple(TenantSpec(n, 1.3 * rate * tenant_share, tenant_share) for n in TENANTS)
+            tenant_names = list(TENANTS)
+        arrivals = self._draw_arrivals(rng, rate, tenant_names)
+        count = len(arrivals)
+        keyed, works = rng.random(count) < KEYED_SHARE, rng.gamma(4.0, MEAN_WORK_SECONDS / 4, count)
+        obeys, first_nodes = rng.random(count) < day.obeying_share, rng.integers(0, day.node_count, count)
+        self.priority_ranks = rng.random(count).tolist()
         self.requests = [
-            SimulatedRequest(n, int(kinds[n]), tenant, born, float(works[n]), int(starts[n]), bool(obeys[n]))
-            for n, (born, tenant) in enumerate(births)
+            SimulatedRequest(
+                n, int(keyed[n]), tenant, created_at, float(works[n]), int(first_nodes[n]), bool(obeys[n])
+            )
+            for n, (created_at, tenant) in enumerate(arrivals)
         ]
-        self.sent = [0.0] * count
+        self.attempt_started_at = [0.0] * count  # by request; -1 while it has no attempt under way
         self.rng = random.Random(seed)
-        self.open: dict[int, dict[int, SimulatedRequest]] = {}  # tries under way by node
-        self.runs: dict[tuple[int, int, int], float] = {}  # when the try came that ran last, by node and life
-        self.attempts_by_second, self.news = Counter[int](), Counter[int]()
-        self.seen, self.earned = StormResult(), Counter[tuple[str, int]]()
+        self.open: dict[int, dict[int, SimulatedRequest]] = {}  # requests with an attempt under way, by node
+        # Start of the attempt that ran last, by node, its incarnation and request.
+        self.keyed_runs: dict[tuple[int, int, int], float] = {}
+        self.attempts_by_second, self.new_requests_by_second = Counter[int](), Counter[int]()
+        self.result, self.earned_weight = StormResult(), Counter[tuple[str, int]]()
         self.nodes: list[Node] = []
-        self.nodes = [Node(self, n) for n in range(day.nodes)]
-        self.left = [0.0] * count  # when a client's present wait has begun: one try at a time
-
-    def _births(self, rng: np.random.Generator, rate: float, names: list[str]) -> list[tuple[float, str]]:
-        """When each piece of new work comes, and whose it is."""
-        day, out = self.day, list[tuple[float, str]]()
-        for name in names:
-            mine = rate / len(names)
-            parts = [(0.0, day.seconds, mine)]
-            if day.surge > 1:
-                parts.append(
-                    (OUTAGE_START_SECONDS, OUTAGE_START_SECONDS + OUTAGE_SECONDS, (day.surge - 1) * mine)
+        self.nodes = [Node(self, n) for n in range(day.node_count)]
+        self.wait_started_at = [0.0] * count  # of each client's current wait: one attempt at a time
+
+    def _draw_arrivals(
+        self, rng: np.random.Generator, rate: float, tenant_names: list[str]
+    ) -> list[tuple[float, str]]:
+        """Draw the time and tenant of each new request, in order of time."""
+        day, arrivals = self.day, list[tuple[float, str]]()
+        for name in tenant_names:
+            tenant_rate = rate / len(tenant_names)
+            phases = [(0.0, day.duration_seconds, tenant_rate)]
+            if day.surge_factor > 1:
+                phases.append(
+                    (
+                        OUTAGE_START_SECONDS,
+                        OUTAGE_START_SECONDS + OUTAGE_SECONDS,
+                        (day.surge_factor - 1) * tenant_rate,
+                    )
                 )
             if name == "loud":
-                parts = (
+                phases = (
                     []
                     if day.quiet_alone
                     else [
-                        (0.0, day.seconds, mine),
-                        (OUTAGE_START_SECONDS, OUTAGE_START_SECONDS + OUTAGE_SECONDS, (day.loud - 1) * mine),
+                        (0.0, day.duration_seconds, tenant_rate),
+                        (
+                            OUTAGE_START_SECONDS,
+                            OUTAGE_START_SECONDS + OUTAGE_SECONDS,
+                            (day.loud_factor - 1) * tenant_rate,
+                        ),
                     ]
                 )
-            for begin, end, per_s in parts:
-                at = rng.random(rng.poisson(per_s * (end - begin))) * (end - begin) + begin
-                out += [(float(t), name) for t in at]
-        return sorted(out)
+            for begin, end, phase_rate in phases:
+                times = rng.random(rng.poisson(phase_rate * (end - begin))) * (end - begin) + begin
+                arrivals += [(float(at), name) for at in times]
+        return sorted(arrivals)
 
     # ---- clients ------------------------------------------------------------------------------
 
     def attempt(self, request: SimulatedRequest) -> None:
-        if request.done or self.events.now > self.day.seconds:
+        """Start the next attempt of a request."""
+        if request.done or self.events.now > self.day.duration_seconds:
             return
-        node = self.nodes[request.at]
+        node = self.nodes[request.node_number]
         self.attempts_by_second[int(self.events.now)] += 1
         if not node.up:
-            self.later(request, CONNECT, self.next(request))
+            self.schedule_attempt(request, CONNECTION_REFUSED_SECONDS, self.next_node(request))
             return
-        self.sent[request.number] = self.events.now
+        self.attempt_started_at[request.number] = self.events.now
         self.events.at(
-            self.events.now + CLASSES[request.klass].deadline + 0.5, self._bored, request, self.events.now
+            self.events.now + CLASSES[request.class_index].deadline + 0.5,
+            self._on_timeout,
+            request,
+            self.events.now,
         )
-        node.offer(request)
+        node.receive(request)
+
+    def next_node(self, request: SimulatedRequest) -> int:
+        """The next node in the client's own order; clients differ in their order."""
+        strides = (7, 11, 13, 17, 19, 23, 29, 31)  # none divides the fleet sizes of the experiment
+        return (request.node_number + strides[request.number % len(strides)]) % len(self.nodes)
 
-    def next(self, request: SimulatedRequest) -> int:
-        """The next server of the client's own list: each has it in another order."""
-        strides = (7, 11, 13, 17, 19, 23, 29, 31)  # none divides the sizes that are played
-        return (request.at + strides[request.number % len(strides)]) % len(self.nodes)
+    def schedule_attempt(self, request: SimulatedRequest, delay: float, node_number: int) -> None:
+        """Start another attempt at a node after a delay in seconds."""
+        request.node_number = node_number
+        self.attempt_started_at[request.number] = -1.0
+        self.events.at(self.events.now + delay, self.attempt, request)
 
-    def later(self, request: SimulatedRequest, wait: float, at: int) -> None:
-        request.at = at
-        self.sent[request.number] = -1.0
-        self.events.at(self.events.now + wait, self.attempt, request)
+    def _on_timeout(self, request: SimulatedRequest, started_at: float) -> None:
+        """Close the connection of an attempt without a response and retry.
 
-    def _bored(self, request: SimulatedRequest, sent: float) -> None:
-        """No answer in all that time: the client closes and tries again, a write where it may have run."""
-        if request.done or self.sent[request.number] != sent:
+        A keyed request goes to the same node, since it may have run there.
+        """
+        if request.done or self.attempt_started_at[request.number] != started_at:
             return
-        node = self.nodes[request.at]
+        node = self.nodes[request.node_number]
         self.open.get(node.number, {}).pop(request.number, None)
         if request in node.unread:
             node.unread.remove(request)
-        found = node.service.requests_by_id.get(request.ident)
-        if found is not None:
-            node.service.abandon(found.number)
-        keyed = CLASSES[request.klass].effect is Effect.IDEMPOTENT_BY_KEY
-        self.later(
-            request, self.rng.uniform(*IMPATIENT_RETRY_SECONDS), request.at if keyed else self.next(request)
+        pending = node.service.requests_by_id.get(request.request_id)
+        if pending is not None:
+            node.service.abandon(pending.number)
+        keyed = CLASSES[request.class_index].effect is Effect.IDEMPOTENT_BY_KEY
+        self.schedule_attempt(
+            request,
+            self.rng.uniform(*IMPATIENT_RETRY_SECONDS),
+            request.node_number if keyed else self.next_node(request),
         )
 
-    def answered(
+    def receive_response(
         self,
         request: SimulatedRequest,
         node: Node,
-        answer: FinalResponse,
-        ident: bytes = b"",
-        marks: bool = True,
+        response: FinalResponse,
+        request_id: bytes = b"",
+        record_advice: bool = True,
     ) -> None:
-        if request.done or request.at != node.number or (ident and ident != request.ident):
-            return  # the client has gone on
+        """Handle a response at the client: count its priority weight or schedule a retry.
+
+        Args:
+            request: The client's request.
+            node: The node that responds.
+            response: The response.
+            request_id: Id of the attempt that it answers; empty for one that was not read.
+            record_advice: Whether the node's storm control still has to record Retry-After.
+        """
+        if (
+            request.done
+            or request.node_number != node.number
+            or (request_id and request_id != request.request_id)
+        ):
+            return  # The client has started another attempt.
         now = self.events.now
         self.open.get(node.number, {}).pop(request.number, None)
-        spec = CLASSES[request.klass]
-        if answer.status is ResponseStatus.SERVED:
+        spec = CLASSES[request.class_index]
+        if response.status is ResponseStatus.SERVED:
             request.done = True
-            if now - request.born <= spec.latency_objective:
-                self.earned[request.tenant, int(request.born)] += spec.priority_weight  # type: ignore[assignment]
+            if now - request.created_at <= spec.latency_objective:
+                self.earned_weight[request.tenant, int(request.created_at)] += spec.priority_weight  # type: ignore[assignment]
             return
-        if marks and node.damper is not None and answer.retry_after_seconds > 0:
-            node.damper.record_advice(now, source_of(request), answer.retry_after_seconds)
-        wait, at = self.rng.uniform(*IMPATIENT_RETRY_SECONDS), self.next(request)
-        if answer.status is ResponseStatus.FAILED and spec.effect is Effect.IDEMPOTENT_BY_KEY:
-            at = node.number  # it may have run there
+        if record_advice and node.storm_control is not None and response.retry_after_seconds > 0:
+            node.storm_control.record_advice(now, source_digest(request), response.retry_after_seconds)
+        delay, node_number = self.rng.uniform(*IMPATIENT_RETRY_SECONDS), self.next_node(request)
+        if response.status is ResponseStatus.FAILED and spec.effect is Effect.IDEMPOTENT_BY_KEY:
+            node_number = node.number  # it may have run there
         if self.policy == "bound":
-            wait = min(20.0, 0.3 * 2 ** min(8, request.tries)) * self.rng.uniform(0.5, 1.5)
-        elif answer.retry_after_seconds > 0 and request.obeys:
-            # Every other one knows whole seconds only.
-            wait = (
-                answer.retry_after_seconds
+            delay = min(20.0, 0.3 * 2 ** min(8, request.attempt_count)) * self.rng.uniform(0.5, 1.5)
+        elif response.retry_after_seconds > 0 and request.obeys_retry_after:
+            # Half of the clients know Retry-After in whole seconds only, rounded up.
+            delay = (
+                response.retry_after_seconds
                 if request.number % 2
-                else float(max(1, -int(-answer.retry_after_seconds // 1)))
+                else float(max(1, -int(-response.retry_after_seconds // 1)))
             )
-            wait, at = wait + self.rng.uniform(0.0, 0.05), node.number
-        self.later(request, wait, at)
-
-    def ran(self, node: int, life: int, request: SimulatedRequest) -> None:
-        """A keyed request is run: twice within the window of the try that ran is a broken rule."""
-        came, key = self.sent[request.number], (node, life, request.number)
-        self.seen.duplicate_run_count += (
-            key in self.runs and came <= self.runs[key] + CLASSES[request.klass].key_window
+            delay, node_number = delay + self.rng.uniform(0.0, 0.05), node.number
+        self.schedule_attempt(request, delay, node_number)
+
+    def record_keyed_run(self, node: int, incarnation: int, request: SimulatedRequest) -> None:
+        """Count a run of a keyed request that repeats one within the key window of the attempt that ran."""
+        started_at, key = self.attempt_started_at[request.number], (node, incarnation, request.number)
+        self.result.duplicate_run_count += (
+            key in self.keyed_runs
+            and started_at <= self.keyed_runs[key] + CLASSES[request.class_index].key_window
         )
-        self.runs[key] = came
+        self.keyed_runs[key] = started_at
 
-    # ---- the day ------------------------------------------------------------------------------
+    # ---- simulation ---------------------------------------------------------------------------
 
     def run(self) -> StormResult:
-        begun, day, seen = time.perf_counter(), self.day, self.seen
+        """Simulate the day and return its measurements."""
+        started_at, day, result = time.perf_counter(), self.day, self.result
         self._schedule_events()
-        self.events.run(day.seconds)
-        seen.took = time.perf_counter() - begun
-        offered = Counter[tuple[str, int]]()
+        self.events.run(day.duration_seconds)
+        result.wall_seconds = time.perf_counter() - started_at
+        offered_weight = Counter[tuple[str, int]]()
         for request in self.requests:
-            offered[request.tenant, int(request.born)] += CLASSES[request.klass].priority_weight  # type: ignore[assignment]
-        seconds = int(day.seconds) - 4  # those born later may still be under way
+            offered_weight[request.tenant, int(request.created_at)] += CLASSES[  # type: ignore[assignment]
+                request.class_index
+            ].priority_weight
+        seconds = int(day.duration_seconds) - 4  # requests created later may not have ended
         for second in range(seconds):
-            mine = [sum(c[t, second] for t in {k[0] for k in offered}) for c in (self.earned, offered)]
-            seen.weight_share_by_second.append(mine[0] / max(1e-9, mine[1]))
-        for tenant in {k[0] for k in offered}:
-            whole = [
+            weights = [
+                sum(c[t, second] for t in {k[0] for k in offered_weight})
+                for c in (self.earned_weight, offered_weight)
+            ]
+            result.weight_share_by_second.append(weights[0] / max(1e-9, weights[1]))
+        for tenant in {k[0] for k in offered_weight}:
+            totals = [
                 sum(v for (t, s), v in c.items() if t == tenant and OUTAGE_START_SECONDS <= s < seconds)
-                for c in (self.earned, offered)
+                for c in (self.earned_weight, offered_weight)
             ]
-            seen.by_tenant[tenant] = whole[0] / max(1e-9, whole[1])
-        seen.attempt_count, seen.requests = sum(self.attempts_by_second.values()), len(self.requests)
+            result.weight_share_by_tenant[tenant] = totals[0] / max(1e-9, totals[1])
+        result.attempt_count, result.request_count = (
+            sum(self.attempts_by_second.values()),
+            len(self.requests),
+        )
         spans = [range(s, s + 5) for s in range(seconds - 5)]
-        seen.peak = max(
-            sum(self.attempts_by_second[s] for s in span) / max(1, sum(self.news[s] for s in span))
+        result.peak_attempts_per_request = max(
+            sum(self.attempts_by_second[s] for s in span)
+            / max(1, sum(self.new_requests_by_second[s] for s in span))
             for span in spans
         )
         for node in self.nodes:
-            if node.damper is not None:
-                seen.kept += node.damper.on_time_retry_count
-                seen.early += node.damper.early_retry_count
-                seen.advice_count += node.damper.reservation_count
-                seen.sketch_bytes = node.damper.size_bytes()
-        return seen
+            if node.storm_control is not None:
+                result.on_time_retry_count += node.storm_control.on_time_retry_count
+                result.early_retry_count += node.storm_control.early_retry_count
+                result.advice_count += node.storm_control.reservation_count
+                result.sketch_bytes = node.storm_control.size_bytes()
+        return result
 
     def _schedule_events(self) -> None:
+        """Schedule the first attempts, the faults of the day and the samples of the storm state."""
         events, day = self.events, self.day
         for request in self.requests:
-            events.at(request.born, self.attempt, request)
-            self.news[int(request.born)] += 1
+            events.at(request.created_at, self.attempt, request)
+            self.new_requests_by_second[int(request.created_at)] += 1
         if day.outage:
-            for node in self.nodes[::THIRD]:
-                events.at(OUTAGE_START_SECONDS, node.die)
-                events.at(OUTAGE_START_SECONDS + OUTAGE_SECONDS, node.back)
-        if day.deploy:
-            others = [n for n in self.nodes if n.number % THIRD]
+            for node in self.nodes[::OUTAGE_NODE_STRIDE]:
+                events.at(OUTAGE_START_SECONDS, node.fail)
+                events.at(OUTAGE_START_SECONDS + OUTAGE_SECONDS, node.restart)
+        if day.rolling_deploy:
+            others = [n for n in self.nodes if n.number % OUTAGE_NODE_STRIDE]
             for n, node in enumerate(others):
-                events.at(OUTAGE_START_SECONDS + OUTAGE_SECONDS + DEPLOY * n / len(others), node.replace)
-        for second in range(1, int(day.seconds)):
-            events.at(float(second), self._look)
+                events.at(
+                    OUTAGE_START_SECONDS + OUTAGE_SECONDS + DEPLOY_SECONDS * n / len(others), node.redeploy
+                )
+        for second in range(1, int(day.duration_seconds)):
+            events.at(float(second), self._sample_storm_state)
 
-    def _look(self) -> None:
+    def _sample_storm_state(self) -> None:
         if OUTAGE_START_SECONDS <= self.events.now <= OUTAGE_START_SECONDS + OUTAGE_SECONDS:
             for node in self.nodes:
                 if node.up:
-                    self.seen.node_seconds += 1
-                    self.seen.storm_seconds += node.damper is not None and node.damper.in_storm(
-                        self.events.now
+                    self.result.node_seconds += 1
+                    self.result.storm_seconds += (
+                        node.storm_control is not None and node.storm_control.in_storm(self.events.now)
                     )
 
 
 def recovery_seconds(
-    worth: list[float], out_at: float = OUTAGE_START_SECONDS, out_for: float = OUTAGE_SECONDS
+    weight_shares: list[float],
+    outage_start: float = OUTAGE_START_SECONDS,
+    outage_seconds: float = OUTAGE_SECONDS,
 ) -> float | None:
-    """Seconds from the return until nine tenths of the normal worth are kept again; None if never."""
-    normal = sum(worth[1 : int(out_at) - 2]) / (int(out_at) - 3)
-    begin, span = int(out_at + out_for), int(STEADY)
-    for at in range(begin, len(worth) - span + 1):
-        if sum(worth[at : at + span]) / span >= RECOVERED * normal:
-            return float(at - begin)
+    """Seconds from the end of the outage until the weight share is back to nine tenths of normal.
+
+    Args:
+        weight_shares: Share of the priority weight that was earned, by second.
+        outage_start: Start of the outage, in seconds.
+        outage_seconds: Duration of the outage.
+
+    Returns:
+        The seconds, or None if the share never came back.
+    """
+    normal = sum(weight_shares[1 : int(outage_start) - 2]) / (int(outage_start) - 3)
+    begin, span = int(outage_start + outage_seconds), int(RECOVERED_SPAN_SECONDS)
+    for second in range(begin, len(weight_shares) - span + 1):
+        if sum(weight_shares[second : second + span]) / span >= RECOVERED_SHARE * normal:
+            return float(second - begin)
     return None
 
 
 def simulate(job: tuple[StormDay, str, int]) -> StormResult:
+    """Simulate a day under a policy with a seed."""
     return SimulatedStormFleet(*job).run()
 
 
-def days(quick: bool, nodes: int | None) -> list[StormDay]:
-    seconds, sizes = (QUICK, [12, 200]) if quick else (FULL, [12, 200, 2000])
-    out = []
-    for size in [nodes] if nodes else sizes:
-        out += [StormDay("room", size, seconds), StormDay("room+deploy", size, seconds, deploy=True)]
-    return out
+def outage_days(quick: bool, node_count: int | None) -> list[StormDay]:
+    """The days with an outage, for one fleet size or for those of the experiment."""
+    seconds, sizes = (QUICK_DAY_SECONDS, [12, 200]) if quick else (FULL_DAY_SECONDS, [12, 200, 2000])
+    days = []
+    for size in [node_count] if node_count else sizes:
+        days += [
+            StormDay("room", size, seconds),
+            StormDay("room+deploy", size, seconds, rolling_deploy=True),
+        ]
+    return days
 
 
 POLICIES = ("storm", "off", "bucket", "bound")
-MODES = (1.3, 1.45, 1.6)  # surges that are no storm
+SURGE_FACTORS = (1.3, 1.45, 1.6)  # surges of new requests that must not be taken for a storm
 
 
 def simulate_surge(job: tuple[int, float, int]) -> StormResult:
-    """New work alone, more of it than ever, from clients that try three times and back off."""
-    nodes, surge, seed = job
+    """Simulate a surge of new requests from clients that all obey Retry-After.
+
+    Args:
+        job: Fleet size, surge factor and seed.
+    """
+    node_count, surge_factor, seed = job
     fleet = SimulatedStormFleet(
-        StormDay("surge", nodes, 36.0, outage=False, surge=surge, obeying=1.0), "storm", seed
+        StormDay("surge", node_count, 36.0, outage=False, surge_factor=surge_factor, obeying_share=1.0),
+        "storm",
+        seed,
     )
     return fleet.run()
 
 
-def run(quick: bool, seed: int, nodes: int | None) -> tuple[list[list[str]], dict[str, Any], dict[str, Any]]:
-    """The table, the figures, and the worth by second of each day and policy."""
-    jobs = [(day, policy, seed) for day in days(quick, nodes) for policy in POLICIES]
-    size = nodes or 40
-    loud = [
-        StormDay("loud", size, 40.0, outage=False, loud=6.0, obeying=0.5),
+def run(
+    quick: bool, seed: int, node_count: int | None
+) -> tuple[list[list[str]], dict[str, Any], dict[str, Any]]:
+    """Run the experiment.
+
+    Args:
+        quick: Whether to use fewer fleet sizes and shorter days.
+        seed: Seed of all random draws.
+        node_count: Fleet size, or None for those of the experiment.
+
+    Returns:
+        The table, the figures, and the weight share by second for each outage day and policy.
+    """
+    jobs = [(day, policy, seed) for day in outage_days(quick, node_count) for policy in POLICIES]
+    size = node_count or 40
+    tenant_days = [
+        StormDay("loud", size, 40.0, outage=False, loud_factor=6.0, obeying_share=0.5),
         StormDay("alone", size, 40.0, outage=False, quiet_alone=True),
     ]
-    jobs += [(loud[0], "storm", seed), (loud[0], "off", seed), (loud[1], "storm", seed)]
-    surges = [(size, surge, seed) for surge in MODES]
+    jobs += [(tenant_days[0], "storm", seed), (tenant_days[0], "off", seed), (tenant_days[1], "storm", seed)]
+    surge_jobs = [(size, factor, seed) for factor in SURGE_FACTORS]
     with ProcessPoolExecutor() as pool:
-        calm = pool.map(simulate_surge, surges)
-        seen = dict(zip([(j[0].name, j[0].nodes, j[1]) for j in jobs], pool.map(simulate, jobs)))
-        surged = list(calm)
+        pending_surges = pool.map(simulate_surge, surge_jobs)
+        results = dict(zip([(j[0].name, j[0].node_count, j[1]) for j in jobs], pool.map(simulate, jobs)))
+        surge_results = list(pending_surges)
     rows = [
         [
             "day",
@@ -600,75 +776,90 @@
             "took s",
         ]
     ]
-    for (name, count, policy), s in seen.items():
+    for (name, count, policy), result in results.items():
         out, after = int(OUTAGE_START_SECONDS + 2), int(OUTAGE_START_SECONDS + OUTAGE_SECONDS)
-        rec = recovery_seconds(s.weight_share_by_second) if name.startswith("room") else None
+        recovery = recovery_seconds(result.weight_share_by_second) if name.startswith("room") else None
         rows.append(
             [
                 name,
                 str(count),
                 policy,
-                "-" if rec is None else f"{rec:.0f}",
-                f"{mean(s.weight_share_by_second[out:after]):.3f}",
-                *told(s, s.weight_share_by_second[after:]),
+                "-" if recovery is None else f"{recovery:.0f}",
+                f"{mean(result.weight_share_by_second[out:after]):.3f}",
+                *result_cells(result, result.weight_share_by_second[after:]),
+            ]
+        )
+    for job, result in zip(surge_jobs, surge_results):
+        rows.append(
+            [
+                f"surge x{job[1]}",
+                str(job[0]),
+                "storm",
+                "-",
+                "-",
+                *result_cells(result, result.weight_share_by_second),
             ]
         )
-    for job, s in zip(surges, surged):
-        rows.append([f"surge x{job[1]}", str(job[0]), "storm", "-", "-", *told(s, s.weight_share_by_second)])
-    rooms = {k: s for k, s in seen.items() if k[0].startswith("room")}
-    worst = {
-        p: [recovery_seconds(s.weight_share_by_second) for k, s in rooms.items() if k[2] == p]
+    outages = {k: r for k, r in results.items() if k[0].startswith("room")}
+    recoveries = {
+        p: [recovery_seconds(r.weight_share_by_second) for k, r in outages.items() if k[2] == p]
         for p in POLICIES
     }
-    quiet = [
-        seen["loud", size, p].by_tenant[t] / seen["alone", size, "storm"].by_tenant[t]
+    quiet_tenant_shares = [
+        results["loud", size, p].weight_share_by_tenant[t]
+        / results["alone", size, "storm"].weight_share_by_tenant[t]
         for p in ("storm", "off")
         for t in TENANTS[1:]
     ]
-    ours = [s for k, s in seen.items() if k[2] == "storm"] + surged
-    false = sum(s.storm_seconds for s in surged)
+    storm_results = [r for k, r in results.items() if k[2] == "storm"] + surge_results
+    false_storm_seconds = sum(r.storm_seconds for r in surge_results)
     figures = {
-        "recover_s": most(worst["storm"]),
-        "recover_s_off": most(worst["off"]),
-        "recover_s_bucket": most(worst["bucket"]),
-        "recover_s_bound": most(worst["bound"]),
+        "recover_s": worst_recovery(recoveries["storm"]),
+        "recover_s_off": worst_recovery(recoveries["off"]),
+        "recover_s_bucket": worst_recovery(recoveries["bucket"]),
+        "recover_s_bound": worst_recovery(recoveries["bound"]),
         "amplification": round(
-            max(s.attempt_count / s.requests for k, s in rooms.items() if k[2] == "storm"), 2
+            max(r.attempt_count / r.request_count for k, r in outages.items() if k[2] == "storm"), 2
         ),
         "amplification_off": round(
-            max(s.attempt_count / s.requests for k, s in rooms.items() if k[2] == "off"), 2
+            max(r.attempt_count / r.request_count for k, r in outages.items() if k[2] == "off"), 2
         ),
-        "oddaja_twice": sum(s.duplicate_run_count for s in ours),
-        "held_back": sum(s.unanswered_rejection_count for s in ours),
-        "quiet_tenant_kept": round(min(quiet[:3]), 3),
-        "quiet_tenant_kept_off": round(min(quiet[3:]), 3),
-        "false_positives": round(false / sum(s.node_seconds for s in surged), 4),
-        "sketch_bytes": max(s.sketch_bytes for s in ours),
+        "oddaja_twice": sum(r.duplicate_run_count for r in storm_results),
+        "held_back": sum(r.unanswered_rejection_count for r in storm_results),
+        "quiet_tenant_kept": round(min(quiet_tenant_shares[:3]), 3),
+        "quiet_tenant_kept_off": round(min(quiet_tenant_shares[3:]), 3),
+        "false_positives": round(false_storm_seconds / sum(r.node_seconds for r in surge_results), 4),
+        "sketch_bytes": max(r.sketch_bytes for r in storm_results),
         "seed": seed,
-        "seconds": QUICK if quick else FULL,
+        "seconds": QUICK_DAY_SECONDS if quick else FULL_DAY_SECONDS,
     }
     return (
         rows,
         figures,
-        {f"{k[0]} {k[1]}": {p: rooms[k[0], k[1], p].weight_share_by_second for p in POLICIES} for k in rooms},
+        {
+            f"{k[0]} {k[1]}": {p: outages[k[0], k[1], p].weight_share_by_second for p in POLICIES}
+            for k in outages
+        },
     )
 
 
-def told(s: StormResult, after: list[float]) -> list[str]:
+def result_cells(result: StormResult, weight_shares: list[float]) -> list[str]:
+    """The last cells of a table row; ``weight_shares`` gives its column ``kept after``."""
     return [
-        f"{mean(after):.3f}",
-        f"{s.attempt_count / max(1, s.requests):.2f}",
-        f"{s.peak:.1f}",
-        str(s.kept),
-        str(s.early),
-        f"{s.took:.1f}",
+        f"{mean(weight_shares):.3f}",
+        f"{result.attempt_count / max(1, result.request_count):.2f}",
+        f"{result.peak_attempts_per_request:.1f}",
+        str(result.on_time_retry_count),
+        str(result.early_retry_count),
+        f"{result.wall_seconds:.1f}",
     ]
 
 
 def mean(values: list[float]) -> float:
+    """Arithmetic mean; 0 for no values."""
     return sum(values) / max(1, len(values))
 
 
-def most(values: list[float | None]) -> float | None:
-    """The worst; None where one never came."""
-    return None if None in values else max(v for v in values if v is not None)
+def worst_recovery(recoveries: list[float | None]) -> float | None:
+    """The longest recovery in seconds; None if any day never recovered."""
+    return None if None in recoveries else max(v for v in recoveries if v is not None)
--- a/tests/test_retry_storm_integration.py
+++ b/tests/test_retry_storm_integration.py
@@ -328,13 +328,13 @@
 
 
 def test_the_fleet_recovers_from_an_outage_during_a_rolling_deploy() -> None:
-    result = run_fleet("room+deploy", "storm", deploy=True)
+    result = run_fleet("room+deploy", "storm", rolling_deploy=True)
     assert (result.duplicate_run_count, result.unanswered_rejection_count) == (0, 0)
     assert lab.mean(result.weight_share_by_second[int(lab.OUTAGE_START_SECONDS + lab.OUTAGE_SECONDS) :]) > 0.6
 
 
 def test_callers_that_all_follow_retry_after_do_not_return_together() -> None:
-    fleet = lab.SimulatedStormFleet(lab.StormDay("room", 12, 40.0, obeying=1.0), "storm", 2)
+    fleet = lab.SimulatedStormFleet(lab.StormDay("room", 12, 40.0, obeying_share=1.0), "storm", 2)
     result = fleet.run()
     attempts_by_second = [fleet.attempts_by_second[second] for second in range(28, 38)]
     assert (
