--- a/saltcart/lab/locality_experiment.py
+++ b/saltcart/lab/locality_experiment.py
@@ -1,4 +1,4 @@
-"""The experiment on zones: the model at size, real processes in the rig, and two baselines."""
+"""Locality experiment: simulated fleets and real processes, compared with two baseline policies."""
 
 from __future__ import annotations
 
@@ -10,28 +10,39 @@
 from saltcart.lab.faults import zones as rig
 from saltcart.lab.zones import POLICIES, ZoneDay, ZoneResult
 
-SIZE = {True: 180, False: 2_000}  # instances of the model, by --quick
-FLAP_S = {True: 1_800.0, False: 3_600.0}  # seconds of the flapping day
+# Both by whether the experiment is run with --quick.
+INSTANCE_COUNT = {True: 180, False: 2_000}  # of the simulated fleet
+FLAPPING_DAY_SECONDS = {True: 1_800.0, False: 3_600.0}
 Curves = dict[str, dict[str, Sequence[float]]]
 
 
-def days(quick: bool) -> list[ZoneDay]:
-    """The model's days; the flapping one is as long as the size of the experiment allows."""
-    seconds = FLAP_S[quick]
+def simulated_days(quick: bool) -> list[ZoneDay]:
+    """The simulated days; the duration of the flapping one depends on ``quick``."""
+    seconds = FLAPPING_DAY_SECONDS[quick]
     return [
-        day if day.flap is None else day._replace(seconds=seconds, end=seconds - 10.0)
-        for day in model.days(SIZE[quick])
+        day if day.flapping is None else day._replace(duration_seconds=seconds, fault_end=seconds - 10.0)
+        for day in model.simulated_days(INSTANCE_COUNT[quick])
     ]
 
 
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], Curves]:
-    """The table, the figures, and by half second what was served of the troubled zones' work."""
-    jobs = [(day, policy, seed) for day in days(quick) for policy in POLICIES]
-    jobs.sort(key=lambda job: -job[0].seconds * job[0].instances)
-    with ProcessPoolExecutor(len(rig.PLAYS)) as real, ProcessPoolExecutor(6) as other:
-        started = [real.submit(rig.play, (n, seed)) for n in range(len(rig.PLAYS))]
-        seen = dict(zip([(day.name, policy) for day, policy, _ in jobs], other.map(model.simulate, jobs)))
-        told = {p.name: future.result() for p, future in zip(rig.PLAYS, started)}
+    """Run the experiment.
+
+    Args:
+        quick: Whether to use a smaller fleet and a shorter flapping day.
+        seed: Seed of all random draws.
+
+    Returns:
+        The table, the figures, and by half second the share of the affected zones' requests that was served.
+    """
+    jobs = [(day, policy, seed) for day in simulated_days(quick) for policy in POLICIES]
+    jobs.sort(key=lambda job: -job[0].duration_seconds * job[0].instance_count)
+    with ProcessPoolExecutor(len(rig.PLAYS)) as rig_pool, ProcessPoolExecutor(6) as model_pool:
+        rig_futures = [rig_pool.submit(rig.play, (n, seed)) for n in range(len(rig.PLAYS))]
+        results = dict(
+            zip([(day.name, policy) for day, policy, _ in jobs], model_pool.map(model.simulate, jobs))
+        )
+        rig_results = {p.name: future.result() for p, future in zip(rig.PLAYS, rig_futures)}
     rows = [
         [
             "day",
@@ -48,88 +59,100 @@
             "agree",
         ]
     ]
-    for day in days(quick):
+    for day in simulated_days(quick):
         for policy in POLICIES:
-            s = seen[day.name, policy]
+            result = results[day.name, policy]
             rows.append(
                 [
                     day.name,
                     policy,
-                    f"{s.success:.4f}",
-                    f"{s.worth_kept:.4f}",
-                    f"{s.refused / s.request_count:.4f}",
-                    f"{s.kept_local:.3f}",
-                    _span(s.failover),
-                    _span(s.back_home),
-                    str(s.moves),
-                    str(s.swings),
-                    str(s.overloads),
-                    f"{s.agree:.3f}" if policy == "common" else "-",
+                    f"{result.success:.4f}",
+                    f"{result.earned_weight_share:.4f}",
+                    f"{result.rejected_count / result.request_count:.4f}",
+                    f"{result.kept_local:.3f}",
+                    _seconds_cell(result.failover_seconds),
+                    _seconds_cell(result.return_seconds),
+                    str(result.moves),
+                    str(result.swings),
+                    str(result.overloads),
+                    f"{result.agree:.3f}" if policy == "common" else "-",
                 ]
             )
-    for name, t in told.items():
+    for name, rig_result in rig_results.items():
         rows.append(
             [
                 "processes: " + name,
                 "common",
-                f"{t.success:.4f}",
+                f"{rig_result.success:.4f}",
                 "-",
                 "-",
-                f"{t.kept_local:.3f}",
-                _span(t.failover),
+                f"{rig_result.kept_local:.3f}",
+                _seconds_cell(rig_result.failover),
                 "-",
-                str(t.moves),
-                str(t.swings),
+                str(rig_result.moves),
+                str(rig_result.swings),
                 "-",
-                f"{t.agree:.3f}",
+                f"{rig_result.agree:.3f}",
             ]
         )
     curves: Curves = {
-        name: {policy: seen[name, policy].served_share_by_half_second for policy in POLICIES}
+        name: {policy: results[name, policy].served_share_by_half_second for policy in POLICIES}
         for name in ("zone lost", "half slow", "region lost")
     }
-    return rows, figures(seen, told, quick, seed), curves
+    return rows, figures(results, rig_results, quick, seed), curves
 
 
-def _span(seconds: float | None) -> str:
+def _seconds_cell(seconds: float | None) -> str:
     return "-" if seconds is None else f"{seconds:.1f}"
 
 
 def figures(
-    seen: dict[tuple[str, str], ZoneResult], told: dict[str, rig.Told], quick: bool, seed: int
+    results: dict[tuple[str, str], ZoneResult], rig_results: dict[str, rig.Told], quick: bool, seed: int
 ) -> dict[str, Any]:
-    ours = {day: s for (day, policy), s in seen.items() if policy == "common"}
-    flap, lost = ours["flap"], ours["zone lost"]
-
-    everyone: list[ZoneResult | rig.Told] = [*ours.values(), *told.values()]
-    out: dict[str, Any] = {
-        "kept_local": round(min(s.kept_local for s in everyone), 3),
-        "failover_s": lost.failover,
-        "failover_s_processes": told["zone lost"].failover,
-        "overload_moves": sum(s.overloads for s in ours.values()),
-        "flaps": round(flap.swings / flap.hours, 2),  # of the work that the flapping link carries
-        "moves_on_flap_an_hour": round(flap.moves / flap.hours, 1),
-        "agree": round(min(s.agree for s in everyone), 4),
-        "success": round(lost.success, 4),
-        "success_processes": round(told["zone lost"].success, 4),
-        "success_region_lost": round(ours["region lost"].success, 4),
-        "worth_region_lost": round(ours["region lost"].worth_kept, 4),
-        "success_half_slow": round(ours["half slow"].success, 4),
+    """Figures of the experiment's JSON object.
+
+    Args:
+        results: Results of the simulation by day and policy.
+        rig_results: Results of the real processes by scenario.
+        quick: Whether the experiment was run with --quick.
+        seed: Seed of all random draws.
+    """
+    common = {day: result for (day, policy), result in results.items() if policy == "common"}
+    flap, zone_lost = common["flap"], common["zone lost"]
+
+    all_results: list[ZoneResult | rig.Told] = [*common.values(), *rig_results.values()]
+    values: dict[str, Any] = {
+        "kept_local": round(min(r.kept_local for r in all_results), 3),
+        "failover_s": zone_lost.failover_seconds,
+        "failover_s_processes": rig_results["zone lost"].failover,
+        "overload_moves": sum(r.overloads for r in common.values()),
+        "flaps": round(flap.swings / flap.simulated_hours, 2),  # of requests that use the flapping link
+        "moves_on_flap_an_hour": round(flap.moves / flap.simulated_hours, 1),
+        "agree": round(min(r.agree for r in all_results), 4),
+        "success": round(zone_lost.success, 4),
+        "success_processes": round(rig_results["zone lost"].success, 4),
+        "success_region_lost": round(common["region lost"].success, 4),
+        "worth_region_lost": round(common["region lost"].earned_weight_share, 4),
+        "success_half_slow": round(common["half slow"].success, 4),
     }
     for policy in ("alone", "even"):
-        s, region, slow = seen["zone lost", policy], seen["region lost", policy], seen["half slow", policy]
-        out |= {
-            f"kept_local_{policy}": round(min(seen[day, policy].kept_local for day in ours), 3),
-            f"failover_s_{policy}": s.failover,
-            f"success_{policy}": round(s.success, 4),
-            f"success_region_lost_{policy}": round(region.success, 4),
-            f"worth_region_lost_{policy}": round(region.worth_kept, 4),
-            f"success_half_slow_{policy}": round(slow.success, 4),
-            f"over_seconds_{policy}": round(sum(seen[day, policy].over_seconds for day in ours), 1),
+        zone_lost_result, region_lost_result, half_slow_result = (
+            results["zone lost", policy],
+            results["region lost", policy],
+            results["half slow", policy],
+        )
+        values |= {
+            f"kept_local_{policy}": round(min(results[day, policy].kept_local for day in common), 3),
+            f"failover_s_{policy}": zone_lost_result.failover_seconds,
+            f"success_{policy}": round(zone_lost_result.success, 4),
+            f"success_region_lost_{policy}": round(region_lost_result.success, 4),
+            f"worth_region_lost_{policy}": round(region_lost_result.earned_weight_share, 4),
+            f"success_half_slow_{policy}": round(half_slow_result.success, 4),
+            f"over_seconds_{policy}": round(sum(results[day, policy].overload_seconds for day in common), 1),
         }
-    return out | {
-        "over_seconds": round(sum(s.over_seconds for s in ours.values()), 1),
-        "instances": SIZE[quick],
+    return values | {
+        "over_seconds": round(sum(r.overload_seconds for r in common.values()), 1),
+        "instances": INSTANCE_COUNT[quick],
         "seed": seed,
         "quick": quick,
     }
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -1004,13 +1004,13 @@
 
 def test_a_flapping_small_zone_loses_its_requests_once_and_no_zone_is_overloaded() -> None:
     """There are five instances per zone, whose members are reachable for two seconds out of four."""
-    result = model.simulate((model.ZoneDay("flap", 150.0, 45, 10.0, 145.0, flap=(0, 2.0)), "common", 1))
+    result = model.simulate((model.ZoneDay("flap", 150.0, 45, 10.0, 145.0, flapping=(0, 2.0)), "common", 1))
     assert (result.moves, result.swings, result.overloads, result.agree) == (1, 1, 0, 1.0)
     assert result.success_count >= 0.97 * result.request_count
 
 
 def test_a_zone_whose_one_half_is_slow_keeps_the_requests_that_the_other_half_can_serve() -> None:
-    day = model.ZoneDay("half slow", 30.0, 180, 8.0, 30.0, half_slow=0)
+    day = model.ZoneDay("half slow", 30.0, 180, 8.0, 30.0, half_slow_zone=0)
     fleet = model.SimulatedZoneFleet(day, "common", 1)
     result, first = fleet.run(), fleet.instances[0]
     assert isinstance(first, model.CommonPlanPolicy) and first.router.plan.row(0).get(0, 0) >= 400
