--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -1,7 +1,8 @@
-"""Membership in the model: the deciding code of thousands of members on one clock, and plain heartbeats.
+"""Simulation of membership: the service's own member logic for thousands of members, and plain heartbeats.
 
-Members start with a view of all, which they share (``MembershipSnapshot``); links lose and delay by one seed.
-The baseline sends a beat from each to each and takes for dead whom it has not heard for a fixed time.
+Members start with a complete view, which they share (``MembershipSnapshot``).  Links lose and delay packets
+by one seeded random source.  The baseline sends a heartbeat from each member to each other and declares a
+member dead after a fixed timeout.
 """
 
 from __future__ import annotations
@@ -20,137 +21,174 @@
 from saltcart.membership.settings import MemberSettings
 from saltcart.membership.view import MembershipChange, MembershipSnapshot
 
-LATENCY = 0.001  # seconds from one member to another
-BEAT, SILENCE = 0.5, 2.0  # seconds between beats of the baseline; without one, until it says dead
-CONF = MemberSettings("127.0.0.1:0", "model")
+MEAN_LATENCY_SECONDS = 0.001  # from one member to another
+HEARTBEAT_INTERVAL_SECONDS, HEARTBEAT_TIMEOUT_SECONDS = 0.5, 2.0  # of the baseline
+MEMBER_SETTINGS = MemberSettings("127.0.0.1:0", "model")
 
 
 class MemberDay(NamedTuple):
-    """Times in seconds.  ``crashes``: when each further member falls silent for good."""
+    """One scenario of faults; times in seconds.
+
+    Attributes:
+        name: Name in the printed table.
+        member_count: Members of the fleet.
+        duration_seconds: Simulated time.
+        crash_times: When each further member crashes for good.
+        loss_rate: Share of packets that are lost.
+        partition: Start and end of a partition between the first two fifths of the members and the others.
+        slow_member_delay: Extra delay of each packet to and from member 0.
+    """
 
     name: str
-    members: int
-    seconds: float
-    crashes: tuple[float, ...] = ()
-    loss: float = 0.0
-    split: tuple[float, float] | None = None  # from when to when the first two fifths are cut off
-    slow: float = 0.0  # seconds more, each way, to and from member 0
+    member_count: int
+    duration_seconds: float
+    crash_times: tuple[float, ...] = ()
+    loss_rate: float = 0.0
+    partition: tuple[float, float] | None = None
+    slow_member_delay: float = 0.0
 
 
 @dataclass
 class MemberResult:
-    detection_seconds: list[float] = field(
-        default_factory=list
-    )  # seconds, of each live member for each crash
-    missed_count: int = 0  # live members that had not found out at the end
-    false_death_count: int = 0  # of healthy members, by name and incarnation
-    packets: int = 0
-    quiet_packet_rate: float = 0.0  # packets a member and second before the first crash
-    rate: float = 0.0  # the same over all the play
-    hours: float = 0.0  # of members
-    agreement: float = 0.0  # share of the live members that hold the most common view at the end
-    convergence_seconds: float | None = None  # seconds from the end of the split until all views are the same
-    took: float = 0.0
+    """Measurements of one simulated day.
+
+    Attributes:
+        detection_seconds: From each crash until each live member detected it, sorted.
+        missed_count: Crashes, times live members, that were not detected by the end.
+        false_death_count: Healthy members that were declared dead, counted once per incarnation.
+        packet_count: Packets of all members.
+        quiet_packet_rate: Packets per member and second before the first crash.
+        packet_rate: Packets per member and second over the whole day.
+        member_hours: Simulated hours, times members.
+        agreement: Share of the live members that hold the most common view at the end.
+        convergence_seconds: From the end of the partition until all views are complete and the same.
+        wall_seconds: Real time that the simulation used.
+    """
+
+    detection_seconds: list[float] = field(default_factory=list)
+    missed_count: int = 0
+    false_death_count: int = 0
+    packet_count: int = 0
+    quiet_packet_rate: float = 0.0
+    packet_rate: float = 0.0
+    member_hours: float = 0.0
+    agreement: float = 0.0
+    convergence_seconds: float | None = None
+    wall_seconds: float = 0.0
 
 
 class SimulatedNetwork:
-    """Members of one kind or the other, and what happens between them."""
+    """Links between members, with the faults of a day; subclasses add the members."""
 
     def __init__(self, day: MemberDay, seed: int) -> None:
-        self.day, self.events, self.luck = day, Events(1_000.0), random.Random(seed)
-        self.begun = self.events.now
-        self.up = [True] * day.members
-        self.packets, self.before_crash = 0, 0
-        self.dead_at: dict[int, float] = {}  # when each crashed
-        self.found: dict[tuple[int, int], float] = {}  # by crashed and observer
-        self.wrong = set[tuple[int, int]]()  # healthy ones that were called dead, with their incarnation
-        self.cut = False
-
-    def carry(self, sender: int, receiver: int, call: Callable[..., None], *args: object) -> None:
-        """One datagram."""
-        self.packets += 1
+        """Start with all members up and the network whole."""
+        self.day, self.events, self.rng = day, Events(1_000.0), random.Random(seed)
+        self.start_time = self.events.now
+        self.up = [True] * day.member_count
+        self.packet_count, self.packets_before_crash = 0, 0
+        self.crashed_at: dict[int, float] = {}
+        self.detections: dict[tuple[int, int], float] = {}  # seconds, by crashed member and observer
+        self.false_deaths = set[tuple[int, int]]()  # healthy members declared dead, with their incarnation
+        self.partitioned = False
+
+    def send(self, sender: int, receiver: int, call: Callable[..., None], *args: object) -> None:
+        """Send one packet: ``call`` receives it after a delay, unless it is lost."""
+        self.packet_count += 1
         day = self.day
-        if self.cut and (sender < 2 * day.members // 5) != (receiver < 2 * day.members // 5):
+        if self.partitioned and (sender < 2 * day.member_count // 5) != (
+            receiver < 2 * day.member_count // 5
+        ):
             return
-        if day.loss and self.luck.random() < day.loss:
+        if day.loss_rate and self.rng.random() < day.loss_rate:
             return
-        delay = LATENCY * (0.5 + self.luck.random()) + (day.slow if 0 in (sender, receiver) else 0.0)
+        delay = MEAN_LATENCY_SECONDS * (0.5 + self.rng.random()) + (
+            day.slow_member_delay if 0 in (sender, receiver) else 0.0
+        )
         self.events.at(self.events.now + delay, call, *args)
 
-    def called_dead(self, observer: int, number: int, incarnation: int) -> None:
-        if number in self.dead_at:
-            self.found.setdefault((number, observer), self.events.now - self.dead_at[number])
-        elif not self.cut and (self.day.split is None or self.events.now < self.begun + self.day.split[0]):
-            self.wrong.add((number, incarnation))
+    def record_death(self, observer: int, number: int, incarnation: int) -> None:
+        """Record that an observer declared a member dead.
 
-    def views(self) -> Counter[object]:
+        Members that a partition cuts off are not counted as healthy, neither during it nor after it.
+        """
+        if number in self.crashed_at:
+            self.detections.setdefault((number, observer), self.events.now - self.crashed_at[number])
+        elif not self.partitioned and (
+            self.day.partition is None or self.events.now < self.start_time + self.day.partition[0]
+        ):
+            self.false_deaths.add((number, incarnation))
+
+    def view_counts(self) -> Counter[object]:
         """How many live members hold each view."""
         raise NotImplementedError
 
     def crash(self, number: int) -> None:
-        if not self.dead_at:
-            self.before_crash = self.packets
+        """Crash a member for good."""
+        if not self.crashed_at:
+            self.packets_before_crash = self.packet_count
         self.up[number] = False
-        self.dead_at[number] = self.events.now
+        self.crashed_at[number] = self.events.now
 
-    def _cut(self, on: bool) -> None:
-        self.cut = on
+    def _set_partitioned(self, partitioned: bool) -> None:
+        self.partitioned = partitioned
 
     def run(self) -> MemberResult:
-        begun, day, seen, events = time.perf_counter(), self.day, MemberResult(), self.events
-        for n, at in enumerate(day.crashes):
-            events.at(self.begun + at, self.crash, day.members - 1 - n)
-        if day.split is not None:
-            events.at(self.begun + day.split[0], self._cut, True)
-            events.at(self.begun + day.split[1], self._cut, False)
-            events.run(self.begun + day.split[1])
-            while events.now < self.begun + day.seconds and seen.convergence_seconds is None:
+        """Simulate the day and return its measurements."""
+        started_at, day, result, events = time.perf_counter(), self.day, MemberResult(), self.events
+        for n, at in enumerate(day.crash_times):
+            events.at(self.start_time + at, self.crash, day.member_count - 1 - n)
+        if day.partition is not None:
+            events.at(self.start_time + day.partition[0], self._set_partitioned, True)
+            events.at(self.start_time + day.partition[1], self._set_partitioned, False)
+            events.run(self.start_time + day.partition[1])
+            while events.now < self.start_time + day.duration_seconds and result.convergence_seconds is None:
                 events.run(events.now + 0.1)
-                views = self.views()
-                if len(views) == 1 and self.whole():
-                    seen.convergence_seconds = events.now - self.begun - day.split[1]
-        events.run(self.begun + day.seconds)
-        live = sum(self.up)
-        seen.detection_seconds = sorted(self.found[k] for k in self.found if self.up[k[1]])
-        seen.missed_count = len(self.dead_at) * live - len(seen.detection_seconds)
-        seen.false_death_count, seen.packets = len(self.wrong), self.packets
-        seen.rate = self.packets / day.members / day.seconds
-        seen.quiet_packet_rate = seen.rate
-        if day.crashes:
-            seen.quiet_packet_rate = self.before_crash / day.members / day.crashes[0]
-        seen.hours = day.members * day.seconds / 3600
-        seen.agreement = max(self.views().values()) / live
-        seen.took = time.perf_counter() - begun
-        return seen
-
-    def whole(self) -> bool:
+                view_counts = self.view_counts()
+                if len(view_counts) == 1 and self.are_views_complete():
+                    result.convergence_seconds = events.now - self.start_time - day.partition[1]
+        events.run(self.start_time + day.duration_seconds)
+        live_count = sum(self.up)
+        result.detection_seconds = sorted(self.detections[k] for k in self.detections if self.up[k[1]])
+        result.missed_count = len(self.crashed_at) * live_count - len(result.detection_seconds)
+        result.false_death_count, result.packet_count = len(self.false_deaths), self.packet_count
+        result.packet_rate = self.packet_count / day.member_count / day.duration_seconds
+        result.quiet_packet_rate = result.packet_rate
+        if day.crash_times:
+            result.quiet_packet_rate = self.packets_before_crash / day.member_count / day.crash_times[0]
+        result.member_hours = day.member_count * day.duration_seconds / 3600
+        result.agreement = max(self.view_counts().values()) / live_count
+        result.wall_seconds = time.perf_counter() - started_at
+        return result
+
+    def are_views_complete(self) -> bool:
         """Whether each live member has each other in its view."""
         raise NotImplementedError
 
 
 class SwimNetwork(SimulatedNetwork):
-    """The service's own members."""
+    """A network of the service's own members."""
 
-    def __init__(self, day: MemberDay, seed: int, conf: MemberSettings = CONF) -> None:
+    def __init__(self, day: MemberDay, seed: int, settings: MemberSettings = MEMBER_SETTINGS) -> None:
+        """Create members that share a complete view."""
         super().__init__(day, seed)
-        self.place = {f"h:{n}": n for n in range(day.members)}
-        roster = MembershipSnapshot(MemberRecord(f"m{n}", f"h:{n}", 1) for n in range(day.members))
+        self.number_by_address = {f"h:{n}": n for n in range(day.member_count)}
+        snapshot = MembershipSnapshot(MemberRecord(f"m{n}", f"h:{n}", 1) for n in range(day.member_count))
         self.members: list[Member] = []
         self.ticks: list[Ticks] = []
-        for n in range(day.members):
-            made = Member(
-                conf, f"m{n}", f"h:{n}", random.Random(self.luck.random()), self.events.now, 1, roster
+        for n in range(day.member_count):
+            member = Member(
+                settings, f"m{n}", f"h:{n}", random.Random(self.rng.random()), self.events.now, 1, snapshot
             )
-            made.on_changed = lambda change, n=n: self._changed(n, change)  # type: ignore[misc]
-            self.members.append(made)
-            ticks = Ticks(self.events, made.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
-            made.context.timers.on_earlier_due = ticks.arm
+            member.on_changed = lambda change, n=n: self._on_changed(n, change)  # type: ignore[misc]
+            self.members.append(member)
+            ticks = Ticks(self.events, member.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
+            member.context.timers.on_earlier_due = ticks.arm
             self.ticks.append(ticks)
             ticks.arm()
 
-    def _changed(self, observer: int, change: MembershipChange) -> None:
+    def _on_changed(self, observer: int, change: MembershipChange) -> None:
         if change.record.state == MemberState.DEAD:
-            self.called_dead(observer, int(change.record.name[1:]), change.record.incarnation)
+            self.record_death(observer, int(change.record.name[1:]), change.record.incarnation)
 
     def _tick(self, number: int) -> None:
         if self.up[number]:
@@ -158,10 +196,11 @@
             self._flush(number)
 
     def _flush(self, number: int) -> None:
+        """Send the packets that a member has queued."""
         member = self.members[number]
-        for to, packet in member.take_outgoing():
-            receiver = self.place[to]
-            self.carry(number, receiver, self._receive, receiver, packet)
+        for address, packet in member.take_outgoing():
+            receiver = self.number_by_address[address]
+            self.send(number, receiver, self._receive, receiver, packet)
 
     def _receive(self, number: int, packet: Datagram) -> None:
         if self.up[number]:
@@ -169,57 +208,72 @@
             self._flush(number)
 
     def crash(self, number: int) -> None:
+        """Crash a member and clear its timers."""
         super().crash(number)
         self.members[number].context.timers.heap.clear()
 
-    def views(self) -> Counter[object]:
+    def view_counts(self) -> Counter[object]:
+        """How many live members hold each view, by its digest."""
         return Counter(m.view.digest for n, m in enumerate(self.members) if self.up[n])
 
-    def whole(self) -> bool:
+    def are_views_complete(self) -> bool:
+        """Whether each live member has each other in its view."""
         return all(m.view.present_count == sum(self.up) for n, m in enumerate(self.members) if self.up[n])
 
 
 class HeartbeatNetwork(SimulatedNetwork):
-    """All to all, with a fixed time-out: what it is measured against."""
+    """Baseline: heartbeats from each member to each other, with a fixed timeout."""
 
     def __init__(self, day: MemberDay, seed: int) -> None:
+        """Start the heartbeats of each member at a random time within the first interval."""
         super().__init__(day, seed)
-        now, count = self.events.now, day.members
-        self.heard = [[now] * count for _ in range(count)]
-        self.dead = [set[int]() for _ in range(count)]
+        now, count = self.events.now, day.member_count
+        self.last_heartbeat_at = [[now] * count for _ in range(count)]  # by observer and sender
+        self.dead = [set[int]() for _ in range(count)]  # by observer
         for n in range(count):
-            self.events.at(now + BEAT * self.luck.random(), self._beat, n)
+            self.events.at(now + HEARTBEAT_INTERVAL_SECONDS * self.rng.random(), self._send_heartbeats, n)
 
-    def _beat(self, number: int) -> None:
+    def _send_heartbeats(self, number: int) -> None:
+        """Send a heartbeat to each other member, and declare those dead whose timeout is over."""
         if not self.up[number]:
             return
         now = self.events.now
-        for other in range(self.day.members):
+        for other in range(self.day.member_count):
             if other == number:
                 continue
-            self.carry(number, other, self._receive, number, other)
-            if now - self.heard[number][other] > SILENCE and other not in self.dead[number]:
+            self.send(number, other, self._receive, number, other)
+            if (
+                now - self.last_heartbeat_at[number][other] > HEARTBEAT_TIMEOUT_SECONDS
+                and other not in self.dead[number]
+            ):
                 self.dead[number].add(other)
-                self.called_dead(number, other, int(self.heard[number][other] * 1000))
-        self.events.at(now + BEAT, self._beat, number)
+                self.record_death(number, other, int(self.last_heartbeat_at[number][other] * 1000))
+        self.events.at(now + HEARTBEAT_INTERVAL_SECONDS, self._send_heartbeats, number)
 
     def _receive(self, sender: int, receiver: int) -> None:
-        self.heard[receiver][sender] = self.events.now
+        self.last_heartbeat_at[receiver][sender] = self.events.now
         self.dead[receiver].discard(sender)
 
-    def views(self) -> Counter[object]:
-        return Counter(frozenset(self.dead[n]) for n in range(self.day.members) if self.up[n])
+    def view_counts(self) -> Counter[object]:
+        """How many live members hold each set of dead members."""
+        return Counter(frozenset(self.dead[n]) for n in range(self.day.member_count) if self.up[n])
 
-    def whole(self) -> bool:
-        return not any(self.dead[n] for n in range(self.day.members) if self.up[n])
+    def are_views_complete(self) -> bool:
+        """Whether no live member holds any other for dead."""
+        return not any(self.dead[n] for n in range(self.day.member_count) if self.up[n])
 
 
 def simulate(job: tuple[str, MemberDay, int]) -> MemberResult:
+    """Simulate a day.
+
+    Args:
+        job: ``swim`` or, for the baseline, ``beats``; the day; and the seed.
+    """
     kind, day, seed = job
     return (SwimNetwork if kind == "swim" else HeartbeatNetwork)(day, seed).run()
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The value that so large a share does not pass; infinite for none."""
+    """The value that a share of the values doesn't exceed; infinite for no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else float("inf")
--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -1,4 +1,4 @@
-"""The experiment on membership: real processes in the rig, the model beside them, and plain heartbeats."""
+"""Membership experiment: real processes, the same scenarios in simulation, and plain heartbeats."""
 
 from __future__ import annotations
 
@@ -10,132 +10,181 @@
 from saltcart.lab.faults import plays
 from saltcart.lab.members import MemberDay, MemberResult, percentile
 
-EVERY = 7.0  # seconds between two crashes of the model's twin of the processes' play
-TWIN = MemberDay("crash", 25, 4.0 + 60 * EVERY, tuple(4.0 + n * EVERY for n in range(20)))
-LARGE = (1_000, 10_000)
-LOSSY_S = {True: 300.0, False: 5_400.0}  # seconds of each play with packets lost, by --quick
-LOSSY = {True: 4, False: 28}  # and how many plays
+CRASH_INTERVAL_SECONDS = 7.0  # in the day that simulates the real processes' crashes
+SMALL_CRASH_DAY = MemberDay(
+    "crash",
+    25,
+    4.0 + 60 * CRASH_INTERVAL_SECONDS,
+    tuple(4.0 + n * CRASH_INTERVAL_SECONDS for n in range(20)),
+)
+LARGE_FLEET_SIZES = (1_000, 10_000)
+# Both by whether the experiment is run with --quick.
+LOSSY_DAY_SECONDS = {True: 300.0, False: 5_400.0}
+LOSSY_DAY_COUNT = {True: 4, False: 28}
 
 
-SPLIT = MemberDay("split", 5, 60.0, split=(5.0, 25.0))
-SLOW = MemberDay("slow", 9, 60.0, slow=0.05)
+PARTITION_DAY = MemberDay("split", 5, 60.0, partition=(5.0, 25.0))
+SLOW_MEMBER_DAY = MemberDay("slow", 9, 60.0, slow_member_delay=0.05)
 
 
-def large(count: int, quick: bool) -> MemberDay:
-    """Ten thousand with a crash take a core for minutes: quickly they are only looked at in peace."""
-    if quick and count == max(LARGE):
-        return MemberDay("quiet", count, 3.0)
-    return MemberDay("crash", count, 11.0, (3.0,))
+def large_day(member_count: int, quick: bool) -> MemberDay:
+    """A day of a large fleet.
 
+    A crash among ten thousand members uses a core for minutes, so a quick run of that size has none.
+    """
+    if quick and member_count == max(LARGE_FLEET_SIZES):
+        return MemberDay("quiet", member_count, 3.0)
+    return MemberDay("crash", member_count, 11.0, (3.0,))
 
-def jobs(quick: bool, seed: int) -> list[tuple[str, MemberDay, int]]:
-    loss = MemberDay("loss", 25, LOSSY_S[quick], loss=0.3)
-    out = [("swim", large(count, quick), seed) for count in reversed(LARGE)]
-    out += [("swim", loss, seed * 100 + n) for n in range(LOSSY[quick])]
-    out += [("swim", TWIN, seed), ("beats", TWIN, seed), ("beats", loss, seed)]
-    out += [(kind, day, seed) for kind in ("swim", "beats") for day in (SPLIT, SLOW)]
-    return [*out, ("beats", MemberDay("crash", 200, 11.0, (3.0,)), seed)]
 
+def simulation_jobs(quick: bool, seed: int) -> list[tuple[str, MemberDay, int]]:
+    """The simulated days as jobs of ``members.simulate``, the longest first."""
+    lossy_day = MemberDay("loss", 25, LOSSY_DAY_SECONDS[quick], loss_rate=0.3)
+    jobs = [("swim", large_day(count, quick), seed) for count in reversed(LARGE_FLEET_SIZES)]
+    jobs += [("swim", lossy_day, seed * 100 + n) for n in range(LOSSY_DAY_COUNT[quick])]
+    jobs += [("swim", SMALL_CRASH_DAY, seed), ("beats", SMALL_CRASH_DAY, seed), ("beats", lossy_day, seed)]
+    jobs += [(kind, day, seed) for kind in ("swim", "beats") for day in (PARTITION_DAY, SLOW_MEMBER_DAY)]
+    return [*jobs, ("beats", MemberDay("crash", 200, 11.0, (3.0,)), seed)]
 
-Truth = dict[str, dict[str, Sequence[float]]]
 
+Curves = dict[str, dict[str, Sequence[float]]]
 
-def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], Truth]:
-    """The table, the figures, and by second the share of true views in each play of the processes."""
-    # The processes are in real time and need little; the model's plays take what is left.
-    with ProcessPoolExecutor(len(plays.PLAYS)) as real, ProcessPoolExecutor(6) as other:
-        started = {p.name: real.submit(plays.play, (n, seed + 1000 * n)) for n, p in enumerate(plays.PLAYS)}
-        modelled: list[tuple[tuple[str, MemberDay, int], Future[MemberResult]]] = [
-            (job, other.submit(model.simulate, job)) for job in jobs(quick, seed)
+
+def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], Curves]:
+    """Run the experiment.
+
+    Args:
+        quick: Whether to simulate fewer and shorter days.
+        seed: Seed of all random draws.
+
+    Returns:
+        The table, the figures, and by second the share of correct views in each scenario of real processes.
+    """
+    # The real processes run in real time and use little of the machine; simulations use the other cores.
+    with ProcessPoolExecutor(len(plays.PLAYS)) as rig_pool, ProcessPoolExecutor(6) as model_pool:
+        rig_futures = {
+            p.name: rig_pool.submit(plays.play, (n, seed + 1000 * n)) for n, p in enumerate(plays.PLAYS)
+        }
+        model_futures: list[tuple[tuple[str, MemberDay, int], Future[MemberResult]]] = [
+            (job, model_pool.submit(model.simulate, job)) for job in simulation_jobs(quick, seed)
         ]
-        told = {name: future.result() for name, future in started.items()}
-        seen = [(job, future.result()) for job, future in modelled]
+        rig_results = {name: future.result() for name, future in rig_futures.items()}
+        model_results = [(job, future.result()) for job, future in model_futures]
     rows = [["play", "members", "p50 s", "p99 s", "missed", "deaths", "hours", "pkt/s", "agree", "settled s"]]
     for p in plays.PLAYS:
-        t = told[p.name]
+        rig_result = rig_results[p.name]
         rows.append(
             [
                 "processes: " + p.name,
                 str(p.members),
-                *_spans(t.detected),
-                str(t.missed),
-                str(t.deaths),
-                f"{t.hours:.2f}",
-                "-" if t.quiet is None else f"{t.quiet:.2f}",
-                str(int(t.settled)),
-                "-" if t.converged is None else f"{t.converged:.1f}",
+                *_percentile_cells(rig_result.detected),
+                str(rig_result.missed),
+                str(rig_result.deaths),
+                f"{rig_result.hours:.2f}",
+                "-" if rig_result.quiet is None else f"{rig_result.quiet:.2f}",
+                str(int(rig_result.settled)),
+                "-" if rig_result.converged is None else f"{rig_result.converged:.1f}",
             ]
         )
-    for (kind, day, _), s in seen:
+    for (kind, day, _), result in model_results:
         rows.append(
             [
                 f"{kind}: {day.name}",
-                str(day.members),
-                *_spans(s.detection_seconds),
-                str(s.missed_count),
-                str(s.false_death_count),
-                f"{s.hours:.2f}",
-                f"{s.quiet_packet_rate:.2f}",
-                f"{s.agreement:.3f}",
-                "-" if s.convergence_seconds is None else f"{s.convergence_seconds:.1f}",
+                str(day.member_count),
+                *_percentile_cells(result.detection_seconds),
+                str(result.missed_count),
+                str(result.false_death_count),
+                f"{result.member_hours:.2f}",
+                f"{result.quiet_packet_rate:.2f}",
+                f"{result.agreement:.3f}",
+                "-" if result.convergence_seconds is None else f"{result.convergence_seconds:.1f}",
             ]
         )
-    return rows, figures(told, seen, quick, seed), {name: {"true views": t.truth} for name, t in told.items()}
+    return (
+        rows,
+        figures(rig_results, model_results, quick, seed),
+        {name: {"true views": rig_result.truth} for name, rig_result in rig_results.items()},
+    )
 
 
-def _spans(values: list[float]) -> tuple[str, str]:
-    if not values:
+def _percentile_cells(seconds: list[float]) -> tuple[str, str]:
+    """The median and the 99th percentile as table cells."""
+    if not seconds:
         return "-", "-"
-    return f"{percentile(values, 0.5):.2f}", f"{percentile(values, 0.99):.2f}"
+    return f"{percentile(seconds, 0.5):.2f}", f"{percentile(seconds, 0.99):.2f}"
 
 
 def figures(
-    told: dict[str, plays.Told],
-    seen: list[tuple[tuple[str, MemberDay, int], MemberResult]],
+    rig_results: dict[str, plays.Told],
+    model_results: list[tuple[tuple[str, MemberDay, int], MemberResult]],
     quick: bool,
     seed: int,
 ) -> dict[str, Any]:
-    def of(kind: str, name: str, members: int) -> list[MemberResult]:
-        return [s for (k, day, _), s in seen if (k, day.name, day.members) == (kind, name, members)]
-
-    (twin,), (beats,), (split,) = of("swim", "crash", 25), of("beats", "crash", 25), of("swim", "split", 5)
-    (beats_split,), (beats_large,) = of("beats", "split", 5), of("beats", "crash", 200)
-    loss, beats_loss = of("swim", "loss", 25), of("beats", "loss", 25)
-    sizes = {day.members: s for (kind, day, _), s in seen if kind == "swim" and day.members in LARGE}
-    crashes = [told[name] for name in ("crash 25", "crash 25 again")]
-    detected = [s for t in crashes for s in t.detected]
-    quiet = _mean([t.quiet for t in crashes if t.quiet is not None])
-    hours = sum(s.hours for s in loss) + sum(t.hours for t in told.values())
-    deaths = sum(s.false_death_count for s in loss) + sum(t.deaths for t in told.values())
-    gaps = [_apart(_mean(detected), _mean(twin.detection_seconds)), _apart(quiet, twin.quiet_packet_rate)]
+    """Figures of the experiment's JSON object.
+
+    Args:
+        rig_results: Results of the real processes by scenario.
+        model_results: Results of the simulation with their jobs.
+        quick: Whether the experiment was run with --quick.
+        seed: Seed of all random draws.
+    """
+
+    def select(kind: str, name: str, member_count: int) -> list[MemberResult]:
+        return [
+            result
+            for (k, day, _), result in model_results
+            if (k, day.name, day.member_count) == (kind, name, member_count)
+        ]
+
+    (swim_crash,), (beats_crash,), (swim_partition,) = (
+        select("swim", "crash", 25),
+        select("beats", "crash", 25),
+        select("swim", "split", 5),
+    )
+    (beats_partition,), (beats_large,) = select("beats", "split", 5), select("beats", "crash", 200)
+    swim_lossy, beats_lossy = select("swim", "loss", 25), select("beats", "loss", 25)
+    large_fleets = {
+        day.member_count: result
+        for (kind, day, _), result in model_results
+        if kind == "swim" and day.member_count in LARGE_FLEET_SIZES
+    }
+    rig_crashes = [rig_results[name] for name in ("crash 25", "crash 25 again")]
+    detection_seconds = [seconds for r in rig_crashes for seconds in r.detected]
+    quiet_packet_rate = _mean([r.quiet for r in rig_crashes if r.quiet is not None])
+    member_hours = sum(r.member_hours for r in swim_lossy) + sum(r.hours for r in rig_results.values())
+    false_deaths = sum(r.false_death_count for r in swim_lossy) + sum(r.deaths for r in rig_results.values())
+    model_gaps = [
+        _relative_difference(_mean(detection_seconds), _mean(swim_crash.detection_seconds)),
+        _relative_difference(quiet_packet_rate, swim_crash.quiet_packet_rate),
+    ]
     return {
-        "detect_p99_s": round(percentile(detected, 0.99), 2),
-        "detect_p99_s_heartbeats": round(percentile(beats.detection_seconds, 0.99), 2),
-        "crashes": len(detected) // 24,
-        "missed": sum(t.missed for t in told.values()),
-        "false_positive_rate": round(deaths / hours, 5),
-        "false_positive_hours": round(hours, 1),
+        "detect_p99_s": round(percentile(detection_seconds, 0.99), 2),
+        "detect_p99_s_heartbeats": round(percentile(beats_crash.detection_seconds, 0.99), 2),
+        "crashes": len(detection_seconds) // 24,
+        "missed": sum(r.missed for r in rig_results.values()),
+        "false_positive_rate": round(false_deaths / member_hours, 5),
+        "false_positive_hours": round(member_hours, 1),
         "false_positive_rate_heartbeats": round(
-            sum(s.false_death_count for s in beats_loss) / sum(s.hours for s in beats_loss), 1
+            sum(r.false_death_count for r in beats_lossy) / sum(r.member_hours for r in beats_lossy), 1
         ),
-        "converge_s": None if (c := told["partition 5"].converged) is None else round(c, 2),
-        "converge_s_model": split.convergence_seconds,
-        "converge_s_heartbeats": beats_split.convergence_seconds,
-        "join_s": None if (c := told["join 15"].converged) is None else round(c, 2),
-        "refuted": told["pause 5"].refuted,
-        "views_agree": int(all(t.settled for t in told.values())),
-        "msgs_per_member_s": round(twin.quiet_packet_rate, 2),
-        "msgs_growth": round(sizes[10_000].quiet_packet_rate / twin.quiet_packet_rate, 3),
+        "converge_s": None if (s := rig_results["partition 5"].converged) is None else round(s, 2),
+        "converge_s_model": swim_partition.convergence_seconds,
+        "converge_s_heartbeats": beats_partition.convergence_seconds,
+        "join_s": None if (s := rig_results["join 15"].converged) is None else round(s, 2),
+        "refuted": rig_results["pause 5"].refuted,
+        "views_agree": int(all(r.settled for r in rig_results.values())),
+        "msgs_per_member_s": round(swim_crash.quiet_packet_rate, 2),
+        "msgs_growth": round(large_fleets[10_000].quiet_packet_rate / swim_crash.quiet_packet_rate, 3),
         "msgs_per_member_s_heartbeats": {
-            "25": round(beats.quiet_packet_rate, 1),
+            "25": round(beats_crash.quiet_packet_rate, 1),
             "200": round(beats_large.quiet_packet_rate, 1),
         },
         "detect_p99_s_model": {
-            str(count): round(percentile(s.detection_seconds, 0.99), 2)
-            for count, s in (*sizes.items(), (25, twin))
-            if s.detection_seconds
+            str(count): round(percentile(result.detection_seconds, 0.99), 2)
+            for count, result in (*large_fleets.items(), (25, swim_crash))
+            if result.detection_seconds
         },
-        "model_gap": round(max(gaps), 3),
+        "model_gap": round(max(model_gaps), 3),
         "seed": seed,
         "quick": quick,
     }
@@ -145,5 +194,5 @@
     return sum(values) / max(1, len(values))
 
 
-def _apart(a: float, b: float) -> float:
-    return abs(a - b) / max(1e-9, b)
+def _relative_difference(value: float, reference: float) -> float:
+    return abs(value - reference) / max(1e-9, reference)
--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -189,7 +189,7 @@
             fleet.load,
             0.0,
         )
-        self.router.on_plan_changed = lambda plan, number, author: fleet.record_plan(plan)
+        self.router.on_plan_changed = lambda plan, version, author: fleet.record_plan(plan)
         self.record_arrival = self.router.record_arrival  # type: ignore[method-assign]
         self.record_outcome = self.router.record_outcome  # type: ignore[method-assign, assignment]
 
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -1,4 +1,4 @@
-"""The model of large fleets, its baseline, and what the experiment on membership makes of plays."""
+"""Tests of simulated memberships, their heartbeat baseline, and the experiment on data structures."""
 
 from __future__ import annotations
 
@@ -17,42 +17,52 @@
 
 
 def simulate(kind: str, day: MemberDay, seed: int = 1) -> MemberResult:
+    """Simulate a day of the service's members (``swim``) or of heartbeats (``beats``)."""
     return model.simulate((kind, day, seed))
 
 
-CRASH = MemberDay("crash", 40, 14.0, (2.0, 3.0))
+CRASH_DAY = MemberDay("crash", 40, 14.0, (2.0, 3.0))
 
 
-def test_the_same_play_twice_is_the_same_and_another_seed_another() -> None:
-    first, again, other = simulate("swim", CRASH), simulate("swim", CRASH), simulate("swim", CRASH, 2)
-    assert (first.detection_seconds, first.packets) == (again.detection_seconds, again.packets)
+def test_a_simulation_depends_on_its_seed_alone() -> None:
+    first, again, other = (
+        simulate("swim", CRASH_DAY),
+        simulate("swim", CRASH_DAY),
+        simulate("swim", CRASH_DAY, 2),
+    )
+    assert (first.detection_seconds, first.packet_count) == (again.detection_seconds, again.packet_count)
     assert first.detection_seconds != other.detection_seconds
 
 
-def test_crashes_are_known_to_all_and_the_views_agree() -> None:
-    seen = simulate("swim", CRASH)
-    assert (seen.missed_count, seen.false_death_count, seen.agreement) == (0, 0, 1.0) and len(
-        seen.detection_seconds
+def test_all_members_detect_a_crash_and_their_views_agree() -> None:
+    result = simulate("swim", CRASH_DAY)
+    assert (result.missed_count, result.false_death_count, result.agreement) == (0, 0, 1.0) and len(
+        result.detection_seconds
     ) == 2 * 38
-    assert percentile(seen.detection_seconds, 0.99) < 6
+    assert percentile(result.detection_seconds, 0.99) < 6
 
 
-def test_what_is_sent_in_quiet_times_does_not_grow_with_the_fleet() -> None:
-    rates = [simulate("swim", MemberDay("quiet", count, 6.0)).quiet_packet_rate for count in (25, 400)]
-    assert rates[1] / rates[0] < 1.1
-    beats = [simulate("beats", MemberDay("quiet", count, 3.0)).quiet_packet_rate for count in (25, 100)]
-    assert beats[1] / beats[0] > 3.5
+def test_the_packet_rate_of_a_member_does_not_grow_with_the_fleet() -> None:
+    swim_rates = [simulate("swim", MemberDay("quiet", count, 6.0)).quiet_packet_rate for count in (25, 400)]
+    assert swim_rates[1] / swim_rates[0] < 1.1
+    heartbeat_rates = [
+        simulate("beats", MemberDay("quiet", count, 3.0)).quiet_packet_rate for count in (25, 100)
+    ]
+    assert heartbeat_rates[1] / heartbeat_rates[0] > 3.5
 
 
-def test_lost_packets_make_heartbeats_kill_the_healthy_and_not_us() -> None:
-    day = MemberDay("loss", 15, 40.0, loss=0.3)
+def test_packet_loss_makes_heartbeats_declare_healthy_members_dead_but_not_the_service() -> None:
+    day = MemberDay("loss", 15, 40.0, loss_rate=0.3)
     assert simulate("swim", day).false_death_count == 0 and simulate("beats", day).false_death_count > 10
 
 
-def test_without_the_rule_of_trying_oneself_and_without_waiting_the_healthy_die(
+def test_without_confirming_probes_and_suspicion_timeouts_healthy_members_are_declared_dead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A suspicion that nobody may shorten or clear by trying on is what the guards are held against."""
+    """Removes both guards against packet loss, to show that false deaths occur without them.
+
+    Members don't keep probing a suspected member, and a suspicion ends after one fixed timeout.
+    """
 
     def declare_dead(self: SuspicionTracker, name: str, suspicion: Suspicion) -> None:
         if self.suspicions.get(name) is suspicion:
@@ -60,29 +70,35 @@
 
     monkeypatch.setattr(SuspicionTracker, "_keep_probing", lambda *_: None)
     monkeypatch.setattr(SuspicionTracker, "_on_timeout", declare_dead)
-    conf = MemberSettings("127.0.0.1:0", "model", suspect_for=1.0, suspect_most=1.0)
-    net = model.SwimNetwork(MemberDay("loss", 15, 60.0, loss=0.4), 1, conf)
-    assert net.run().false_death_count > 0
+    settings = MemberSettings("127.0.0.1:0", "model", suspect_for=1.0, suspect_most=1.0)
+    network = model.SwimNetwork(MemberDay("loss", 15, 60.0, loss_rate=0.4), 1, settings)
+    assert network.run().false_death_count > 0
 
 
-def test_a_split_fleet_agrees_again() -> None:
-    seen = simulate("swim", MemberDay("split", 10, 50.0, split=(3.0, 23.0)))
-    assert seen.convergence_seconds is not None and seen.convergence_seconds < 10 and seen.agreement == 1.0
+def test_views_agree_again_after_a_partition() -> None:
+    result = simulate("swim", MemberDay("split", 10, 50.0, partition=(3.0, 23.0)))
+    assert (
+        result.convergence_seconds is not None and result.convergence_seconds < 10 and result.agreement == 1.0
+    )
 
 
-def test_members_on_a_shared_roster_change_nothing_of_each_other() -> None:
-    net = model.SwimNetwork(MemberDay("quiet", 6, 1.0), 1)
-    one, other = net.members[0].view, net.members[1].view
-    record = one.get("m5")
+def test_members_that_share_a_snapshot_do_not_change_each_others_views() -> None:
+    network = model.SwimNetwork(MemberDay("quiet", 6, 1.0), 1)
+    view, other_view = network.members[0].view, network.members[1].view
+    record = view.get("m5")
     assert record is not None
-    one.merge(record.reported_as(MemberState.DEAD, "m0"), net.events.now)
-    held = other.get("m5")
-    assert held is not None and held.state == MemberState.ALIVE and one.digest != other.digest
-
-
-def test_the_structures_are_smaller_or_quicker_than_plain_ones() -> None:
-    ran = CliRunner().invoke(cli, ["lab", "run", "views", "--quick"])
-    figures = json.loads(ran.output.splitlines()[-1])
+    view.merge(record.reported_as(MemberState.DEAD, "m0"), network.events.now)
+    other_record = other_view.get("m5")
+    assert (
+        other_record is not None
+        and other_record.state == MemberState.ALIVE
+        and view.digest != other_view.digest
+    )
+
+
+def test_the_data_structures_are_smaller_or_faster_than_plain_ones() -> None:
+    outcome = CliRunner().invoke(cli, ["lab", "run", "views", "--quick"])
+    figures = json.loads(outcome.output.splitlines()[-1])
     assert figures["view_bytes_each"] < figures["view_bytes_each_plain"] / 3
     assert figures["turn_bytes"] < figures["turn_bytes_plain"] / 10
     assert figures["digest_ns_each"] < figures["digest_ns_each_plain"] / 10
