--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -17,19 +17,19 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    buffer, parser = Buffer(), ajp.RequestParser(max_body=65536)
+    buffer, parser = Buffer(), ajp.AjpRequestParser(max_body=65536)
     try:
         while data := await reader.read(4096):
             buffer.write(data)
             while (message := parser.next(buffer)) is not None:
                 if isinstance(message, ajp.CPing):
                     writer.write(ajp.CPONG_PACKET)
-                elif isinstance(message, ajp.MoreBody):
+                elif isinstance(message, ajp.GetBodyChunkPacket):
                     writer.write(message.data)
                 else:
                     await asyncio.sleep(WORK)
                     print(message.uri.decode(), message.headers.get(b"account", b"-").decode(), flush=True)
-                    writer.write(ajp.response(200, b"OK", [], message.body.upper(), True))
+                    writer.write(ajp.encode_response(200, b"OK", [], message.body.upper(), True))
     except (ConnectionError, MalformedMessageError):
         pass
     finally:
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -13,7 +13,7 @@
 class AdminConnection(ServerConnection):
     def __init__(self, listener: Listener, api: Api) -> None:
         super().__init__(listener, limit=2 * MAX_BODY)
-        self.api, self.parser = api, http1.RequestParser(MAX_BODY)
+        self.api, self.parser = api, http1.HttpRequestParser(MAX_BODY)
 
     def received(self) -> None:
         self.awaits()
@@ -35,6 +35,6 @@
 
     def _write(self, status: int, body: bytes, fields: dict[str, str], keep_alive: bool) -> None:
         kind = {"Content-Type": "application/json"} if body else {}
-        self.send(http1.response(status, body, tuple({**kind, **fields}.items()), not keep_alive))
+        self.send(http1.encode_response(status, body, tuple({**kind, **fields}.items()), not keep_alive))
         if not keep_alive:
             self.end()
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -19,7 +19,7 @@
 from saltcart.deployment import Deployment
 from saltcart.field_reader import InvalidFieldError
 from saltcart.front.ajp import AjpConnection
-from saltcart.front.control import CONNECTIONS as CONTROL_CONNECTIONS
+from saltcart.front.control import MAX_CONNECTIONS as CONTROL_CONNECTIONS
 from saltcart.front.control import ControlConnection
 from saltcart.front.http import HttpConnection
 from saltcart.net.announcer import Announcer
--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -12,7 +12,7 @@
 class AjpConnection(FrontConnection):
     def __init__(self, listener: Listener, service: Service, secret: bytes = b"") -> None:
         super().__init__(listener, service)
-        self.parser = ajp.RequestParser(MAX_BODY, secret)
+        self.parser = ajp.AjpRequestParser(MAX_BODY, secret)
 
     def partial(self) -> bool:
         return self.parser.request is not None or super().partial()
@@ -34,7 +34,7 @@
             case ajp.CPing():
                 self.send(ajp.CPONG_PACKET)
                 self.rests()
-            case ajp.MoreBody(data):
+            case ajp.GetBodyChunkPacket(data):
                 self.send(data)
             case ajp.ForwardRequest():
                 self.dispatch(message.method, message.uri, message.headers, message.body)
@@ -42,9 +42,9 @@
 
     def write(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
         self.send(
-            ajp.response(
+            ajp.encode_response(
                 status,
-                http1.REASONS.get(status, b"Unknown"),
+                http1.REASON_PHRASES.get(status, b"Unknown"),
                 [(name.encode(), value.encode()) for name, value in fields],
                 body,
                 self.keep_alive,
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -8,7 +8,7 @@
 from saltcart.core.messages import FinalResponse, InvalidRequestError, ResponseStatus
 from saltcart.core.service import Service
 from saltcart.decision.connection_admission import ConnectionAdmission
-from saltcart.front.fields import read_ask
+from saltcart.front.fields import parse_request
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire.errors import MalformedMessageError
 
@@ -18,7 +18,7 @@
 Fields = tuple[tuple[str, str], ...]
 
 
-def answer_fields(answer: FinalResponse) -> Fields:
+def response_headers(answer: FinalResponse) -> Fields:
     """The fields that an answer carries, the same on every front."""
     fields = []
     if answer.load_level is not None:
@@ -75,7 +75,7 @@
             answer = FinalResponse(
                 ResponseStatus.REJECTED, retry_after_seconds=back.retry_after, is_final=back.is_final
             )
-            self.cut_off(503, b"", answer_fields(answer))
+            self.cut_off(503, b"", response_headers(answer))
             return False
         self.entered, self.last = True, entry is ConnectionAdmission.READ_LAST
         return True
@@ -186,7 +186,7 @@
         self.carries()
         path = target.partition(b"?")[0]
         if path == b"/ping":
-            hint = answer_fields(FinalResponse(ResponseStatus.SERVED, load_level=self.service.load_level))
+            hint = response_headers(FinalResponse(ResponseStatus.SERVED, load_level=self.service.load_level))
             self.respond(200 if self.service.is_healthy else 503, b"", hint)
         elif not path.startswith(b"/call/"):
             self.respond(404)
@@ -194,7 +194,7 @@
             self.respond(405, b"", (("Allow", "POST"),))
         else:
             try:
-                ask = read_ask(path, headers, body, self.service)
+                ask = parse_request(path, headers, body, self.service)
                 ask.admitted_last = self.last
                 self.open = self.taking = True
                 number = self.service.submit(ask, self.reply)
@@ -214,7 +214,7 @@
             )
         if self.service.idle_timeout < CLOSE_ON_ANSWER:
             self.keep_alive = False
-        self.respond(STATUS[answer.status], answer.body, answer_fields(answer))
+        self.respond(STATUS[answer.status], answer.body, response_headers(answer))
         self.hand_over()
         if not self.taking:
             self.continue_reading()
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -6,10 +6,10 @@
 
 from saltcart.core.service import Service
 from saltcart.net.listener import Listener, ServerConnection
-from saltcart.wire.control import next_call, statsd
+from saltcart.wire.control import statsd, take_command
 from saltcart.wire.errors import MalformedMessageError
 
-CONNECTIONS = 24  # beyond these the one that has been silent longest makes way
+MAX_CONNECTIONS = 24  # beyond these the one that has been silent longest makes way
 FIGURES = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
 
 
@@ -20,7 +20,7 @@
 
     def received(self) -> None:
         try:
-            call = next_call(self.buffer)
+            call = take_command(self.buffer)
             answer = None if call is None else self.answer(call)
         except MalformedMessageError as error:
             answer = f"ERR {error}\n"
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -50,7 +50,9 @@
         return text.decode("latin-1")
 
 
-def read_ask(path: bytes, headers: Mapping[bytes, bytes], body: bytes, service: Service) -> InboundRequest:
+def parse_request(
+    path: bytes, headers: Mapping[bytes, bytes], body: bytes, service: Service
+) -> InboundRequest:
     """Build the core's request from header fields; times are by the core's clock.
 
     ``InvalidRequestError`` names the field that is wrong.  Every figure is held to its range: one outside it
--- a/saltcart/front/http.py
+++ b/saltcart/front/http.py
@@ -12,7 +12,7 @@
 class HttpConnection(FrontConnection):
     def __init__(self, listener: Listener, service: Service) -> None:
         super().__init__(listener, service)
-        self.parser = http1.RequestParser(MAX_BODY)
+        self.parser = http1.HttpRequestParser(MAX_BODY)
 
     def partial(self) -> bool:
         return self.parser.head is not None or super().partial()
@@ -33,4 +33,4 @@
         return True
 
     def write(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
-        self.send(http1.response(status, body, fields, not self.keep_alive))
+        self.send(http1.encode_response(status, body, fields, not self.keep_alive))
--- a/saltcart/lab/faults/programs.py
+++ b/saltcart/lab/faults/programs.py
@@ -40,7 +40,7 @@
 
     def __init__(self, data: bytes) -> None:
         super().__init__()
-        self.data, self.parser, self.sent = data, http1.ResponseParser(1 << 20), False
+        self.data, self.parser, self.sent = data, http1.HttpResponseParser(1 << 20), False
         self.buffer.limit = 1 << 20
         self.answer: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
 
--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -17,7 +17,7 @@
 from saltcart.net.base import Connection
 from saltcart.wire import ajp
 from saltcart.wire.errors import MalformedMessageError
-from saltcart.wire.lines import LineReader, number
+from saltcart.wire.lines import LineReader, parse_number
 
 
 class Asked(NamedTuple):
@@ -103,7 +103,7 @@
 
     def __init__(self, owner: StandIn) -> None:
         super().__init__(owner)
-        self.parser = ajp.RequestParser(1 << 16)
+        self.parser = ajp.AjpRequestParser(1 << 16)
 
     def received(self) -> None:
         try:
@@ -111,7 +111,7 @@
                 match message:
                     case ajp.CPing():
                         self.send(ajp.CPONG_PACKET)
-                    case ajp.MoreBody(data):
+                    case ajp.GetBodyChunkPacket(data):
                         self.send(data)
                     case ajp.ForwardRequest():
                         named = message.headers
@@ -127,7 +127,9 @@
             self.abort()
 
     def answer(self, asked: Asked, act: Act) -> bytes:
-        return ajp.response(self.STATUS[act.kind], b"R", [], act.body if act.kind == "ok" else b"", True)
+        return ajp.encode_response(
+            self.STATUS[act.kind], b"R", [], act.body if act.kind == "ok" else b"", True
+        )
 
 
 class IndexStandIn(StandIn):
@@ -140,14 +142,14 @@
 
     def __init__(self, owner: StandIn) -> None:
         super().__init__(owner)
-        self.reader = LineReader(lambda words: number(words, 3) if words[0] == b"GET" else None)
+        self.reader = LineReader(lambda words: parse_number(words, 3) if words[0] == b"GET" else None)
 
     def received(self) -> None:
         try:
             while (found := self.reader.next(self.buffer)) is not None:
                 words, body = found
                 if words[0] == b"GET":
-                    self.take(Asked(words[1], b"", body, number(words, 2)))
+                    self.take(Asked(words[1], b"", body, parse_number(words, 2)))
                 else:
                     self.owner.given_up.append(words[1])
         except MalformedMessageError:
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -47,17 +47,17 @@
 
     def __init__(self, member: AjpMember) -> None:
         super().__init__()
-        self.member, self.parser = member, ajp.ResponseParser(MAX_RESULT)
-        self.answer: asyncio.Future[ajp.Response | ajp.Pong] | None = None
+        self.member, self.parser = member, ajp.AjpResponseParser(MAX_RESULT)
+        self.answer: asyncio.Future[ajp.AjpResponse | ajp.CPong] | None = None
         self.body = b""  # what the member has not asked for yet
         self.used = 0.0
 
     def received(self) -> None:
         try:
             while (message := self.parser.next(self.buffer)) is not None:
-                if isinstance(message, ajp.WantBody):
+                if isinstance(message, ajp.GetBodyChunk):
                     part, self.body = self.body[: message.size], self.body[message.size :]
-                    self.send(ajp.body_packet(part))
+                    self.send(ajp.encode_body_packet(part))
                 elif self.answer is not None and not self.answer.done():
                     self.answer.set_result(message)
                 else:
@@ -71,7 +71,7 @@
         if self.answer is not None and not self.answer.done():
             self.answer.set_exception(ConnectionResetError("the member closed the connection"))
 
-    async def ask(self, data: bytes, wait: float) -> ajp.Response | ajp.Pong:
+    async def ask(self, data: bytes, wait: float) -> ajp.AjpResponse | ajp.CPong:
         if self.transport is None:
             raise ConnectionResetError("the member closed the connection")
         self.answer = asyncio.get_running_loop().create_future()
@@ -200,7 +200,7 @@
 
     async def _forward(
         self, member: AjpMember, ident: bytes, klass: str, account: str, body: bytes, once: bool, until: float
-    ) -> ajp.Response:
+    ) -> ajp.AjpResponse:
         member.open += 1
         connection: MemberConnection | None = None
         try:
@@ -213,14 +213,15 @@
                 (b"Budget-Ms", b"%d" % max(1, left * 1000)),
                 (b"Content-Length", b"%d" % len(body)),
             ]
-            data = ajp.forward_request(
+            data = ajp.encode_forward_request(
                 b"POST", b"/call/" + klass.encode(), headers, host.encode(), port, member.secret
             )
-            connection.body = body[ajp.MAX_DATA :]
+            connection.body = body[ajp.MAX_BODY_DATA_BYTES :]
             answer = await connection.ask(
-                data + (ajp.body_packet(body[: ajp.MAX_DATA]) if body else b""), max(0.0, left)
+                data + (ajp.encode_body_packet(body[: ajp.MAX_BODY_DATA_BYTES]) if body else b""),
+                max(0.0, left),
             )
-            if not isinstance(answer, ajp.Response):
+            if not isinstance(answer, ajp.AjpResponse):
                 raise ConnectionResetError("a pong in the place of an answer")
             if answer.reuse and not (self.closed or connection.body or connection.transport is None):
                 connection.used = asyncio.get_running_loop().time()
@@ -238,7 +239,7 @@
         while member.idle:
             connection = member.idle.pop()
             try:
-                if not once or isinstance(await connection.ask(ajp.CPING_PACKET, PING_WAIT), ajp.Pong):
+                if not once or isinstance(await connection.ask(ajp.CPING_PACKET, PING_WAIT), ajp.CPong):
                     return connection
             except (OSError, TimeoutError):
                 pass
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -18,7 +18,7 @@
 class ReportConnection(Connection):
     def __init__(self) -> None:
         super().__init__()
-        self.parser = http1.ResponseParser(4096)
+        self.parser = http1.HttpResponseParser(4096)
         self.answer: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
 
     def received(self) -> None:
@@ -105,7 +105,7 @@
         connection = self.connection
         connection.answer = loop.create_future()
         body = orjson.dumps({"accepting": "true" if self.state else "false"})
-        connection.send(http1.request("PUT", f"/announce/{self.name}", self.peer, body))
+        connection.send(http1.encode_request("PUT", f"/announce/{self.name}", self.peer, body))
         response = await connection.answer
         if response.status != 204:
             raise ConnectionError(f"status {response.status}")
--- a/saltcart/net/base.py
+++ b/saltcart/net/base.py
@@ -23,7 +23,7 @@
         self.opened()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.space()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.commit(nbytes)
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -61,12 +61,14 @@
         try:
             for reply in self.parser.messages(self.buffer):
                 # A second copy, or a reply to what was given up or never asked, stands for nothing.
-                if self.call is not None and reply.ident == self.call.ident:
-                    self.client.ended(self.call, ENDS[reply.end], reply.body)
+                if self.call is not None and reply.request_id == self.call.ident:
+                    self.client.ended(self.call, ENDS[reply.status], reply.body)
         except MalformedMessageError as error:
             self.spoilt(str(error))
         else:
-            if self.parser.partial(self.buffer):  # a length that does not fit: what is missing never comes
+            if self.parser.has_partial_reply(
+                self.buffer
+            ):  # a length that does not fit: what is missing never comes
                 self.stall = asyncio.get_running_loop().call_later(STALL, self.spoilt, "reply stands still")
 
     def spoilt(self, why: str) -> None:
@@ -98,7 +100,7 @@
 
     def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
         self.cancel_call(ident)  # a second call for a request gives up the first
-        call = self.calls[ident] = Call(ident, wire.get(ident, limit, body), once)
+        call = self.calls[ident] = Call(ident, wire.encode_get(ident, limit, body), once)
         self._begin(call)
 
     def cancel_call(self, ident: bytes) -> None:
@@ -106,7 +108,7 @@
         call = self.calls.pop(ident, None)
         if call is not None:
             if call.connection is not None:
-                call.connection.send(wire.stop(ident))
+                call.connection.send(wire.encode_stop(ident))
             self._finish(call)
 
     def move(self, peer: str) -> None:
@@ -151,7 +153,7 @@
             if self.idle[n].used < since:
                 break
             # What stands behind a good reply may spoil the next one.
-            if self.idle[n].last != ident and not self.idle[n].parser.partial(self.idle[n].buffer):
+            if self.idle[n].last != ident and not self.idle[n].parser.has_partial_reply(self.idle[n].buffer):
                 return self.idle.pop(n)
         return None
 
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -55,7 +55,7 @@
 
     def opened(self) -> None:
         self.link.pulse.opened()
-        self.send(self.link.session.connected())
+        self.send(self.link.session.open_link())
 
     def received(self) -> None:
         if not self.current():  # a link that was left: its notices come again on the new one
@@ -70,19 +70,19 @@
                     self.link.apply(message)
         except MalformedMessageError as error:
             self.link.log("pool-malformed", error=str(error))
-            self.link.session.lost()
+            self.link.session.lose_link()
             self.abort()
         self.link.move_on()
 
     def closed(self) -> None:
         if self.current():
-            self.link.session.lost()
+            self.link.session.lose_link()
 
 
 class PoolLink(Link):
     def __init__(self, peer: str, events: WorkerPoolEvents, log: Log) -> None:
         super().__init__("pool", peer, log)
-        self.session, self.events, self.pulse = wire.Session(), events, Pulse()
+        self.session, self.events, self.pulse = wire.PoolSession(), events, Pulse()
         self.next: str | None = None  # the address to move to
         self.timer: asyncio.TimerHandle | None = None
 
@@ -97,14 +97,16 @@
         """
         if address(peer) == self.peer and self.next is None:
             return
-        self.session.lost()  # what comes before the new link is bound waits for it
+        self.session.lose_link()  # what comes before the new link is bound waits for it
         self.next = peer
         if self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(DOUBT, self.move_on, True)
         self.move_on()
 
     def move_on(self, late: bool = False) -> None:
-        if self.next is None or (self.session.in_doubt() and self.connection is not None and not late):
+        if self.next is None or (
+            self.session.has_uncertain_run() and self.connection is not None and not late
+        ):
             return
         peer, self.next = self.next, None
         self.close()
@@ -128,16 +130,16 @@
             case wire.Bound(loaded, age):
                 if self.pulse.bound(asyncio.get_running_loop().time(), age):
                     self.log("pool-restarted", age=age)
-                    self.session.restarted()
+                    self.session.reset()
                     self.events.pool_replaced(not loaded, age)
                 self.events.pool_started(not loaded, age)
-            case wire.Lost(ident):
+            case wire.UncertainRun(ident):
                 self.events.run_uncertain(ident)
-            case wire.Unknown(command, ident):
+            case wire.UnknownCommand(command, ident):
                 self.log("pool-unknown", command=command.decode("latin-1"), id=ident.decode("latin-1"))
                 # No spawn: nothing was started.  Another command: the run is none of the pool's any more.
                 outcome = Outcome.NOT_STARTED if command == b"spawn" else Outcome.FAILED
-                self.session.forget(ident)
+                self.session.forget_run(ident)
                 self.events.run_finished(ident, outcome, 0.0, b"")
 
     def _send(self, data: bytes) -> None:
@@ -153,13 +155,13 @@
         self._send(self.session.suspend(ident))
 
     def resume(self, ident: bytes) -> None:
-        self._send(self.session.proceed(ident))
+        self._send(self.session.resume(ident))
 
     def supply_reply(self, ident: bytes, reply: bytes) -> None:
-        self._send(self.session.supply(ident, reply))
+        self._send(self.session.supply_reply(ident, reply))
 
     def skip_call(self, ident: bytes, notice: int) -> None:
-        self._send(self.session.skip(ident, notice))
+        self._send(self.session.skip_call(ident, notice))
 
     def poll_gauges(self) -> None:
         if self.pulse.silence(asyncio.get_running_loop().time()) and self.connection is not None:
--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -15,7 +15,7 @@
 
 MAX_PACKET, HEADER = 8192, 4
 MAX_CHUNK = MAX_PACKET - HEADER - 4  # of a SEND_BODY_CHUNK: code, length and a closing zero
-MAX_DATA = MAX_PACKET - HEADER - 2  # of a body packet to the container
+MAX_BODY_DATA_BYTES = MAX_PACKET - HEADER - 2  # of a body packet to the container
 TO_CONTAINER, FROM_CONTAINER = b"\x12\x34", b"AB"
 
 FORWARD_REQUEST, SHUTDOWN, PING, CPING = 2, 7, 8, 10
@@ -138,18 +138,18 @@
         return coded[(word & 0xFF) - 1]
 
 
-def integer(value: int) -> bytes:
+def encode_integer(value: int) -> bytes:
     return value.to_bytes(2, "big")
 
 
-def text(value: bytes) -> bytes:
-    return integer(len(value)) + value + b"\0"
+def encode_string(value: bytes) -> bytes:
+    return encode_integer(len(value)) + value + b"\0"
 
 
-def packet(magic: bytes, payload: bytes) -> bytes:
+def encode_packet(magic: bytes, payload: bytes) -> bytes:
     if len(payload) > MAX_PACKET - HEADER:
         raise ValueError("payload too long for a packet")
-    return magic + integer(len(payload)) + payload
+    return magic + encode_integer(len(payload)) + payload
 
 
 def take_packet(buffer: Buffer, magic: bytes) -> bytes | None:
@@ -170,9 +170,9 @@
     out = []
     for name, value in headers:
         lower = name.lower()
-        code = integer(0xA001 + coded.index(lower)) if lower in coded else text(name)
-        out.append(code + text(value))
-    return integer(len(out)) + b"".join(out)
+        code = encode_integer(0xA001 + coded.index(lower)) if lower in coded else encode_string(name)
+        out.append(code + encode_string(value))
+    return encode_integer(len(out)) + b"".join(out)
 
 
 # ---- the container's half ---------------------------------------------------------------------
@@ -193,7 +193,7 @@
     """CPing: answer with CPong."""
 
 
-class MoreBody(NamedTuple):
+class GetBodyChunkPacket(NamedTuple):
     """To be sent at once: a GET_BODY_CHUNK."""
 
     data: bytes
@@ -233,7 +233,7 @@
     return ForwardRequest(named, uri, headers, attributes)
 
 
-class RequestParser:
+class AjpRequestParser:
     """What the container reads: forward requests with their bodies, and pings.  A shutdown is ignored."""
 
     def __init__(self, max_body: int, secret: bytes = b"") -> None:
@@ -242,9 +242,9 @@
         self.length = 0  # of that body; -1 where it is not told
         self.body = bytearray()
 
-    def next(self, buffer: Buffer) -> ForwardRequest | CPing | MoreBody | None:
+    def next(self, buffer: Buffer) -> ForwardRequest | CPing | GetBodyChunkPacket | None:
         while (payload := take_packet(buffer, TO_CONTAINER)) is not None:
-            message: ForwardRequest | MoreBody | None
+            message: ForwardRequest | GetBodyChunkPacket | None
             if self.request is not None:
                 message = self._body(payload)
             elif not payload:
@@ -261,7 +261,7 @@
                 return message
         return None
 
-    def _forward(self, p: Payload) -> ForwardRequest | MoreBody | None:
+    def _forward(self, p: Payload) -> ForwardRequest | GetBodyChunkPacket | None:
         request = read_forward(p)
         if self.secret and not hmac.compare_digest(request.attributes.get("secret", b""), self.secret):
             raise MalformedMessageError("secret", 403)
@@ -277,9 +277,9 @@
             return request
         self.request, self.length, self.body = request, -1 if untold else int(length), bytearray()
         # With a told length the first packet comes unasked; else nothing comes before it is asked for.
-        return MoreBody(get_body_chunk(self.max_body)) if untold else None
+        return GetBodyChunkPacket(encode_get_body_chunk(self.max_body)) if untold else None
 
-    def _body(self, payload: bytes) -> ForwardRequest | MoreBody:
+    def _body(self, payload: bytes) -> ForwardRequest | GetBodyChunkPacket:
         assert self.request is not None
         data = b""
         if payload:
@@ -297,43 +297,45 @@
         if not data:
             raise MalformedMessageError("body cut short")
         left = self.max_body if self.length < 0 else self.length - len(self.body)
-        return MoreBody(get_body_chunk(left))
+        return GetBodyChunkPacket(encode_get_body_chunk(left))
 
 
-def get_body_chunk(count: int) -> bytes:
-    return packet(FROM_CONTAINER, bytes((GET_BODY_CHUNK,)) + integer(min(count, MAX_DATA)))
+def encode_get_body_chunk(count: int) -> bytes:
+    return encode_packet(
+        FROM_CONTAINER, bytes((GET_BODY_CHUNK,)) + encode_integer(min(count, MAX_BODY_DATA_BYTES))
+    )
 
 
-def response(
+def encode_response(
     status: int, reason: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes, reuse: bool
 ) -> bytes:
     """One answer as packets: the headers, the body in chunks, the end."""
     fields = [*headers, (b"Content-Length", b"%d" % len(body))]
     out = [
-        packet(
+        encode_packet(
             FROM_CONTAINER,
             bytes((SEND_HEADERS,))
-            + integer(status)
-            + text(reason)
+            + encode_integer(status)
+            + encode_string(reason)
             + encode_headers(fields, RESPONSE_HEADERS),
         )
     ]
     out += [
-        packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + text(body[at : at + MAX_CHUNK]))
+        encode_packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + encode_string(body[at : at + MAX_CHUNK]))
         for at in range(0, len(body), MAX_CHUNK)
     ]
-    out.append(packet(FROM_CONTAINER, bytes((END_RESPONSE, reuse))))
+    out.append(encode_packet(FROM_CONTAINER, bytes((END_RESPONSE, reuse))))
     return b"".join(out)
 
 
-CPONG_PACKET = packet(FROM_CONTAINER, bytes((CPONG,)))
+CPONG_PACKET = encode_packet(FROM_CONTAINER, bytes((CPONG,)))
 
 
 # ---- the web server's half --------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Response:
+class AjpResponse:
     """One whole answer of a container."""
 
     status: int
@@ -342,20 +344,20 @@
     reuse: bool
 
 
-class Pong(NamedTuple):
+class CPong(NamedTuple):
     """The container is there."""
 
 
-class WantBody(NamedTuple):
+class GetBodyChunk(NamedTuple):
     """The container asks for more of the body."""
 
     size: int
 
 
-CPING_PACKET = packet(TO_CONTAINER, bytes((CPING,)))
+CPING_PACKET = encode_packet(TO_CONTAINER, bytes((CPING,)))
 
 
-def forward_request(
+def encode_forward_request(
     method: bytes,
     uri: bytes,
     headers: Iterable[tuple[bytes, bytes]],
@@ -366,34 +368,34 @@
     if method in METHODS:
         code, stored = METHODS.index(method) + 1, b""
     else:
-        code, stored = STORED_METHOD, b"\x0d" + text(method)
-    return packet(
+        code, stored = STORED_METHOD, b"\x0d" + encode_string(method)
+    return encode_packet(
         TO_CONTAINER,
         b"".join(
             (
                 bytes((FORWARD_REQUEST, code)),
-                text(b"HTTP/1.1"),
-                text(uri),
-                text(b"127.0.0.1"),
-                text(b"127.0.0.1"),
-                text(host),
-                integer(port),
+                encode_string(b"HTTP/1.1"),
+                encode_string(uri),
+                encode_string(b"127.0.0.1"),
+                encode_string(b"127.0.0.1"),
+                encode_string(host),
+                encode_integer(port),
                 b"\0",
                 encode_headers(headers, REQUEST_HEADERS),
                 stored,
-                b"\x0c" + text(secret) if secret else b"",
+                b"\x0c" + encode_string(secret) if secret else b"",
                 bytes((ARE_DONE,)),
             )
         ),
     )
 
 
-def body_packet(data: bytes) -> bytes:
+def encode_body_packet(data: bytes) -> bytes:
     """A part of the body; an empty one ends it."""
-    return packet(TO_CONTAINER, integer(len(data)) + data if data else b"")
+    return encode_packet(TO_CONTAINER, encode_integer(len(data)) + data if data else b"")
 
 
-class ResponseParser:
+class AjpResponseParser:
     """What the web server reads."""
 
     def __init__(self, max_body: int) -> None:
@@ -401,14 +403,14 @@
         self.head: tuple[int, dict[bytes, bytes]] | None = None
         self.body = bytearray()
 
-    def next(self, buffer: Buffer) -> Response | Pong | WantBody | None:
+    def next(self, buffer: Buffer) -> AjpResponse | CPong | GetBodyChunk | None:
         while (payload := take_packet(buffer, FROM_CONTAINER)) is not None:
             p = Payload(payload)
             code = p.byte()
             if code == CPONG:
-                return Pong()
+                return CPong()
             if code == GET_BODY_CHUNK:
-                return WantBody(p.integer())
+                return GetBodyChunk(p.integer())
             if code == SEND_HEADERS and self.head is None:
                 status = p.integer()
                 p.text()
@@ -423,7 +425,7 @@
                 told = headers.get(b"content-length")
                 if told is not None and told != b"%d" % len(self.body):
                     raise MalformedMessageError("body cut short")  # an answer that is not whole is none
-                return Response(status, headers, bytes(self.body), p.byte() == 1)
+                return AjpResponse(status, headers, bytes(self.body), p.byte() == 1)
             else:
                 raise MalformedMessageError("prefix code")
         return None
--- a/saltcart/wire/buffer.py
+++ b/saltcart/wire/buffer.py
@@ -18,7 +18,7 @@
     def __len__(self) -> int:
         return self.end - self.start
 
-    def space(self, least: int = 512) -> memoryview:
+    def writable_view(self, least: int = 512) -> memoryview:
         """Room to receive into.  Only here may ``data`` be resized: no view of it is alive at this point."""
         if not self.end and len(self.data) > KEPT:
             self.data = bytearray(KEPT)  # one long message must not hold its room for good
@@ -49,7 +49,7 @@
         """Receive ``data`` as if a socket had delivered it."""
         offset = 0
         while offset < len(data):
-            room = self.space()
+            room = self.writable_view()
             count = min(len(room), len(data) - offset)
             room[:count] = data[offset : offset + count]
             del room
--- a/saltcart/wire/control.py
+++ b/saltcart/wire/control.py
@@ -8,7 +8,7 @@
 MAX_LINE = 256
 
 
-def next_call(buffer: Buffer) -> str | None:
+def take_command(buffer: Buffer) -> str | None:
     """The line without its end, or None while it is not whole.
 
     ``MalformedMessageError`` where it never will be.
--- a/saltcart/wire/http1.py
+++ b/saltcart/wire/http1.py
@@ -12,7 +12,7 @@
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 STATUS = re.compile(rb"[1-5][0-9][0-9]\Z")
 DIGITS = re.compile(rb"[0-9]{1,9}\Z")
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     201: b"Created",
     204: b"No Content",
@@ -91,7 +91,7 @@
     return int(text)
 
 
-class Parser:
+class HttpParser:
     """Reads messages off a buffer; a message is yielded when its last byte is there."""
 
     def __init__(self, max_body: int) -> None:
@@ -119,7 +119,7 @@
         return first_line, headers, buffer.take(self.length)
 
 
-class RequestParser(Parser):
+class HttpRequestParser(HttpParser):
     """The server's half."""
 
     def next(self, buffer: Buffer) -> HttpRequest | None:
@@ -140,7 +140,7 @@
         return HttpRequest(first[0], first[1], headers, body, keeps_alive(first[2], headers))
 
 
-class ResponseParser(Parser):
+class HttpResponseParser(HttpParser):
     """The client's half."""
 
     def next(self, buffer: Buffer) -> HttpResponse | None:
@@ -153,7 +153,7 @@
         return HttpResponse(int(first[1]), headers, body, keeps_alive(first[0], headers))
 
 
-def response(
+def encode_response(
     status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (), close: bool = False
 ) -> bytes:
     """One answer as bytes."""
@@ -161,7 +161,7 @@
     length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b" % (
         status,
-        REASONS.get(status, b"Unknown"),
+        REASON_PHRASES.get(status, b"Unknown"),
         extra.encode("latin-1"),
         length,
         b"Connection: close\r\n" if close else b"",
@@ -169,7 +169,7 @@
     )
 
 
-def request(method: str, target: str, host: str, body: bytes) -> bytes:
+def encode_request(method: str, target: str, host: str, body: bytes) -> bytes:
     return b"%b %b HTTP/1.1\r\nHost: %b\r\nContent-Length: %d\r\n\r\n%b" % (
         method.encode(),
         target.encode(),
--- a/saltcart/wire/index.py
+++ b/saltcart/wire/index.py
@@ -7,7 +7,7 @@
 
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
-from saltcart.wire.lines import LineReader, number
+from saltcart.wire.lines import LineReader, parse_number
 
 ENDS = (b"HIT", b"SHED", b"BROKEN", b"SLOW", b"NOBODY")
 
@@ -15,17 +15,17 @@
 class Reply(NamedTuple):
     """How one call ended; the body comes with ``HIT`` alone."""
 
-    ident: bytes
-    end: bytes
+    request_id: bytes
+    status: bytes
     body: bytes
 
 
-def get(ident: bytes, limit: float, body: bytes) -> bytes:
+def encode_get(ident: bytes, limit: float, body: bytes) -> bytes:
     """A call that is waited for ``limit`` seconds."""
     return b"GET %b %d %d\r\n%b\r\n" % (ident, max(1, round(limit * 1000)), len(body), body)
 
 
-def stop(ident: bytes) -> bytes:
+def encode_stop(ident: bytes) -> bytes:
     return b"STOP %b\r\n" % ident
 
 
@@ -37,9 +37,9 @@
     def _length(words: list[bytes]) -> int | None:
         if len(words) < 2 or words[1] not in ENDS:
             raise MalformedMessageError("no such reply")
-        return number(words, 2) if words[1] == b"HIT" else None
+        return parse_number(words, 2) if words[1] == b"HIT" else None
 
-    def partial(self, buffer: Buffer) -> bool:
+    def has_partial_reply(self, buffer: Buffer) -> bool:
         """Whether a reply has begun and is not whole."""
         return self.reader.words is not None or len(buffer) > 0
 
--- a/saltcart/wire/lines.py
+++ b/saltcart/wire/lines.py
@@ -10,7 +10,7 @@
 MAX_LINE, MAX_BODY = 1024, 16384
 
 
-def number(words: list[bytes], at: int) -> int:
+def parse_number(words: list[bytes], at: int) -> int:
     if len(words) <= at or not words[at].isdigit() or len(words[at]) > 18:
         raise MalformedMessageError(f"{words[0][:20]!r}: field {at} is not a number")
     return int(words[at])
--- a/saltcart/wire/pool.py
+++ b/saltcart/wire/pool.py
@@ -1,7 +1,7 @@
 """The worker pool's link: lines of words, some followed by a counted body.
 
-``Session`` outlives the links it runs over: it knows the last notice read, drops what comes twice, and sends
-again what a lost link may have swallowed, as far as that can't start anything a second time.
+``PoolSession`` outlives the links it runs over: it knows the last notice read, drops what comes twice, and
+sends again what a lost link may have swallowed, as far as that can't start anything a second time.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
-from saltcart.wire.lines import LineReader, number
+from saltcart.wire.lines import LineReader, parse_number
 
 
 class Bound(NamedTuple):
@@ -40,18 +40,18 @@
     gauges: tuple[float, ...]
 
 
-class Unknown(NamedTuple):
+class UnknownCommand(NamedTuple):
     command: bytes
     ident: bytes
 
 
-class Lost(NamedTuple):
+class UncertainRun(NamedTuple):
     """Whether this run was ever started can't be told any more."""
 
     ident: bytes
 
 
-Message = Bound | Finished | Blocked | Polled | Unknown | Lost
+Message = Bound | Finished | Blocked | Polled | UnknownCommand | UncertainRun
 
 
 @dataclass(slots=True)
@@ -67,42 +67,42 @@
     data: bytes
 
 
-class Session:
+class PoolSession:
     """The service's half of the protocol."""
 
     def __init__(self) -> None:
         self.last = 0  # number of the last notice that was read
-        self.up = False  # the present link is bound and its replay has been read
-        self.mark = 0  # polls sent so far
-        self.pending: deque[Command] = deque()
+        self.is_ready = False  # the present link is bound and its replay has been read
+        self.last_poll = 0  # polls sent so far
+        self.unconfirmed: deque[Command] = deque()
         self.calls: dict[bytes, int] = {}  # notice of the call that each run waits for
         self.reader = LineReader(self._length, remark=b"chatter ")
         self.barrier = 0
 
     # ---- sending ------------------------------------------------------------------------------
 
-    def connected(self) -> bytes:
+    def open_link(self) -> bytes:
         """The link is new: what to send first."""
-        self.up, self.barrier = False, 0
+        self.is_ready, self.barrier = False, 0
         self.reader.reset()
         return b"bind %d\r\n" % self.last
 
-    def lost(self) -> None:
-        self.up = False
+    def lose_link(self) -> None:
+        self.is_ready = False
 
-    def restarted(self) -> None:
+    def reset(self) -> None:
         """Another pool is at the other end: it numbers its notices anew and knows of no run."""
         self.last = 0
-        self.pending.clear()
+        self.unconfirmed.clear()
         self.calls.clear()
 
-    def in_doubt(self) -> bool:
+    def has_uncertain_run(self) -> bool:
         """Whether a run that must not start twice was asked for, and nothing shows yet that this arrived."""
-        return any(c.once and c.written for c in self.pending)
+        return any(c.once and c.written for c in self.unconfirmed)
 
     def _command(self, verb: bytes, ident: bytes, data: bytes, once: bool = False, notice: int = 0) -> bytes:
-        self.pending.append(Command(self.mark, verb, ident, notice, once, self.up, data))
-        return data if self.up else b""
+        self.unconfirmed.append(Command(self.last_poll, verb, ident, notice, once, self.is_ready, data))
+        return data if self.is_ready else b""
 
     def spawn(self, ident: bytes, klass: bytes, body: bytes, once: bool) -> bytes:
         data = b"spawn %b %b %d\r\n%b\r\n" % (ident, klass, len(body), body)
@@ -113,29 +113,29 @@
     def suspend(self, ident: bytes) -> bytes:
         return self._command(b"suspend", ident, b"suspend %b\r\n" % ident)
 
-    def proceed(self, ident: bytes) -> bytes:
+    def resume(self, ident: bytes) -> bytes:
         return self._command(b"proceed", ident, b"proceed %b\r\n" % ident)
 
-    def supply(self, ident: bytes, reply: bytes) -> bytes:
+    def supply_reply(self, ident: bytes, reply: bytes) -> bytes:
         data = b"supply %b %d\r\n%b\r\n" % (ident, len(reply), reply)
         return self._command(b"supply", ident, data, notice=self.calls.pop(ident, 0))
 
-    def skip(self, ident: bytes, notice: int) -> bytes:
+    def skip_call(self, ident: bytes, notice: int) -> bytes:
         self.calls.pop(ident, None)
         return self._command(b"pass", ident, b"pass %b %d\r\n" % (ident, notice), notice=notice)
 
     def poll(self) -> bytes:
         """Ask for the gauges; the answer also shows that all commands before it arrived."""
-        if not self.up:
+        if not self.is_ready:
             return b""
-        self.mark += 1
-        return b"poll %d\r\n" % self.mark
+        self.last_poll += 1
+        return b"poll %d\r\n" % self.last_poll
 
-    def forget(self, ident: bytes) -> None:
+    def forget_run(self, ident: bytes) -> None:
         """The run is over: nothing of what was said of it may be said again on a new link."""
         self.calls.pop(ident, None)
-        if any(c.ident == ident for c in self.pending):
-            self.pending = deque(c for c in self.pending if c.ident != ident)
+        if any(c.ident == ident for c in self.unconfirmed):
+            self.unconfirmed = deque(c for c in self.unconfirmed if c.ident != ident)
 
     # ---- receiving ----------------------------------------------------------------------------
 
@@ -148,7 +148,7 @@
     def _length(words: list[bytes]) -> int | None:
         if words[0] not in (b"finished", b"blocked"):
             return None
-        return number(words, 5 if words[0] == b"finished" else 3)
+        return parse_number(words, 5 if words[0] == b"finished" else 3)
 
     @staticmethod
     def _real(words: list[bytes], at: int) -> float:
@@ -162,7 +162,7 @@
         if verb in (b"finished", b"blocked"):
             if len(words) != (6 if verb == b"finished" else 4):
                 raise MalformedMessageError(f"{verb[:20]!r}: fields")
-            notice, ident = number(words, 1), words[2]
+            notice, ident = parse_number(words, 1), words[2]
             if notice <= self.last:  # applied already: the replay of a new link overlaps what was read
                 return
             self.last = notice
@@ -170,30 +170,30 @@
                 self.calls[ident] = notice
                 yield Blocked(ident, notice, body)
             else:
-                self.forget(ident)
+                self.forget_run(ident)
                 yield Finished(ident, words[3], self._real(words, 4) / 1000, body)
         elif verb == b"polled":
-            tag = number(words, 1)
-            while self.pending and self.pending[0].mark < tag:
-                if not self.up and self.barrier == tag:
+            tag = parse_number(words, 1)
+            while self.unconfirmed and self.unconfirmed[0].mark < tag:
+                if not self.is_ready and self.barrier == tag:
                     break
-                self.pending.popleft()
-            if not self.up and tag == self.barrier:
+                self.unconfirmed.popleft()
+            if not self.is_ready and tag == self.barrier:
                 # All notices that the old link missed have been read by now.
-                self.up = True
+                self.is_ready = True
                 yield from self._again()
             yield Polled(tuple(self._real(words, n) for n in range(2, len(words))))
         elif verb == b"bound":
             if len(words) < 2 or words[1] not in (b"EMPTY", b"LOADED"):
                 raise MalformedMessageError("bound: no such state")
-            self.mark += 1
-            self.barrier = self.mark
+            self.last_poll += 1
+            self.barrier = self.last_poll
             yield Bound(words[1] == b"LOADED", self._real(words, 2) / 1000)
-            yield b"poll %d\r\n" % self.mark
+            yield b"poll %d\r\n" % self.last_poll
         elif verb == b"unknown":
             if len(words) < 3:
                 raise MalformedMessageError("unknown: field missing")
-            yield Unknown(words[1], words[2])
+            yield UnknownCommand(words[1], words[2])
         elif verb == b"chatter":
             pass  # its number counts for nothing: taken as read, it could hide a notice under the same one
         else:
@@ -201,11 +201,14 @@
 
     def _again(self) -> Iterator[Message | bytes]:
         """The commands that the old link may have swallowed; a run that must not start twice is given up."""
-        commands, self.pending = self.pending, deque()
+        commands, self.unconfirmed = self.unconfirmed, deque()
         for command in commands:
             if command.once and command.written:
-                yield Lost(command.ident)
+                yield UncertainRun(command.ident)
             elif not command.notice or self.calls.get(command.ident, command.notice) == command.notice:
-                command.mark, command.written = self.mark, True  # else the run is at its next call already
-                self.pending.append(command)
+                command.mark, command.written = (
+                    self.last_poll,
+                    True,
+                )  # else the run is at its next call already
+                self.unconfirmed.append(command)
                 yield command.data
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -193,7 +193,7 @@
 class HttpClient:
     def __init__(self, address: str) -> None:
         self.host, self.port = address.split(":")
-        self.buffer, self.parser = Buffer(), http1.ResponseParser(1 << 16)
+        self.buffer, self.parser = Buffer(), http1.HttpResponseParser(1 << 16)
         self.changed: dict[str, str | None] = {}  # fields that are sent with another value, or left out
 
     def fields(self, number: int, **more: Any) -> list[tuple[str, str]]:
@@ -245,15 +245,20 @@
 
     def __init__(self, address: str, secret: bytes = b"") -> None:
         super().__init__(address)
-        self.replies, self.secret, self.rest = ajp.ResponseParser(1 << 16), secret, b""
+        self.replies, self.secret, self.rest = ajp.AjpResponseParser(1 << 16), secret, b""
 
     def send(
-        self, number: int, klass: str = "read", body: bytes = b"x", first: int = ajp.MAX_DATA, **more: Any
+        self,
+        number: int,
+        klass: str = "read",
+        body: bytes = b"x",
+        first: int = ajp.MAX_BODY_DATA_BYTES,
+        **more: Any,
     ) -> None:
         """``first``: how much of the body goes along unasked."""
         headers = [(n.encode(), v.encode()) for n, v in self.fields(number, **more)]
         self.writer.write(
-            ajp.forward_request(
+            ajp.encode_forward_request(
                 b"POST",
                 b"/call/" + klass.encode(),
                 [*headers, (b"Content-Length", b"%d" % len(body))],
@@ -263,10 +268,10 @@
             )
         )
         if body:
-            self.writer.write(ajp.body_packet(body[:first]))
+            self.writer.write(ajp.encode_body_packet(body[:first]))
         self.rest = body[first:]
 
-    async def message(self) -> ajp.Response | ajp.Pong | ajp.WantBody:
+    async def message(self) -> ajp.AjpResponse | ajp.CPong | ajp.GetBodyChunk:
         while (message := self.replies.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
@@ -275,10 +280,10 @@
         return message
 
     async def answer(self) -> http1.HttpResponse:
-        while isinstance(message := await self.message(), ajp.WantBody):
+        while isinstance(message := await self.message(), ajp.GetBodyChunk):
             part, self.rest = self.rest[: message.size], self.rest[message.size :]
-            self.writer.write(ajp.body_packet(part))
-        assert isinstance(message, ajp.Response)
+            self.writer.write(ajp.encode_body_packet(part))
+        assert isinstance(message, ajp.AjpResponse)
         return http1.HttpResponse(message.status, message.headers, message.body, message.reuse)
 
 
@@ -297,13 +302,13 @@
         self.seen: list[ajp.ForwardRequest] = []
 
     async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        buffer, parser = Buffer(), ajp.RequestParser(1 << 16, self.secret)
+        buffer, parser = Buffer(), ajp.AjpRequestParser(1 << 16, self.secret)
         while data := await reader.read(4096):
             buffer.write(data)
             while (message := parser.next(buffer)) is not None:
                 if isinstance(message, ajp.CPing):
                     writer.write(ajp.CPONG_PACKET)
-                elif isinstance(message, ajp.MoreBody):
+                elif isinstance(message, ajp.GetBodyChunkPacket):
                     writer.write(message.data)
                 else:
                     self.seen.append(message)
@@ -315,4 +320,4 @@
 
 
 def container_answer(status: int, body: bytes = b"", reuse: bool = True) -> bytes:
-    return ajp.response(status, b"R", [], body, reuse)
+    return ajp.encode_response(status, b"R", [], body, reuse)
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -30,8 +30,8 @@
             assert (answer.status, answer.body, answer.keep_alive) == (200, b"done " + body, True)
             assert b"server-hint" in answer.headers
             client.writer.write(ajp.CPING_PACKET)
-            assert isinstance(await client.message(), ajp.Pong)
-            client.writer.write(ajp.packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # is ignored
+            assert isinstance(await client.message(), ajp.CPong)
+            client.writer.write(ajp.encode_packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # is ignored
             assert (await client.ask(2, "oddaja", b"", key="k")).body == b"done "
             assert (await client.ask(3, "nothing")).status == 400
             assert (await client.ask(4, "oddaja")).status == 400  # no key
@@ -69,7 +69,7 @@
         async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             client.send(1, "oddaja", b"x" * 900, first=300, key="k")
-            assert isinstance(await client.message(), ajp.WantBody)
+            assert isinstance(await client.message(), ajp.GetBodyChunk)
             client.drop()
             await until(lambda: not app.listeners[1].connections)
             assert not app.service.requests and not app.service.keys.records and pool.spawned == []
@@ -201,8 +201,10 @@
     asyncio.run(play())
 
 
-HEADERS = ajp.packet(ajp.FROM_CONTAINER, b"\x04" + ajp.integer(200) + ajp.text(b"OK") + ajp.integer(0))
-CHUNK = ajp.packet(ajp.FROM_CONTAINER, b"\x03" + ajp.text(b"x" * 4000))
+HEADERS = ajp.encode_packet(
+    ajp.FROM_CONTAINER, b"\x04" + ajp.encode_integer(200) + ajp.encode_string(b"OK") + ajp.encode_integer(0)
+)
+CHUNK = ajp.encode_packet(ajp.FROM_CONTAINER, b"\x03" + ajp.encode_string(b"x" * 4000))
 
 
 @pytest.mark.parametrize(
@@ -215,7 +217,7 @@
         HEADERS + CHUNK * 9,
         HEADERS + HEADERS,
         HEADERS + CHUNK[:9],
-        ajp.packet(ajp.FROM_CONTAINER, b"\x04\x00\xc8\x00\x09O"),
+        ajp.encode_packet(ajp.FROM_CONTAINER, b"\x04\x00\xc8\x00\x09O"),
         ajp.CPONG_PACKET * 2,
     ],
 )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -34,9 +34,9 @@
     buffer.write(data)
     if found is MalformedMessageError:
         with pytest.raises(MalformedMessageError):
-            control.next_call(buffer)
+            control.take_command(buffer)
     else:
-        assert control.next_call(buffer) == found
+        assert control.take_command(buffer) == found
 
 
 async def call(address: str, line: bytes) -> list[str]:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -61,7 +61,7 @@
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1, "oddaja", key="k")
             await until(lambda: pool.spawned == [ident(1)] and pool.told[-1].startswith(b"poll"))
-            await until(lambda: not app.service.ports.workers.session.pending)  # type: ignore[attr-defined]
+            await until(lambda: not app.service.ports.workers.session.unconfirmed)  # type: ignore[attr-defined]
             pool.writer = None
             pool.cut()
             pool.finish(ident(1))  # no link exists: the notice waits
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -229,7 +229,7 @@
             writer.close()
             ping = await AjpClient(app.addresses["ajp"]).open()
             ping.writer.write(ajp.CPING_PACKET)
-            assert isinstance(await ping.message(), ajp.Pong)
+            assert isinstance(await ping.message(), ajp.CPong)
             assert damper.token_bucket.rejected_count == 0
 
     asyncio.run(play())
@@ -334,10 +334,10 @@
 
 def test_a_refused_answer_names_the_moment_in_whole_seconds_never_before_it() -> None:
     from saltcart.core.messages import ResponseStatus
-    from saltcart.front.connection import answer_fields
+    from saltcart.front.connection import response_headers
 
     for after, told in ((0.05, "1"), (1.0, "1"), (1.01, "2")):
-        assert ("Retry-After", told) in answer_fields(
+        assert ("Retry-After", told) in response_headers(
             FinalResponse(ResponseStatus.REJECTED, retry_after_seconds=after)
         )
-    assert not answer_fields(FinalResponse(ResponseStatus.SERVED))
+    assert not response_headers(FinalResponse(ResponseStatus.SERVED))
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -23,7 +23,7 @@
 
 
 HEAD = b"POST /call/read HTTP/1.1\r\n"
-FORWARD = ajp.forward_request(b"POST", b"/call/read", [(b"Content-Length", b"5")], b"h", 80)
+FORWARD = ajp.encode_forward_request(b"POST", b"/call/read", [(b"Content-Length", b"5")], b"h", 80)
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
         ("ajp", b"", b""),
         ("ajp", FORWARD[:9], b"AB"),
         ("ajp", FORWARD, b"AB"),
-        ("ajp", FORWARD + ajp.body_packet(b"ab"), b"AB"),
+        ("ajp", FORWARD + ajp.encode_body_packet(b"ab"), b"AB"),
         ("ajp", b"\x12\x34\xff\xff", b"AB"),
     ],
 )
@@ -358,7 +358,7 @@
             old.quiet = True
             client.send(1, "oddaja", key="k")
             await until(lambda: old.spawned == [ident(1)])
-            mark = app.pool.session.mark
+            mark = app.pool.session.last_poll
             app.pool.move(new.address)
             late = await HttpClient(app.addresses["http"]).open()
             late.send(2)  # waits for the new link
@@ -383,7 +383,7 @@
             client.send(1)
             assert app.pool is not None
             session = app.pool.session
-            await until(lambda: pool.spawned == [ident(1)] and not session.pending)
+            await until(lambda: pool.spawned == [ident(1)] and not session.unconfirmed)
             pool.quiet = True
             link(pool).write(b"chatter 1 a remark under a number to come\r\nfinished 1 " + ident(1))
             await asyncio.sleep(0.02)
@@ -391,7 +391,7 @@
             await asyncio.sleep(0.02)
             pool.quiet = False
             pool.cut()
-            await until(lambda: pool.told.count(b"bind 0") == 2 and session.up)
+            await until(lambda: pool.told.count(b"bind 0") == 2 and session.is_ready)
             pool.quiet = True
             writer = link(pool)
             for byte in b"finished 1 " + ident(1) + b" PASS 20 4\r\nhalf\r\n":
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("step", [1, 7, 100_000])
 @pytest.mark.parametrize(("data", "expected"), CASES)
 def test_http_requests(data: bytes, expected: list[Any], step: int) -> None:
-    got = feed(http1.RequestParser(2048).next, data, step)
+    got = feed(http1.HttpRequestParser(2048).next, data, step)
     assert [m if isinstance(m, int) else (m.method, m.target, m.body, m.keep_alive) for m in got] == expected
 
 
@@ -77,7 +77,7 @@
     ("data", "expected"),
     [
         (
-            http1.response(204) + http1.response(200, b"x", (("A", "b"),), True),
+            http1.encode_response(204) + http1.encode_response(200, b"x", (("A", "b"),), True),
             [(204, b"", True), (200, b"x", False)],
         ),
         (b"HTTP/1.1 99 X\r\n\r\n", [400]),
@@ -85,7 +85,7 @@
     ],
 )
 def test_http_responses(data: bytes, expected: list[Any]) -> None:
-    got = feed(http1.ResponseParser(100).next, data, 1)
+    got = feed(http1.HttpResponseParser(100).next, data, 1)
     assert [m if isinstance(m, int) else (m.status, m.body, m.keep_alive) for m in got] == expected
 
 
@@ -93,11 +93,11 @@
 
 
 def forward(*headers: tuple[bytes, bytes], method: bytes = b"POST", uri: bytes = b"/call/x") -> bytes:
-    return ajp.forward_request(method, uri, headers, b"h", 80, b"s")
+    return ajp.encode_forward_request(method, uri, headers, b"h", 80, b"s")
 
 
 def raw(payload: bytes) -> bytes:
-    return ajp.packet(ajp.TO_CONTAINER, payload)
+    return ajp.encode_packet(ajp.TO_CONTAINER, payload)
 
 
 LONG = (b"Content-Length", b"5")
@@ -105,27 +105,29 @@
     (forward(), [(b"POST", b"/call/x", b"")]),
     (forward(method=b"PATCH"), [(b"PATCH", b"/call/x", b"")]),
     (forward((b"Request-Id", b"1"), (b"Host", b"h")) * 2, [(b"POST", b"/call/x", b"")] * 2),
-    (forward(LONG) + ajp.body_packet(b"hello"), [(b"POST", b"/call/x", b"hello")]),
+    (forward(LONG) + ajp.encode_body_packet(b"hello"), [(b"POST", b"/call/x", b"hello")]),
     (
-        forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b"llo"),
-        [ajp.MoreBody(ajp.get_body_chunk(3)), (b"POST", b"/call/x", b"hello")],
+        forward(LONG) + ajp.encode_body_packet(b"he") + ajp.encode_body_packet(b"llo"),
+        [ajp.GetBodyChunkPacket(ajp.encode_get_body_chunk(3)), (b"POST", b"/call/x", b"hello")],
     ),
     (
-        forward((b"Transfer-Encoding", b"chunked")) + ajp.body_packet(b"hi") + ajp.body_packet(b""),
-        [ajp.MoreBody(ajp.get_body_chunk(2048))] * 2 + [(b"POST", b"/call/x", b"hi")],
+        forward((b"Transfer-Encoding", b"chunked"))
+        + ajp.encode_body_packet(b"hi")
+        + ajp.encode_body_packet(b""),
+        [ajp.GetBodyChunkPacket(ajp.encode_get_body_chunk(2048))] * 2 + [(b"POST", b"/call/x", b"hi")],
     ),
     (ajp.CPING_PACKET + raw(b"\x07") + raw(b"\x08") + ajp.CPING_PACKET, [ajp.CPing(), ajp.CPing()]),
-    (forward(LONG) + ajp.body_packet(b"hello!"), [413]),
+    (forward(LONG) + ajp.encode_body_packet(b"hello!"), [413]),
     (
-        forward(LONG) + ajp.body_packet(b"he") + ajp.body_packet(b""),
-        [ajp.MoreBody(ajp.get_body_chunk(3)), 400],
+        forward(LONG) + ajp.encode_body_packet(b"he") + ajp.encode_body_packet(b""),
+        [ajp.GetBodyChunkPacket(ajp.encode_get_body_chunk(3)), 400],
     ),
     (forward((b"Content-Length", b"2049")), [413]),
     (forward((b"Content-Length", b"x")), [400]),
     (forward(LONG, LONG), [400]),
     (forward(LONG, (b"Transfer-Encoding", b"chunked")), [400]),
     (forward(uri=b"x"), [400]),
-    (ajp.forward_request(b"GET", b"/", [], b"h", 80), [403]),
+    (ajp.encode_forward_request(b"GET", b"/", [], b"h", 80), [403]),
     (b"AB\x00\x01\x0a", [400]),
     (b"\x12\x34\xff\xff", [400]),
     (raw(b""), [400]),
@@ -140,29 +142,34 @@
 @pytest.mark.parametrize("step", [1, 100_000])
 @pytest.mark.parametrize(("data", "expected"), AJP_CASES)
 def test_ajp_requests(data: bytes, expected: list[Any], step: int) -> None:
-    got = feed(ajp.RequestParser(2048, b"s").next, data, step)
+    got = feed(ajp.AjpRequestParser(2048, b"s").next, data, step)
     assert [(m.method, m.uri, m.body) if isinstance(m, ajp.ForwardRequest) else m for m in got] == expected
 
 
-ANSWER = ajp.response(200, b"OK", [(b"Set-Cookie", b"a"), (b"X", b"y")], b"z" * 20_000, True)
+ANSWER = ajp.encode_response(200, b"OK", [(b"Set-Cookie", b"a"), (b"X", b"y")], b"z" * 20_000, True)
 
 
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
         (ANSWER * 2, [(200, 20_000, True)] * 2),
-        (ajp.CPONG_PACKET + ajp.get_body_chunk(9), [ajp.Pong(), ajp.WantBody(9)]),
-        (ANSWER[:-6] + ajp.packet(b"AB", b"\x03\x00\x01x\x00") + ANSWER[-6:], [400]),  # longer than it said
-        (ajp.packet(b"AB", b"\x05\x01"), [400]),
-        (ajp.packet(b"AB", b"\x03\x00\x01x\x00"), [400]),
-        (ajp.packet(b"AB", b"\x04\x00"), [400]),
-        (ajp.packet(b"AB", b""), [400]),
+        (ajp.CPONG_PACKET + ajp.encode_get_body_chunk(9), [ajp.CPong(), ajp.GetBodyChunk(9)]),
+        (
+            ANSWER[:-6] + ajp.encode_packet(b"AB", b"\x03\x00\x01x\x00") + ANSWER[-6:],
+            [400],
+        ),  # longer than it said
+        (ajp.encode_packet(b"AB", b"\x05\x01"), [400]),
+        (ajp.encode_packet(b"AB", b"\x03\x00\x01x\x00"), [400]),
+        (ajp.encode_packet(b"AB", b"\x04\x00"), [400]),
+        (ajp.encode_packet(b"AB", b""), [400]),
         (b"\x12\x34\x00\x00", [400]),
     ],
 )
 def test_ajp_responses(data: bytes, expected: list[Any]) -> None:
-    got = feed(ajp.ResponseParser(30_000).next, data, 999)
-    assert [(m.status, len(m.body), m.reuse) if isinstance(m, ajp.Response) else m for m in got] == expected
+    got = feed(ajp.AjpResponseParser(30_000).next, data, 999)
+    assert [
+        (m.status, len(m.body), m.reuse) if isinstance(m, ajp.AjpResponse) else m for m in got
+    ] == expected
 
 
 # ---- the pool and the index -------------------------------------------------------------------
@@ -190,7 +197,10 @@
             + b"\r\nblocked 2 b 0\r\n\r\n",
             [pool.Blocked(b"b", 1, b""), pool.Blocked(b"b", 2, b"")],
         ),  # a remark of any length means nothing
-        (b"polled 0 0.5 3\r\nunknown spawn x\r\n", [pool.Polled((0.5, 3.0)), pool.Unknown(b"spawn", b"x")]),
+        (
+            b"polled 0 0.5 3\r\nunknown spawn x\r\n",
+            [pool.Polled((0.5, 3.0)), pool.UnknownCommand(b"spawn", b"x")],
+        ),
         (b"finished x a PASS 1 1\r\nx\r\n", [400]),
         (b"finished 1 a PASS 1\r\n", [400]),
         (b"dance\r\n", [400]),
@@ -202,7 +212,7 @@
     ],
 )
 def test_pool_messages(data: bytes, expected: list[Any], step: int) -> None:
-    session, buffer, out = pool.Session(), Buffer(64), list[Any]()
+    session, buffer, out = pool.PoolSession(), Buffer(64), list[Any]()
     try:
         for at in range(0, len(data), step):
             buffer.write(data[at : at + step])
@@ -213,30 +223,30 @@
 
 
 def test_a_new_link_repeats_what_is_safe_and_only_that() -> None:
-    session, buffer = pool.Session(), Buffer()
+    session, buffer = pool.PoolSession(), Buffer()
 
     def hears(data: bytes) -> list[Any]:
         buffer.write(data)
         return list(session.messages(buffer))
 
-    assert session.connected() == b"bind 0\r\n"
+    assert session.open_link() == b"bind 0\r\n"
     hears(b"bound EMPTY 0\r\npolled 1\r\n")
     assert session.spawn(b"a", b"c", b"x", False) and session.poll() == b"poll 2\r\n"
     hears(b"polled 2\r\nblocked 1 a 0\r\n\r\n")  # the spawn of a has arrived
-    session.supply(b"a", b"r")
+    session.supply_reply(b"a", b"r")
     sent = [session.spawn(b"b", b"c", b"x", False), session.spawn(b"k", b"c", b"x", True)]
     assert all(sent)
-    session.lost()
+    session.lose_link()
     assert session.spawn(b"l", b"c", b"x", True) == b""  # never written: it may be sent later
     assert sent[1].endswith(b"poll 3\r\n")  # asked after at once
-    assert session.connected() == b"bind 1\r\n"
+    assert session.open_link() == b"bind 1\r\n"
     assert hears(b"bound EMPTY 9\r\n") == [pool.Bound(False, 0.009), b"poll 4\r\n"]
     # Run a stands at a second call already, so the reply to its first must not be given to that one.
     out = hears(b"blocked 2 a 0\r\n\r\npolled 4\r\n")
     assert out == [
         pool.Blocked(b"a", 2, b""),
         sent[0],
-        pool.Lost(b"k"),
+        pool.UncertainRun(b"k"),
         b"spawn l c 1\r\nx\r\n",
         pool.Polled(()),
     ]
@@ -264,24 +274,24 @@
 
 
 def test_index_calls() -> None:
-    assert index.get(b"a", 0.2501, b"x\r\n") == b"GET a 250 3\r\nx\r\n\r\n"
-    assert index.stop(b"a") == b"STOP a\r\n"
+    assert index.encode_get(b"a", 0.2501, b"x\r\n") == b"GET a 250 3\r\nx\r\n\r\n"
+    assert index.encode_stop(b"a") == b"STOP a\r\n"
 
 
 # ---- all of them ------------------------------------------------------------------------------
 
 
 MACHINES: list[Callable[[], Callable[[Buffer], Any]]] = [
-    lambda: http1.RequestParser(99).next,
-    lambda: http1.ResponseParser(99).next,
-    lambda: ajp.RequestParser(99).next,
-    lambda: ajp.ResponseParser(99).next,
-    lambda: listed(pool.Session().messages),
+    lambda: http1.HttpRequestParser(99).next,
+    lambda: http1.HttpResponseParser(99).next,
+    lambda: ajp.AjpRequestParser(99).next,
+    lambda: ajp.AjpResponseParser(99).next,
+    lambda: listed(pool.PoolSession().messages),
     lambda: listed(index.ReplyParser().messages),
 ]
 SEEDS = [
     GET,
-    forward(LONG) + ajp.body_packet(b"he"),
+    forward(LONG) + ajp.encode_body_packet(b"he"),
     ANSWER[:99],
     b"finished 1 a PASS 1 1\r\nx\r\n",
     b"a HIT 1\r\nx\r\n",
