--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -17,7 +17,7 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    buffer, parser = Buffer(), ajp.AjpRequestParser(max_body=65536)
+    buffer, parser = Buffer(), ajp.AjpRequestParser(max_body_bytes=65536)
     try:
         while data := await reader.read(4096):
             buffer.write(data)
--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -15,14 +15,14 @@
         self.parser = ajp.AjpRequestParser(MAX_BODY, secret)
 
     def partial(self) -> bool:
-        return self.parser.request is not None or super().partial()
+        return self.parser.incomplete_request is not None or super().partial()
 
     def unread(self) -> bytes | None:
-        return None if self.parser.request is not None else super().unread()
+        return None if self.parser.incomplete_request is not None else super().unread()
 
     def check_call(self) -> bool | None:
         # What belongs to a request that was let in already is none of the door's.
-        if self.parser.request is not None:
+        if self.parser.incomplete_request is not None:
             return True
         return self.buffer.peek(1, 4) == bytes([ajp.CPING]) if len(self.buffer) > 4 else None
 
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -6,7 +6,7 @@
 
 from saltcart.core.service import Service
 from saltcart.net.listener import Listener, ServerConnection
-from saltcart.wire.control import statsd, take_command
+from saltcart.wire.control import format_metric, take_command
 from saltcart.wire.errors import MalformedMessageError
 
 MAX_CONNECTIONS = 24  # beyond these the one that has been silent longest makes way
@@ -44,10 +44,12 @@
         """Every figure of every class, those at nought too, and the end of them."""
         counts, lines = self.service.counters.by_class(), list[str]()
         for klass in self.service.intake.class_indexes:
-            lines += [statsd(f"{name}.{klass}", counts[klass, what], "c") for name, what in FIGURES]
-            lines.append(statsd(f"relayed.{klass}", self.service.counters.runs_started[klass], "c"))
+            lines += [format_metric(f"{name}.{klass}", counts[klass, what], "c") for name, what in FIGURES]
+            lines.append(format_metric(f"relayed.{klass}", self.service.counters.runs_started[klass], "c"))
             if klass in self.service.composed_classes:
-                lines.append(statsd(f"partial.{klass}", counts[klass, "partial"], "c"))
-        lines.append(statsd("open_requests", self.service.lifecycle.open_request_count(), "g"))
-        lines += [statsd(name, value, "g") for more in self.service.metric_sources for name, value in more()]
+                lines.append(format_metric(f"partial.{klass}", counts[klass, "partial"], "c"))
+        lines.append(format_metric("open_requests", self.service.lifecycle.open_request_count(), "g"))
+        lines += [
+            format_metric(name, value, "g") for more in self.service.metric_sources for name, value in more()
+        ]
         return "".join(lines) + "END\n"
--- a/saltcart/front/http.py
+++ b/saltcart/front/http.py
@@ -18,7 +18,7 @@
         return self.parser.head is not None or super().partial()
 
     def unread(self) -> bytes | None:
-        return self.parser.raw + self.buffer.peek(len(self.buffer))
+        return self.parser.raw_head + self.buffer.peek(len(self.buffer))
 
     def check_call(self) -> bool | None:
         begun = self.buffer.peek(4)
--- a/saltcart/wire/__init__.py
+++ b/saltcart/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Protocol state machines: fed bytes, yielding messages; they know no socket."""
+"""Protocol state machines: they are fed bytes and return messages, and know nothing of sockets."""
--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -1,6 +1,6 @@
-"""AJP/1.3, both halves: what a web server sends to a container, and what the container answers.
+"""AJP/1.3 messages and parsers for both sides: the web server, which forwards requests, and the container.
 
-Packets to the container start with 0x1234, packets from it with ``AB``; then come a length and the payload.
+Packets to the container start with 0x1234, packets from it with ``AB``; the length and the payload follow.
 """
 
 from __future__ import annotations
@@ -13,11 +13,14 @@
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_PACKET, HEADER = 8192, 4
-MAX_CHUNK = MAX_PACKET - HEADER - 4  # of a SEND_BODY_CHUNK: code, length and a closing zero
-MAX_BODY_DATA_BYTES = MAX_PACKET - HEADER - 2  # of a body packet to the container
-TO_CONTAINER, FROM_CONTAINER = b"\x12\x34", b"AB"
+MAX_PACKET_BYTES, HEADER_BYTES = 8192, 4
+# In a SEND_BODY_CHUNK packet: the payload also holds the code, the length and a closing zero byte.
+MAX_CHUNK_BYTES = MAX_PACKET_BYTES - HEADER_BYTES - 4
+# In a body packet to the container: the payload also holds the length.
+MAX_BODY_DATA_BYTES = MAX_PACKET_BYTES - HEADER_BYTES - 2
+TO_CONTAINER, FROM_CONTAINER = b"\x12\x34", b"AB"  # the first two bytes of a packet
 
+# Prefix codes: the first byte of a payload, except in a body packet.
 FORWARD_REQUEST, SHUTDOWN, PING, CPING = 2, 7, 8, 10
 SEND_BODY_CHUNK, SEND_HEADERS, END_RESPONSE, GET_BODY_CHUNK, CPONG = 3, 4, 5, 6, 9
 
@@ -50,7 +53,7 @@
     b"BASELINE-CONTROL",
     b"MKACTIVITY",
 )
-STORED_METHOD = 0xFF
+STORED_METHOD = 0xFF  # the method is sent as the stored_method attribute instead
 REQUEST_HEADERS = (
     b"accept",
     b"accept-charset",
@@ -93,94 +96,132 @@
     12: "secret",
     13: "stored_method",
 }
-REQ_ATTRIBUTE, SSL_KEY_SIZE, ARE_DONE = 10, 11, 0xFF
+REQ_ATTRIBUTE, SSL_KEY_SIZE, REQUEST_TERMINATOR = 10, 11, 0xFF
 
 
-# ---- primitives -------------------------------------------------------------------------------
+# ---- encoding and decoding --------------------------------------------------------------------
 
 
-class Payload:
-    """Checked reading of one packet's payload."""
+class PayloadReader:
+    """Reads the fields of one packet's payload and checks them."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
-    def raw(self, count: int) -> bytes:
-        data = self.data[self.at : self.at + count]
+    def read_bytes(self, count: int) -> bytes:
+        """Read ``count`` bytes.
+
+        Raises:
+            MalformedMessageError: The payload has fewer bytes left.
+        """
+        data = self.data[self.position : self.position + count]
         if len(data) != count:
             raise MalformedMessageError("payload too short")
-        self.at += count
+        self.position += count
         return data
 
-    def byte(self) -> int:
-        return self.raw(1)[0]
+    def read_byte(self) -> int:
+        """Read an integer of one byte."""
+        return self.read_bytes(1)[0]
+
+    def read_integer(self) -> int:
+        """Read an integer of two bytes."""
+        return int.from_bytes(self.read_bytes(2), "big")
+
+    def read_string(self, length: int | None = None) -> bytes:
+        """Read a string; the null string (length 0xFFFF) is read as an empty one.
 
-    def integer(self) -> int:
-        return int.from_bytes(self.raw(2), "big")
+        Args:
+            length: Bytes of the string, if its length field was read already.
 
-    def text(self, length: int | None = None) -> bytes:
-        """A string; the null string reads as the empty one."""
-        length = self.integer() if length is None else length
+        Raises:
+            MalformedMessageError: The closing zero byte is missing, or the string holds a zero, CR or LF.
+        """
+        length = self.read_integer() if length is None else length
         if length == 0xFFFF:
             return b""
-        data = self.raw(length)
-        if self.byte() != 0 or b"\0" in data or b"\r" in data or b"\n" in data:
+        data = self.read_bytes(length)
+        if self.read_byte() != 0 or b"\0" in data or b"\r" in data or b"\n" in data:
             raise MalformedMessageError("string")
         return data
 
-    def name(self, coded: tuple[bytes, ...]) -> bytes:
-        """A header's name in lower case, in full or as a code 0xA0nn."""
-        word = self.integer()
-        if word >> 8 != 0xA0:
-            return self.text(word).lower()
-        if not 0 < word & 0xFF <= len(coded):
+    def read_header_name(self, coded_names: tuple[bytes, ...]) -> bytes:
+        """Read a header name, given as a string or as a code 0xA0nn; return it in lower case.
+
+        Args:
+            coded_names: The names that have a code, from code 0xA001 on.
+        """
+        code_or_length = self.read_integer()
+        if code_or_length >> 8 != 0xA0:
+            return self.read_string(code_or_length).lower()
+        if not 0 < code_or_length & 0xFF <= len(coded_names):
             raise MalformedMessageError("header code")
-        return coded[(word & 0xFF) - 1]
+        return coded_names[(code_or_length & 0xFF) - 1]
 
 
 def encode_integer(value: int) -> bytes:
+    """Encode an integer as two bytes."""
     return value.to_bytes(2, "big")
 
 
 def encode_string(value: bytes) -> bytes:
+    """Encode a string with its length and the closing zero byte."""
     return encode_integer(len(value)) + value + b"\0"
 
 
 def encode_packet(magic: bytes, payload: bytes) -> bytes:
-    if len(payload) > MAX_PACKET - HEADER:
+    """Encode a packet.
+
+    Args:
+        magic: ``TO_CONTAINER`` or ``FROM_CONTAINER``.
+        payload: The prefix code and the fields, or the data of a body packet.
+
+    Raises:
+        ValueError: The payload exceeds the packet size.
+    """
+    if len(payload) > MAX_PACKET_BYTES - HEADER_BYTES:
         raise ValueError("payload too long for a packet")
     return magic + encode_integer(len(payload)) + payload
 
 
 def take_packet(buffer: Buffer, magic: bytes) -> bytes | None:
-    """The next packet's payload, or None while it is incomplete."""
-    if len(buffer) < HEADER:
+    """Consume the next packet and return its payload, or None while the packet is incomplete.
+
+    Raises:
+        MalformedMessageError: The packet starts with other bytes than ``magic``, or is too long.
+    """
+    if len(buffer) < HEADER_BYTES:
         return None
-    head = buffer.peek(HEADER)
-    length = int.from_bytes(head[2:], "big")
-    if head[:2] != magic or length > MAX_PACKET - HEADER:
+    header = buffer.peek(HEADER_BYTES)
+    length = int.from_bytes(header[2:], "big")
+    if header[:2] != magic or length > MAX_PACKET_BYTES - HEADER_BYTES:
         raise MalformedMessageError("packet header")
-    if len(buffer) < HEADER + length:
+    if len(buffer) < HEADER_BYTES + length:
         return None
-    buffer.consume(HEADER)
+    buffer.consume(HEADER_BYTES)
     return buffer.take(length)
 
 
-def encode_headers(headers: Iterable[tuple[bytes, bytes]], coded: tuple[bytes, ...]) -> bytes:
-    out = []
+def encode_headers(headers: Iterable[tuple[bytes, bytes]], coded_names: tuple[bytes, ...]) -> bytes:
+    """Encode the header count and the headers; names in ``coded_names`` are replaced by their codes."""
+    encoded = []
     for name, value in headers:
-        lower = name.lower()
-        code = encode_integer(0xA001 + coded.index(lower)) if lower in coded else encode_string(name)
-        out.append(code + encode_string(value))
-    return encode_integer(len(out)) + b"".join(out)
+        lower_name = name.lower()
+        encoded_name = (
+            encode_integer(0xA001 + coded_names.index(lower_name))
+            if lower_name in coded_names
+            else encode_string(name)
+        )
+        encoded.append(encoded_name + encode_string(value))
+    return encode_integer(len(encoded)) + b"".join(encoded)
 
 
-# ---- the container's half ---------------------------------------------------------------------
+# ---- the container's side ---------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """One whole request; header names are in lower case."""
+    """One complete request; header names are in lower case."""
 
     method: bytes
     uri: bytes
@@ -190,63 +231,82 @@
 
 
 class CPing(NamedTuple):
-    """CPing: answer with CPong."""
+    """A connection check, to be answered with ``CPONG_PACKET``."""
 
 
 class GetBodyChunkPacket(NamedTuple):
-    """To be sent at once: a GET_BODY_CHUNK."""
+    """An encoded GET_BODY_CHUNK packet, to be sent at once so that the web server sends more of the body."""
 
     data: bytes
 
 
-def read_forward(p: Payload) -> ForwardRequest:
-    method = p.byte()
+def read_forward_request(reader: PayloadReader) -> ForwardRequest:
+    """Read a FORWARD_REQUEST payload after its prefix code; the request is returned without its body.
+
+    Raises:
+        MalformedMessageError: A field is malformed or unknown, or Content-Length is repeated.
+    """
+    method = reader.read_byte()
     if method != STORED_METHOD and not 0 < method <= len(METHODS):
         raise MalformedMessageError("method")
-    p.text()  # protocol
-    uri = p.text()
+    reader.read_string()  # protocol
+    uri = reader.read_string()
     for _ in range(3):  # remote address, remote host, server name
-        p.text()
-    p.integer()  # server port
-    p.byte()  # over TLS
+        reader.read_string()
+    reader.read_integer()  # server port
+    reader.read_byte()  # whether the client uses TLS
     headers: dict[bytes, bytes] = {}
-    for _ in range(p.integer()):
-        name, value = p.name(REQUEST_HEADERS), p.text()
+    for _ in range(reader.read_integer()):
+        name, value = reader.read_header_name(REQUEST_HEADERS), reader.read_string()
         if name in headers:
             if name == b"content-length":
                 raise MalformedMessageError("repeated content-length")
             value = headers[name] + b", " + value
         headers[name] = value
     attributes: dict[str, bytes] = {}
-    while (code := p.byte()) != ARE_DONE:
+    while (code := reader.read_byte()) != REQUEST_TERMINATOR:
         if code == REQ_ATTRIBUTE:
-            p.text(), p.text()
+            reader.read_string(), reader.read_string()
         elif code == SSL_KEY_SIZE:
-            p.integer()
+            reader.read_integer()
         elif code in ATTRIBUTES:
-            attributes[ATTRIBUTES[code]] = p.text()
+            attributes[ATTRIBUTES[code]] = reader.read_string()
         else:
             raise MalformedMessageError("attribute")
-    named = attributes.get("stored_method", b"") if method == STORED_METHOD else METHODS[method - 1]
-    if not named or not uri.startswith(b"/"):
+    method_name = attributes.get("stored_method", b"") if method == STORED_METHOD else METHODS[method - 1]
+    if not method_name or not uri.startswith(b"/"):
         raise MalformedMessageError("method or uri")
-    return ForwardRequest(named, uri, headers, attributes)
+    return ForwardRequest(method_name, uri, headers, attributes)
 
 
 class AjpRequestParser:
-    """What the container reads: forward requests with their bodies, and pings.  A shutdown is ignored."""
+    """Parses what a container receives: requests with their bodies, and CPings.
+
+    SHUTDOWN and PING packets are ignored.
+    """
 
-    def __init__(self, max_body: int, secret: bytes = b"") -> None:
-        self.max_body, self.secret = max_body, secret
-        self.request: ForwardRequest | None = None  # its body is not whole yet
-        self.length = 0  # of that body; -1 where it is not told
+    def __init__(self, max_body_bytes: int, secret: bytes = b"") -> None:
+        """Create a parser for one connection.
+
+        Args:
+            max_body_bytes: Requests with longer bodies are malformed (status 413).
+            secret: If not empty, requests that do not carry it are malformed (status 403).
+        """
+        self.max_body_bytes, self.secret = max_body_bytes, secret
+        self.incomplete_request: ForwardRequest | None = None  # its body has not arrived completely
+        self.body_length = 0  # bytes, of the incomplete request; -1 if the request does not state a length
         self.body = bytearray()
 
     def next(self, buffer: Buffer) -> ForwardRequest | CPing | GetBodyChunkPacket | None:
+        """Return the next message, or a packet that must be sent; None while neither is available.
+
+        Raises:
+            MalformedMessageError: The data is malformed; the parser must not be used again.
+        """
         while (payload := take_packet(buffer, TO_CONTAINER)) is not None:
             message: ForwardRequest | GetBodyChunkPacket | None
-            if self.request is not None:
-                message = self._body(payload)
+            if self.incomplete_request is not None:
+                message = self._read_body_packet(payload)
             elif not payload:
                 raise MalformedMessageError("empty packet")
             elif payload[0] == CPING:
@@ -254,64 +314,81 @@
             elif payload[0] in (SHUTDOWN, PING):
                 continue
             elif payload[0] == FORWARD_REQUEST:
-                message = self._forward(Payload(payload[1:]))
+                message = self._start_request(PayloadReader(payload[1:]))
             else:
                 raise MalformedMessageError("prefix code")
             if message is not None:
                 return message
         return None
 
-    def _forward(self, p: Payload) -> ForwardRequest | GetBodyChunkPacket | None:
-        request = read_forward(p)
+    def _start_request(self, reader: PayloadReader) -> ForwardRequest | GetBodyChunkPacket | None:
+        request = read_forward_request(reader)
         if self.secret and not hmac.compare_digest(request.attributes.get("secret", b""), self.secret):
             raise MalformedMessageError("secret", 403)
         if b"content-length" in request.headers and b"transfer-encoding" in request.headers:
-            raise MalformedMessageError("two lengths at once")  # they may hide a second request in the body
+            # Two conflicting body lengths could hide a second request in the body (request smuggling).
+            raise MalformedMessageError("two lengths at once")
         length = request.headers.get(b"content-length", b"0")
         if not length.isdigit() or len(length) > 9:
             raise MalformedMessageError("content-length")
-        if int(length) > self.max_body:
+        if int(length) > self.max_body_bytes:
             raise MalformedMessageError("body too long", 413)
-        untold = b"content-length" not in request.headers and b"transfer-encoding" in request.headers
-        if not untold and not int(length):
+        is_unknown_length = (
+            b"content-length" not in request.headers and b"transfer-encoding" in request.headers
+        )
+        if not is_unknown_length and not int(length):
             return request
-        self.request, self.length, self.body = request, -1 if untold else int(length), bytearray()
-        # With a told length the first packet comes unasked; else nothing comes before it is asked for.
-        return GetBodyChunkPacket(encode_get_body_chunk(self.max_body)) if untold else None
+        self.incomplete_request, self.body_length, self.body = (
+            request,
+            -1 if is_unknown_length else int(length),
+            bytearray(),
+        )
+        # If the length is known, the web server sends the first body packet without GET_BODY_CHUNK;
+        # otherwise it sends none before it receives one.
+        return GetBodyChunkPacket(encode_get_body_chunk(self.max_body_bytes)) if is_unknown_length else None
 
-    def _body(self, payload: bytes) -> ForwardRequest | GetBodyChunkPacket:
-        assert self.request is not None
+    def _read_body_packet(self, payload: bytes) -> ForwardRequest | GetBodyChunkPacket:
+        assert self.incomplete_request is not None
         data = b""
         if payload:
-            p = Payload(payload)
-            data = p.raw(p.integer())
-            if p.at != len(payload):
+            reader = PayloadReader(payload)
+            data = reader.read_bytes(reader.read_integer())
+            if reader.position != len(payload):
                 raise MalformedMessageError("body packet")
         self.body += data
-        if len(self.body) > (self.max_body if self.length < 0 else self.length):
+        if len(self.body) > (self.max_body_bytes if self.body_length < 0 else self.body_length):
             raise MalformedMessageError("body too long", 413)
-        if len(self.body) == self.length or (self.length < 0 and not data):
-            request, self.request = self.request, None
+        if len(self.body) == self.body_length or (self.body_length < 0 and not data):
+            request, self.incomplete_request = self.incomplete_request, None
             request.body = bytes(self.body)
             return request
         if not data:
             raise MalformedMessageError("body cut short")
-        left = self.max_body if self.length < 0 else self.length - len(self.body)
-        return GetBodyChunkPacket(encode_get_body_chunk(left))
+        missing_bytes = self.max_body_bytes if self.body_length < 0 else self.body_length - len(self.body)
+        return GetBodyChunkPacket(encode_get_body_chunk(missing_bytes))
 
 
-def encode_get_body_chunk(count: int) -> bytes:
+def encode_get_body_chunk(byte_count: int) -> bytes:
+    """Encode a packet that requests ``byte_count`` bytes of the body, or as many as one body packet holds."""
     return encode_packet(
-        FROM_CONTAINER, bytes((GET_BODY_CHUNK,)) + encode_integer(min(count, MAX_BODY_DATA_BYTES))
+        FROM_CONTAINER, bytes((GET_BODY_CHUNK,)) + encode_integer(min(byte_count, MAX_BODY_DATA_BYTES))
     )
 
 
 def encode_response(
     status: int, reason: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes, reuse: bool
 ) -> bytes:
-    """One answer as packets: the headers, the body in chunks, the end."""
+    """Encode one response as packets: the headers, the body in chunks, and the end of the response.
+
+    Args:
+        status: The HTTP status code.
+        reason: The HTTP reason phrase.
+        headers: The headers, without Content-Length, which is added.
+        body: The complete body.
+        reuse: Whether the web server may send further requests on the connection.
+    """
     fields = [*headers, (b"Content-Length", b"%d" % len(body))]
-    out = [
+    packets = [
         encode_packet(
             FROM_CONTAINER,
             bytes((SEND_HEADERS,))
@@ -320,38 +397,41 @@
             + encode_headers(fields, RESPONSE_HEADERS),
         )
     ]
-    out += [
-        encode_packet(FROM_CONTAINER, bytes((SEND_BODY_CHUNK,)) + encode_string(body[at : at + MAX_CHUNK]))
-        for at in range(0, len(body), MAX_CHUNK)
+    packets += [
+        encode_packet(
+            FROM_CONTAINER,
+            bytes((SEND_BODY_CHUNK,)) + encode_string(body[offset : offset + MAX_CHUNK_BYTES]),
+        )
+        for offset in range(0, len(body), MAX_CHUNK_BYTES)
     ]
-    out.append(encode_packet(FROM_CONTAINER, bytes((END_RESPONSE, reuse))))
-    return b"".join(out)
+    packets.append(encode_packet(FROM_CONTAINER, bytes((END_RESPONSE, reuse))))
+    return b"".join(packets)
 
 
 CPONG_PACKET = encode_packet(FROM_CONTAINER, bytes((CPONG,)))
 
 
-# ---- the web server's half --------------------------------------------------------------------
+# ---- the web server's side --------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class AjpResponse:
-    """One whole answer of a container."""
+    """One complete response of a container; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    reuse: bool
+    reuse: bool  # whether the container accepts further requests on the connection
 
 
 class CPong(NamedTuple):
-    """The container is there."""
+    """The container's answer to a CPing."""
 
 
 class GetBodyChunk(NamedTuple):
-    """The container asks for more of the body."""
+    """The container requests the next part of the body."""
 
-    size: int
+    size: int  # bytes, at most
 
 
 CPING_PACKET = encode_packet(TO_CONTAINER, bytes((CPING,)))
@@ -365,10 +445,20 @@
     port: int,
     secret: bytes = b"",
 ) -> bytes:
+    """Encode a FORWARD_REQUEST packet; the body follows in body packets.
+
+    Args:
+        method: The HTTP method; one without a code is sent as the stored_method attribute.
+        uri: The request URI.
+        headers: The headers, with Content-Length if the request has a body of known length.
+        host: The server name.
+        port: The server port.
+        secret: If not empty, the secret that the container expects.
+    """
     if method in METHODS:
-        code, stored = METHODS.index(method) + 1, b""
+        code, stored_method = METHODS.index(method) + 1, b""
     else:
-        code, stored = STORED_METHOD, b"\x0d" + encode_string(method)
+        code, stored_method = STORED_METHOD, b"\x0d" + encode_string(method)
     return encode_packet(
         TO_CONTAINER,
         b"".join(
@@ -376,56 +466,71 @@
                 bytes((FORWARD_REQUEST, code)),
                 encode_string(b"HTTP/1.1"),
                 encode_string(uri),
-                encode_string(b"127.0.0.1"),
-                encode_string(b"127.0.0.1"),
+                encode_string(b"127.0.0.1"),  # remote address
+                encode_string(b"127.0.0.1"),  # remote host
                 encode_string(host),
                 encode_integer(port),
-                b"\0",
+                b"\0",  # without TLS
                 encode_headers(headers, REQUEST_HEADERS),
-                stored,
+                stored_method,
                 b"\x0c" + encode_string(secret) if secret else b"",
-                bytes((ARE_DONE,)),
+                bytes((REQUEST_TERMINATOR,)),
             )
         ),
     )
 
 
 def encode_body_packet(data: bytes) -> bytes:
-    """A part of the body; an empty one ends it."""
+    """Encode a part of the body; an empty part ends the body."""
     return encode_packet(TO_CONTAINER, encode_integer(len(data)) + data if data else b"")
 
 
 class AjpResponseParser:
-    """What the web server reads."""
+    """Parses what a web server receives: responses, CPongs and requests for parts of the body."""
 
-    def __init__(self, max_body: int) -> None:
-        self.max_body = max_body
-        self.head: tuple[int, dict[bytes, bytes]] | None = None
+    def __init__(self, max_body_bytes: int) -> None:
+        """Create a parser for one connection; responses with bodies over the limit are malformed."""
+        self.max_body_bytes = max_body_bytes
+        self.head: tuple[int, dict[bytes, bytes]] | None = (
+            None  # status and headers of the unfinished response
+        )
         self.body = bytearray()
 
     def next(self, buffer: Buffer) -> AjpResponse | CPong | GetBodyChunk | None:
+        """Return the next message, or None while none is complete.
+
+        Raises:
+            MalformedMessageError: The data is malformed; the parser must not be used again.
+        """
         while (payload := take_packet(buffer, FROM_CONTAINER)) is not None:
-            p = Payload(payload)
-            code = p.byte()
+            reader = PayloadReader(payload)
+            code = reader.read_byte()
             if code == CPONG:
                 return CPong()
             if code == GET_BODY_CHUNK:
-                return GetBodyChunk(p.integer())
+                return GetBodyChunk(reader.read_integer())
             if code == SEND_HEADERS and self.head is None:
-                status = p.integer()
-                p.text()
-                self.head = status, {p.name(RESPONSE_HEADERS): p.text() for _ in range(p.integer())}
+                status = reader.read_integer()
+                reader.read_string()  # reason phrase
+                self.head = (
+                    status,
+                    {
+                        reader.read_header_name(RESPONSE_HEADERS): reader.read_string()
+                        for _ in range(reader.read_integer())
+                    },
+                )
                 self.body = bytearray()
             elif code == SEND_BODY_CHUNK and self.head is not None:
-                self.body += p.raw(p.integer())  # the closing zero is optional
-                if len(self.body) > self.max_body:
-                    raise MalformedMessageError("body too long")
+                self.body += reader.read_bytes(reader.read_integer())  # the closing zero byte is optional
+                if len(self.body) > self.max_body_bytes:
+                    raise MalformedMessageError("response body exceeds the limit")
             elif code == END_RESPONSE and self.head is not None:
                 (status, headers), self.head = self.head, None
-                told = headers.get(b"content-length")
-                if told is not None and told != b"%d" % len(self.body):
-                    raise MalformedMessageError("body cut short")  # an answer that is not whole is none
-                return AjpResponse(status, headers, bytes(self.body), p.byte() == 1)
+                content_length = headers.get(b"content-length")
+                if content_length is not None and content_length != b"%d" % len(self.body):
+                    # An incomplete response must not be used as a response.
+                    raise MalformedMessageError("response body does not match its Content-Length")
+                return AjpResponse(status, headers, bytes(self.body), reader.read_byte() == 1)
             else:
-                raise MalformedMessageError("prefix code")
+                raise MalformedMessageError("unexpected prefix code in a response")
         return None
--- a/saltcart/wire/buffer.py
+++ b/saltcart/wire/buffer.py
@@ -1,58 +1,79 @@
-"""The one buffer of a connection: grows as needed, compacted in place."""
+"""The receive buffer of a connection: it grows as needed and is compacted in place."""
 
 from __future__ import annotations
 
-KEPT = 8192  # bytes of room that an empty buffer keeps
+MAX_IDLE_BYTES = 8192  # capacity that an empty buffer keeps at most
 
 
 class BufferOverflowError(Exception):
-    """More unread bytes than the connection may hold."""
+    """The connection would have to hold more unread bytes than its limit."""
 
 
 class Buffer:
-    """Bytes between ``start`` and ``end`` of ``data`` are received and not yet consumed."""
+    """Received bytes that are not consumed yet: those between ``start`` and ``end`` of ``data``."""
 
     def __init__(self, size: int = 2048, limit: int = 65536) -> None:
+        """Create an empty buffer.
+
+        Args:
+            size: The initial capacity in bytes.
+            limit: The highest capacity in bytes.
+        """
         self.data, self.start, self.end, self.limit = bytearray(size), 0, 0, limit
 
     def __len__(self) -> int:
         return self.end - self.start
 
-    def writable_view(self, least: int = 512) -> memoryview:
-        """Room to receive into.  Only here may ``data`` be resized: no view of it is alive at this point."""
-        if not self.end and len(self.data) > KEPT:
-            self.data = bytearray(KEPT)  # one long message must not hold its room for good
-        if len(self.data) - self.end < least:
+    def writable_view(self, min_bytes: int = 512) -> memoryview:
+        """Return a view of free capacity to receive into.
+
+        ``data`` may be resized only here, where no view of it is alive.
+
+        Args:
+            min_bytes: The length that the view has at least.
+
+        Raises:
+            BufferOverflowError: The buffer would exceed its limit.
+        """
+        if not self.end and len(self.data) > MAX_IDLE_BYTES:
+            # Otherwise the capacity that one long message needed would be held until the connection ends.
+            self.data = bytearray(MAX_IDLE_BYTES)
+        if len(self.data) - self.end < min_bytes:
             self.compact()
-        if len(self.data) - self.end < least:
-            if len(self) + least > self.limit:
+        if len(self.data) - self.end < min_bytes:
+            if len(self) + min_bytes > self.limit:
                 raise BufferOverflowError
-            self.data.extend(bytes(min(self.limit, 2 * len(self.data) + least) - len(self.data)))
+            self.data.extend(bytes(min(self.limit, 2 * len(self.data) + min_bytes) - len(self.data)))
         return memoryview(self.data)[self.end :]
 
     def commit(self, count: int) -> None:
+        """Mark ``count`` bytes that were written into the view as received."""
         self.end += count
 
     def consume(self, count: int) -> None:
+        """Drop ``count`` unread bytes."""
         self.start += count
         if self.start == self.end:
             self.start = self.end = 0
 
     def compact(self) -> None:
-        """Move what is unread to the front; equal lengths, so the bytearray is not resized."""
+        """Move the unread bytes to the front.
+
+        The assigned slices have equal lengths, so the bytearray is not resized.
+        """
         if self.start:
-            held = len(self)
-            self.data[:held] = self.data[self.start : self.end]
-            self.start, self.end = 0, held
+            unread_count = len(self)
+            self.data[:unread_count] = self.data[self.start : self.end]
+            self.start, self.end = 0, unread_count
 
     def write(self, data: bytes) -> None:
-        """Receive ``data`` as if a socket had delivered it."""
+        """Append ``data`` as if it had been received from a socket."""
         offset = 0
         while offset < len(data):
-            room = self.writable_view()
-            count = min(len(room), len(data) - offset)
-            room[:count] = data[offset : offset + count]
-            del room
+            view = self.writable_view()
+            count = min(len(view), len(data) - offset)
+            view[:count] = data[offset : offset + count]
+            del view
             self.commit(count)
             offset += count
 
@@ -63,20 +84,28 @@
         return data
 
     def peek(self, count: int, offset: int = 0) -> bytes:
+        """Return up to ``count`` unread bytes from ``offset`` on, without consuming them."""
         return bytes(self.data[self.start + offset : min(self.end, self.start + offset + count)])
 
-    def find(self, what: bytes, offset: int = 0) -> int:
-        """Offset of ``what`` from ``start``, or -1."""
-        at = self.data.find(what, self.start + offset, self.end)
-        return at if at < 0 else at - self.start
+    def find(self, pattern: bytes, offset: int = 0) -> int:
+        """Return the offset of ``pattern`` among the unread bytes from ``offset`` on, or -1."""
+        position = self.data.find(pattern, self.start + offset, self.end)
+        return position if position < 0 else position - self.start
+
+    def take_line(self, limit: int) -> bytes | None:
+        """Consume the next line and return it without its CR LF, or None while it is incomplete.
+
+        Args:
+            limit: The longest permitted line in bytes.
 
-    def line(self, limit: int) -> bytes | None:
-        """The next line without its CR LF, or None while it is incomplete; ``ValueError`` past the limit."""
-        at = self.find(b"\r\n")
-        if at > limit or (at < 0 and len(self) > limit + 1):
+        Raises:
+            ValueError: The line is longer.
+        """
+        position = self.find(b"\r\n")
+        if position > limit or (position < 0 and len(self) > limit + 1):
             raise ValueError("line too long")
-        if at < 0:
+        if position < 0:
             return None
-        line = self.take(at)
+        line = self.take(position)
         self.consume(2)
         return line
--- a/saltcart/wire/control.py
+++ b/saltcart/wire/control.py
@@ -1,29 +1,30 @@
-"""The operators' calls: one line on each connection."""
+"""The operators' protocol: one command line on each connection, and metrics in statsd format."""
 
 from __future__ import annotations
 
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_LINE = 256
+MAX_LINE_BYTES = 256
 
 
 def take_command(buffer: Buffer) -> str | None:
-    """The line without its end, or None while it is not whole.
+    """Consume the command line and return it without its line end, or None while it is incomplete.
 
-    ``MalformedMessageError`` where it never will be.
+    Raises:
+        MalformedMessageError: The line is too long or not printable ASCII text.
     """
-    at = buffer.find(b"\n")
-    if at > MAX_LINE or (at < 0 and len(buffer) > MAX_LINE):
+    position = buffer.find(b"\n")
+    if position > MAX_LINE_BYTES or (position < 0 and len(buffer) > MAX_LINE_BYTES):
         raise MalformedMessageError("line too long")
-    if at < 0:
+    if position < 0:
         return None
-    line = buffer.take(at + 1).rstrip(b"\r\n")
+    line = buffer.take(position + 1).rstrip(b"\r\n")
     if not line.isascii() or not line.decode("ascii").isprintable():
         raise MalformedMessageError("not a line of text")
     return line.decode("ascii").strip()
 
 
-def statsd(name: str, value: int, kind: str) -> str:
-    """One figure: ``c`` is a counter, ``g`` a gauge."""
-    return f"balancer.{name}:{value}|{kind}\n"
+def format_metric(name: str, value: int, metric_type: str) -> str:
+    """Format one metric in statsd format; its type is ``c`` for a counter or ``g`` for a gauge."""
+    return f"balancer.{name}:{value}|{metric_type}\n"
--- a/saltcart/wire/errors.py
+++ b/saltcart/wire/errors.py
@@ -1,10 +1,14 @@
-"""The one way in which a wire's state machine says that what came is not its protocol."""
+"""The error that all protocol state machines raise for malformed input."""
 
 from __future__ import annotations
 
 
 class MalformedMessageError(Exception):
-    """``status`` is the answer it gets where the protocol has one; the connection ends either way."""
+    """Received data violates the protocol; the connection must be closed.
+
+    Attributes:
+        status: The HTTP status of the response that the peer gets if the protocol has responses.
+    """
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
--- a/saltcart/wire/http1.py
+++ b/saltcart/wire/http1.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1 as far as the service needs it: requests in, answers out, and the client's half for reports."""
+"""HTTP/1.1 messages and parsers, as far as the service needs them.
+
+The server's side is used by the HTTP front and the administration API, the client's side for reports to the
+announce service.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +12,10 @@
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_HEAD, MAX_HEADERS = 8192, 64
+MAX_HEAD_BYTES, MAX_HEADER_COUNT = 8192, 64
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
-STATUS = re.compile(rb"[1-5][0-9][0-9]\Z")
-DIGITS = re.compile(rb"[0-9]{1,9}\Z")
+STATUS_CODE = re.compile(rb"[1-5][0-9][0-9]\Z")
+LENGTH = re.compile(rb"[0-9]{1,9}\Z")
 REASON_PHRASES = {
     200: b"OK",
     201: b"Created",
@@ -37,28 +41,35 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One whole request; header names are in lower case."""
+    """One complete request; header names are in lower case."""
 
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
     body: bytes
-    keep_alive: bool
+    keep_alive: bool  # whether the client permits further requests on the connection
 
 
 @dataclass(slots=True)
 class HttpResponse:
-    """One whole response, as the client's half reads it."""
+    """One complete response, as parsed by a client; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    keep_alive: bool
+    keep_alive: bool  # whether the server permits further requests on the connection
+
+
+def parse_headers(lines: list[bytes]) -> dict[bytes, bytes]:
+    """Return header values by lower-case name.
 
+    The values of a repeated header are joined by commas. Content-Length, Host and Transfer-Encoding must
+    not be repeated, since a joined value would misrepresent the message.
 
-def read_headers(lines: list[bytes]) -> dict[bytes, bytes]:
-    """Header fields by lower-case name; what repeats is joined by a comma, except where that would lie."""
-    if len(lines) > MAX_HEADERS:
+    Raises:
+        MalformedMessageError: A header is malformed, one of those three is repeated, or there are too many.
+    """
+    if len(lines) > MAX_HEADER_COUNT:
         raise MalformedMessageError("too many header fields", 431)
     headers: dict[bytes, bytes] = {}
     for line in lines:
@@ -74,17 +85,23 @@
     return headers
 
 
-def keeps_alive(version: bytes, headers: dict[bytes, bytes]) -> bool:
-    options = {o.strip().lower() for o in headers.get(b"connection", b"").split(b",")}
+def is_keep_alive(version: bytes, headers: dict[bytes, bytes]) -> bool:
+    """Return whether the connection persists after a message of this HTTP version with these headers."""
+    options = {option.strip().lower() for option in headers.get(b"connection", b"").split(b",")}
     return b"close" not in options and (version == b"HTTP/1.1" or b"keep-alive" in options)
 
 
-def body_length(headers: dict[bytes, bytes], limit: int) -> int:
+def parse_body_length(headers: dict[bytes, bytes], limit: int) -> int:
+    """Return the length of a message's body in bytes.
+
+    Raises:
+        MalformedMessageError: The body has a transfer coding, a malformed length, or a length over the limit.
+    """
     if b"transfer-encoding" in headers:
-        # Both lengths at once may hide a second request in the first one's body (RFC 9112, 6.1).
+        # Two body lengths may hide a second request in the first one's body (smuggling; RFC 9112, 6.1).
         raise MalformedMessageError("transfer coding", 400 if b"content-length" in headers else 501)
     text = headers.get(b"content-length", b"0")
-    if not DIGITS.match(text):
+    if not LENGTH.match(text):
         raise MalformedMessageError("content-length")
     if int(text) > limit:
         raise MalformedMessageError("body too long", 413)
@@ -92,84 +109,101 @@
 
 
 class HttpParser:
-    """Reads messages off a buffer; a message is yielded when its last byte is there."""
+    """Splits received bytes into messages; a message is returned once its last byte has arrived."""
 
-    def __init__(self, max_body: int) -> None:
-        self.max_body, self.searched = max_body, 0
+    def __init__(self, max_body_bytes: int) -> None:
+        """Create a parser for one connection; messages with bodies over the limit are malformed."""
+        self.max_body_bytes, self.searched_bytes = max_body_bytes, 0  # searched for the end of the head
+        # The words of the first line and the headers of a message whose body is incomplete.
         self.head: tuple[list[bytes], dict[bytes, bytes]] | None = None
-        self.length, self.raw = 0, b""  # of the head that was read, until its body is here
+        self.body_length, self.raw_head = 0, b""  # of that message; the raw head is kept for a handover
 
-    def _message(self, buffer: Buffer) -> tuple[list[bytes], dict[bytes, bytes], bytes] | None:
+    def _take_message(self, buffer: Buffer) -> tuple[list[bytes], dict[bytes, bytes], bytes] | None:
+        """Consume the next message; return the words of its first line, its headers and its body."""
         if self.head is None:
-            at = buffer.find(b"\r\n\r\n", self.searched)
-            if at > MAX_HEAD or (at < 0 and len(buffer) > MAX_HEAD):
+            position = buffer.find(b"\r\n\r\n", self.searched_bytes)
+            if position > MAX_HEAD_BYTES or (position < 0 and len(buffer) > MAX_HEAD_BYTES):
                 raise MalformedMessageError("head too long", 431)
-            if at < 0:
-                self.searched = max(0, len(buffer) - 3)
+            if position < 0:
+                self.searched_bytes = max(0, len(buffer) - 3)
                 return None
-            self.raw = buffer.take(at + 4)
-            first, *lines = self.raw[:-4].split(b"\r\n")
-            self.searched = 0
-            headers = read_headers(lines)
-            self.length = body_length(headers, self.max_body)
-            self.head = first.split(b" "), headers
-        if len(buffer) < self.length:
+            self.raw_head = buffer.take(position + 4)
+            first_line, *lines = self.raw_head[:-4].split(b"\r\n")
+            self.searched_bytes = 0
+            headers = parse_headers(lines)
+            self.body_length = parse_body_length(headers, self.max_body_bytes)
+            self.head = first_line.split(b" "), headers
+        if len(buffer) < self.body_length:
             return None
-        (first_line, headers), self.head, self.raw = self.head, None, b""
-        return first_line, headers, buffer.take(self.length)
+        (words, headers), self.head, self.raw_head = self.head, None, b""
+        return words, headers, buffer.take(self.body_length)
 
 
 class HttpRequestParser(HttpParser):
-    """The server's half."""
+    """Parses the requests that a server receives."""
 
     def next(self, buffer: Buffer) -> HttpRequest | None:
-        """The next whole request, or None while there is none.
+        """Return the next request, or None while none is complete.
 
-        ``MalformedMessageError`` ends the connection.
+        Raises:
+            MalformedMessageError: The data is malformed; the parser must not be used again.
         """
         while self.head is None and buffer.peek(2) == b"\r\n":  # empty lines before a request are ignored
             buffer.consume(2)
-        message = self._message(buffer)
+        message = self._take_message(buffer)
         if message is None:
             return None
-        first, headers, body = message
-        if len(first) != 3 or not TOKEN.match(first[0]) or not first[1].startswith(b"/"):
+        words, headers, body = message
+        if len(words) != 3 or not TOKEN.match(words[0]) or not words[1].startswith(b"/"):
             raise MalformedMessageError("request line")
-        if first[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
+        if words[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
             raise MalformedMessageError("version", 505)
-        return HttpRequest(first[0], first[1], headers, body, keeps_alive(first[2], headers))
+        return HttpRequest(words[0], words[1], headers, body, is_keep_alive(words[2], headers))
 
 
 class HttpResponseParser(HttpParser):
-    """The client's half."""
+    """Parses the responses that a client receives."""
 
     def next(self, buffer: Buffer) -> HttpResponse | None:
-        message = self._message(buffer)
+        """Return the next response, or None while none is complete.
+
+        Raises:
+            MalformedMessageError: The data is malformed; the parser must not be used again.
+        """
+        message = self._take_message(buffer)
         if message is None:
             return None
-        first, headers, body = message
-        if len(first) < 2 or first[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not STATUS.match(first[1]):
-            raise MalformedMessageError("status line")
-        return HttpResponse(int(first[1]), headers, body, keeps_alive(first[0], headers))
+        words, headers, body = message
+        if len(words) < 2 or words[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not STATUS_CODE.match(words[1]):
+            raise MalformedMessageError("malformed status line")
+        return HttpResponse(int(words[1]), headers, body, is_keep_alive(words[0], headers))
 
 
 def encode_response(
     status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (), close: bool = False
 ) -> bytes:
-    """One answer as bytes."""
-    extra = "".join(f"{name}: {value}\r\n" for name, value in headers)
-    length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
+    """Encode one response.
+
+    Args:
+        status: The status code; 204 gets no Content-Length.
+        body: The complete body.
+        headers: Further headers; Content-Length and Connection are added.
+        close: Whether the response announces that the server closes the connection.
+    """
+    header_lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
+    content_length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b" % (
         status,
         REASON_PHRASES.get(status, b"Unknown"),
-        extra.encode("latin-1"),
-        length,
+        header_lines.encode("latin-1"),
+        content_length,
         b"Connection: close\r\n" if close else b"",
         body,
     )
 
 
 def encode_request(method: str, target: str, host: str, body: bytes) -> bytes:
+    """Encode one request with its Host and Content-Length headers."""
     return b"%b %b HTTP/1.1\r\nHost: %b\r\nContent-Length: %d\r\n\r\n%b" % (
         method.encode(),
         target.encode(),
--- a/saltcart/wire/lines.py
+++ b/saltcart/wire/lines.py
@@ -36,7 +36,7 @@
         if self.words is None:
             self._skip(buffer)
             try:
-                line = buffer.line(MAX_LINE)
+                line = buffer.take_line(MAX_LINE)
             except ValueError as error:
                 raise MalformedMessageError(str(error)) from None
             if line is None:
