--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -70,13 +70,13 @@
                     self.link.apply(message)
         except MalformedMessageError as error:
             self.link.log("pool-malformed", error=str(error))
-            self.link.session.lose_link()
+            self.link.session.close_link()
             self.abort()
         self.link.move_on()
 
     def closed(self) -> None:
         if self.current():
-            self.link.session.lose_link()
+            self.link.session.close_link()
 
 
 class PoolLink(Link):
@@ -97,7 +97,7 @@
         """
         if address(peer) == self.peer and self.next is None:
             return
-        self.session.lose_link()  # what comes before the new link is bound waits for it
+        self.session.close_link()  # what comes before the new link is bound waits for it
         self.next = peer
         if self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(DOUBT, self.move_on, True)
--- a/saltcart/wire/lines.py
+++ b/saltcart/wire/lines.py
@@ -1,4 +1,4 @@
-"""Lines of words, some followed by a counted body: what the pool's and the index's links share."""
+"""Framing of the pool's and the index's protocols: lines, some followed by a body of stated length."""
 
 from __future__ import annotations
 
@@ -7,64 +7,85 @@
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_LINE, MAX_BODY = 1024, 16384
+MAX_LINE_BYTES, MAX_BODY_BYTES = 1024, 16384
 
 
-def parse_number(words: list[bytes], at: int) -> int:
-    if len(words) <= at or not words[at].isdigit() or len(words[at]) > 18:
-        raise MalformedMessageError(f"{words[0][:20]!r}: field {at} is not a number")
-    return int(words[at])
+def parse_number(words: list[bytes], index: int) -> int:
+    """Return the word at ``index`` as an integer.
+
+    Raises:
+        MalformedMessageError: The word is missing or not a number of at most 18 digits.
+    """
+    if len(words) <= index or not words[index].isdigit() or len(words[index]) > 18:
+        raise MalformedMessageError(f"{words[0][:20]!r}: field {index} is not a number")
+    return int(words[index])
 
 
 class LineReader:
-    """``length_of`` gives the length of the body that follows a line, or None where none does.
+    """Reads lines, each with the body that follows it."""
 
-    Lines that start with ``remark`` mean nothing, and may be of any length: none of a long one is kept.
-    """
+    def __init__(
+        self, body_length_of: Callable[[list[bytes]], int | None], ignored_prefix: bytes = b""
+    ) -> None:
+        """Create a reader for one connection.
 
-    def __init__(self, length_of: Callable[[list[bytes]], int | None], remark: bytes = b"") -> None:
-        self.length_of, self.remark = length_of, remark
+        Args:
+            body_length_of: Returns the length in bytes of the body that follows a line, given the line's
+                words, or None if no body follows.
+            ignored_prefix: Lines that start with this prefix carry no information and may have any length:
+                of a line longer than the limit nothing is kept or returned.
+        """
+        self.body_length_of, self.ignored_prefix = body_length_of, ignored_prefix
         self.reset()
 
     def reset(self) -> None:
-        self.words: list[bytes] | None = None  # of a line whose body is not whole yet
-        self.length: int | None = None
-        self.skipping = False  # the rest of a long remark is still to come
+        """Discard a partly read line or body, for a new connection."""
+        self.words: list[bytes] | None = None  # of a line whose body is incomplete
+        self.body_length: int | None = None
+        self.is_skipping = False  # the rest of a long ignored line has not arrived
 
     def next(self, buffer: Buffer) -> tuple[list[bytes], bytes] | None:
-        """The next line with its body, once both are whole."""
+        """Return the words of the next line and its body, or None while they are incomplete.
+
+        Raises:
+            MalformedMessageError: The line or its body is too long, or the body is not followed by CR LF.
+        """
         if self.words is None:
-            self._skip(buffer)
+            self._skip_ignored_line(buffer)
             try:
-                line = buffer.take_line(MAX_LINE)
+                line = buffer.take_line(MAX_LINE_BYTES)
             except ValueError as error:
                 raise MalformedMessageError(str(error)) from None
             if line is None:
                 return None
             self.words = line.split(b" ")
-            self.length = self.length_of(self.words)
-            if self.length is not None and self.length > MAX_BODY:
+            self.body_length = self.body_length_of(self.words)
+            if self.body_length is not None and self.body_length > MAX_BODY_BYTES:
                 raise MalformedMessageError("body too long")
         body = b""
-        if self.length is not None:
-            if len(buffer) < self.length + 2:
+        if self.body_length is not None:
+            if len(buffer) < self.body_length + 2:
                 return None
-            body = buffer.take(self.length)
+            body = buffer.take(self.body_length)
             if buffer.take(2) != b"\r\n":
-                raise MalformedMessageError("body without its end")
+                raise MalformedMessageError("body is not followed by CR LF")
         words, self.words = self.words, None
         return words, body
 
-    def _skip(self, buffer: Buffer) -> None:
-        """Drop a remark that is longer than a line may be, as far as it is here."""
+    def _skip_ignored_line(self, buffer: Buffer) -> None:
+        """Drop an ignored line that exceeds the limit, as far as it has arrived."""
         if (
-            not self.skipping
-            and self.remark
-            and len(buffer) > MAX_LINE
-            and (buffer.peek(len(self.remark)) == self.remark and not 0 <= buffer.find(b"\r\n") <= MAX_LINE)
+            not self.is_skipping
+            and self.ignored_prefix
+            and len(buffer) > MAX_LINE_BYTES
+            and (
+                buffer.peek(len(self.ignored_prefix)) == self.ignored_prefix
+                and not 0 <= buffer.find(b"\r\n") <= MAX_LINE_BYTES
+            )
         ):
-            self.skipping = True
-        if self.skipping:
-            at = buffer.find(b"\r\n")
-            self.skipping = at < 0
-            buffer.consume(at + 2 if at >= 0 else max(0, len(buffer) - 1))  # a CR may be its last byte
+            self.is_skipping = True
+        if self.is_skipping:
+            position = buffer.find(b"\r\n")
+            self.is_skipping = position < 0
+            # The last byte may be the CR of the line's end.
+            buffer.consume(position + 2 if position >= 0 else max(0, len(buffer) - 1))
--- a/saltcart/wire/pool.py
+++ b/saltcart/wire/pool.py
@@ -1,7 +1,8 @@
-"""The worker pool's link: lines of words, some followed by a counted body.
+"""The worker pool's protocol: lines of words, some followed by a body of stated length.
 
-``PoolSession`` outlives the links it runs over: it knows the last notice read, drops what comes twice, and
-sends again what a lost link may have swallowed, as far as that can't start anything a second time.
+``PoolSession`` outlives the links (connections) that it runs over. It keeps the number of the last notice
+read, drops repeated notices, and resends commands that a lost link may have dropped, unless that could start
+a run a second time.
 """
 
 from __future__ import annotations
@@ -17,38 +18,46 @@
 
 
 class Bound(NamedTuple):
-    """The pool is up."""
+    """The pool accepted the link and is ready."""
 
-    loaded: bool
-    age: float
+    is_loaded: bool  # False if the pool starts cold
+    age: float  # seconds since the pool started
 
 
 class Finished(NamedTuple):
-    ident: bytes
-    end: bytes
-    took: float
+    """A run ended."""
+
+    request_id: bytes
+    status: bytes
+    seconds: float  # execution time of the run
     result: bytes
 
 
 class Blocked(NamedTuple):
-    ident: bytes
-    notice: int
-    body: bytes
+    """A run waits for the reply to a call."""
+
+    request_id: bytes
+    notice_number: int
+    body: bytes  # of the call
 
 
 class Polled(NamedTuple):
+    """The pool's gauges, in the order of its protocol."""
+
     gauges: tuple[float, ...]
 
 
 class UnknownCommand(NamedTuple):
+    """The pool could not apply a command, for example because it does not know the run."""
+
     command: bytes
-    ident: bytes
+    request_id: bytes
 
 
 class UncertainRun(NamedTuple):
-    """Whether this run was ever started can't be told any more."""
+    """It can no longer be determined whether this run was ever started."""
 
-    ident: bytes
+    request_id: bytes
 
 
 Message = Bound | Finished | Blocked | Polled | UnknownCommand | UncertainRun
@@ -56,159 +65,203 @@
 
 @dataclass(slots=True)
 class Command:
-    """A command that no later answer has shown to have arrived."""
+    """A command that no later reply to a poll has shown to have arrived."""
 
-    mark: int  # number of the last poll before it
+    last_poll: int  # number of the last poll sent before it
     verb: bytes
-    ident: bytes
-    notice: int  # of the call that the command is about, or 0
-    once: bool  # never written twice: a lost link proves nothing
-    written: bool
+    request_id: bytes
+    notice_number: int  # of the call that the command is about, or 0
+    must_run_once: bool  # must not be sent twice: a lost link does not prove that it did not arrive
+    is_sent: bool
     data: bytes
 
 
 class PoolSession:
-    """The service's half of the protocol."""
+    """The service's side of the protocol.
+
+    Methods that return bytes return what must be sent on the link. While the link is not ready they return
+    nothing, and the command is sent once the link is ready.
+    """
 
     def __init__(self) -> None:
-        self.last = 0  # number of the last notice that was read
-        self.is_ready = False  # the present link is bound and its replay has been read
-        self.last_poll = 0  # polls sent so far
+        self.last_notice = 0  # number of the last notice that was read
+        self.is_ready = False  # the current link is bound and the notices that it replays have been read
+        self.last_poll = 0  # number of polls sent so far
         self.unconfirmed: deque[Command] = deque()
-        self.calls: dict[bytes, int] = {}  # notice of the call that each run waits for
-        self.reader = LineReader(self._length, remark=b"chatter ")
-        self.barrier = 0
+        self.call_notices: dict[
+            bytes, int
+        ] = {}  # by request id, the notice of the call that its run waits for
+        self.reader = LineReader(self._body_length, ignored_prefix=b"chatter ")
+        self.replay_poll = 0  # number of the poll whose reply follows the replayed notices
 
     # ---- sending ------------------------------------------------------------------------------
 
     def open_link(self) -> bytes:
-        """The link is new: what to send first."""
-        self.is_ready, self.barrier = False, 0
+        """Start to use a new link."""
+        self.is_ready, self.replay_poll = False, 0
         self.reader.reset()
-        return b"bind %d\r\n" % self.last
+        return b"bind %d\r\n" % self.last_notice
 
-    def lose_link(self) -> None:
+    def close_link(self) -> None:
+        """Stop sending on the link; commands wait for the next one."""
         self.is_ready = False
 
     def reset(self) -> None:
-        """Another pool is at the other end: it numbers its notices anew and knows of no run."""
-        self.last = 0
+        """Continue with a different pool, which numbers its notices from the start and knows no run."""
+        self.last_notice = 0
         self.unconfirmed.clear()
-        self.calls.clear()
+        self.call_notices.clear()
 
     def has_uncertain_run(self) -> bool:
-        """Whether a run that must not start twice was asked for, and nothing shows yet that this arrived."""
-        return any(c.once and c.written for c in self.unconfirmed)
-
-    def _command(self, verb: bytes, ident: bytes, data: bytes, once: bool = False, notice: int = 0) -> bytes:
-        self.unconfirmed.append(Command(self.last_poll, verb, ident, notice, once, self.is_ready, data))
+        """Return whether the start of a run that must not start twice was sent and is not yet confirmed."""
+        return any(c.must_run_once and c.is_sent for c in self.unconfirmed)
+
+    def _command(
+        self,
+        verb: bytes,
+        request_id: bytes,
+        data: bytes,
+        must_run_once: bool = False,
+        notice_number: int = 0,
+    ) -> bytes:
+        """Record a command as unconfirmed, and return it if the link is ready."""
+        self.unconfirmed.append(
+            Command(self.last_poll, verb, request_id, notice_number, must_run_once, self.is_ready, data)
+        )
         return data if self.is_ready else b""
 
-    def spawn(self, ident: bytes, klass: bytes, body: bytes, once: bool) -> bytes:
-        data = b"spawn %b %b %d\r\n%b\r\n" % (ident, klass, len(body), body)
-        sent = self._command(b"spawn", ident, data, once)
-        # A run that must not start twice is asked after at once: until then a lost link leaves it in doubt.
-        return sent + self.poll() if once else sent
-
-    def suspend(self, ident: bytes) -> bytes:
-        return self._command(b"suspend", ident, b"suspend %b\r\n" % ident)
-
-    def resume(self, ident: bytes) -> bytes:
-        return self._command(b"proceed", ident, b"proceed %b\r\n" % ident)
-
-    def supply_reply(self, ident: bytes, reply: bytes) -> bytes:
-        data = b"supply %b %d\r\n%b\r\n" % (ident, len(reply), reply)
-        return self._command(b"supply", ident, data, notice=self.calls.pop(ident, 0))
-
-    def skip_call(self, ident: bytes, notice: int) -> bytes:
-        self.calls.pop(ident, None)
-        return self._command(b"pass", ident, b"pass %b %d\r\n" % (ident, notice), notice=notice)
+    def spawn(self, request_id: bytes, class_name: bytes, body: bytes, must_run_once: bool) -> bytes:
+        """Start a run.
+
+        Args:
+            request_id: The request to run.
+            class_name: The class of the request.
+            body: The body of the request.
+            must_run_once: Whether the run must never be started a second time.
+        """
+        data = b"spawn %b %b %d\r\n%b\r\n" % (request_id, class_name, len(body), body)
+        sent = self._command(b"spawn", request_id, data, must_run_once)
+        # The reply to the poll confirms the spawn; if the link is lost before it, the run is uncertain.
+        return sent + self.poll() if must_run_once else sent
+
+    def suspend(self, request_id: bytes) -> bytes:
+        """Stop a run."""
+        return self._command(b"suspend", request_id, b"suspend %b\r\n" % request_id)
+
+    def resume(self, request_id: bytes) -> bytes:
+        """Resume a paused run."""
+        return self._command(b"proceed", request_id, b"proceed %b\r\n" % request_id)
+
+    def supply_reply(self, request_id: bytes, reply: bytes) -> bytes:
+        """Pass the reply to its call to a waiting run."""
+        data = b"supply %b %d\r\n%b\r\n" % (request_id, len(reply), reply)
+        return self._command(b"supply", request_id, data, notice_number=self.call_notices.pop(request_id, 0))
+
+    def skip_call(self, request_id: bytes, notice_number: int) -> bytes:
+        """Resume a run without the call that the notice of this number requested."""
+        self.call_notices.pop(request_id, None)
+        return self._command(
+            b"pass",
+            request_id,
+            b"pass %b %d\r\n" % (request_id, notice_number),
+            notice_number=notice_number,
+        )
 
     def poll(self) -> bytes:
-        """Ask for the gauges; the answer also shows that all commands before it arrived."""
+        """Request the gauges; the reply also confirms all commands sent before."""
         if not self.is_ready:
             return b""
         self.last_poll += 1
         return b"poll %d\r\n" % self.last_poll
 
-    def forget_run(self, ident: bytes) -> None:
-        """The run is over: nothing of what was said of it may be said again on a new link."""
-        self.calls.pop(ident, None)
-        if any(c.ident == ident for c in self.unconfirmed):
-            self.unconfirmed = deque(c for c in self.unconfirmed if c.ident != ident)
+    def forget_run(self, request_id: bytes) -> None:
+        """Drop the commands for a run that ended, so that none of them is sent again on a new link."""
+        self.call_notices.pop(request_id, None)
+        if any(c.request_id == request_id for c in self.unconfirmed):
+            self.unconfirmed = deque(c for c in self.unconfirmed if c.request_id != request_id)
 
     # ---- receiving ----------------------------------------------------------------------------
 
     def messages(self, buffer: Buffer) -> Iterator[Message | bytes]:
-        """What has come in whole; a ``bytes`` item is to be sent at once."""
+        """Yield the complete messages; a ``bytes`` item must be sent at once.
+
+        Raises:
+            MalformedMessageError: The data is malformed; the link must be closed.
+        """
         while (found := self.reader.next(buffer)) is not None:
             yield from self._message(*found)
 
     @staticmethod
-    def _length(words: list[bytes]) -> int | None:
+    def _body_length(words: list[bytes]) -> int | None:
         if words[0] not in (b"finished", b"blocked"):
             return None
         return parse_number(words, 5 if words[0] == b"finished" else 3)
 
     @staticmethod
-    def _real(words: list[bytes], at: int) -> float:
+    def _parse_float(words: list[bytes], index: int) -> float:
         try:
-            return float(words[at])
+            return float(words[index])
         except (IndexError, ValueError):
-            raise MalformedMessageError(f"{words[0][:20]!r}: field {at} is not a number") from None
+            raise MalformedMessageError(f"{words[0][:20]!r}: field {index} is not a number") from None
 
     def _message(self, words: list[bytes], body: bytes) -> Iterator[Message | bytes]:
+        """Apply one line with its body, and yield what follows from it."""
         verb = words[0]
         if verb in (b"finished", b"blocked"):
             if len(words) != (6 if verb == b"finished" else 4):
-                raise MalformedMessageError(f"{verb[:20]!r}: fields")
-            notice, ident = parse_number(words, 1), words[2]
-            if notice <= self.last:  # applied already: the replay of a new link overlaps what was read
+                raise MalformedMessageError(f"{verb[:20]!r}: wrong number of fields")
+            notice_number, request_id = parse_number(words, 1), words[2]
+            if notice_number <= self.last_notice:  # a new link also replays notices that were read already
                 return
-            self.last = notice
+            self.last_notice = notice_number
             if verb == b"blocked":
-                self.calls[ident] = notice
-                yield Blocked(ident, notice, body)
+                self.call_notices[request_id] = notice_number
+                yield Blocked(request_id, notice_number, body)
             else:
-                self.forget_run(ident)
-                yield Finished(ident, words[3], self._real(words, 4) / 1000, body)
+                self.forget_run(request_id)
+                yield Finished(request_id, words[3], self._parse_float(words, 4) / 1000, body)
         elif verb == b"polled":
-            tag = parse_number(words, 1)
-            while self.unconfirmed and self.unconfirmed[0].mark < tag:
-                if not self.is_ready and self.barrier == tag:
+            poll_number = parse_number(words, 1)
+            while self.unconfirmed and self.unconfirmed[0].last_poll < poll_number:
+                if not self.is_ready and self.replay_poll == poll_number:
                     break
                 self.unconfirmed.popleft()
-            if not self.is_ready and tag == self.barrier:
-                # All notices that the old link missed have been read by now.
+            if not self.is_ready and poll_number == self.replay_poll:
+                # By now all notices that the previous link missed have been read.
                 self.is_ready = True
-                yield from self._again()
-            yield Polled(tuple(self._real(words, n) for n in range(2, len(words))))
+                yield from self._resend_unconfirmed()
+            yield Polled(tuple(self._parse_float(words, index) for index in range(2, len(words))))
         elif verb == b"bound":
             if len(words) < 2 or words[1] not in (b"EMPTY", b"LOADED"):
-                raise MalformedMessageError("bound: no such state")
+                raise MalformedMessageError("bound: unknown state")
             self.last_poll += 1
-            self.barrier = self.last_poll
-            yield Bound(words[1] == b"LOADED", self._real(words, 2) / 1000)
+            self.replay_poll = self.last_poll
+            yield Bound(words[1] == b"LOADED", self._parse_float(words, 2) / 1000)
             yield b"poll %d\r\n" % self.last_poll
         elif verb == b"unknown":
             if len(words) < 3:
-                raise MalformedMessageError("unknown: field missing")
+                raise MalformedMessageError("unknown: a field is missing")
             yield UnknownCommand(words[1], words[2])
         elif verb == b"chatter":
-            pass  # its number counts for nothing: taken as read, it could hide a notice under the same one
+            # Its number is not recorded as read: a notice under the same number would then be dropped.
+            pass
         else:
-            raise MalformedMessageError(f"{verb[:20]!r}: no such message")
+            raise MalformedMessageError(f"{verb[:20]!r}: unknown message")
+
+    def _resend_unconfirmed(self) -> Iterator[Message | bytes]:
+        """Resend the commands that the previous link may have dropped.
 
-    def _again(self) -> Iterator[Message | bytes]:
-        """The commands that the old link may have swallowed; a run that must not start twice is given up."""
+        A run that must not start twice is reported as uncertain instead, if its start was sent.
+        """
         commands, self.unconfirmed = self.unconfirmed, deque()
         for command in commands:
-            if command.once and command.written:
-                yield UncertainRun(command.ident)
-            elif not command.notice or self.calls.get(command.ident, command.notice) == command.notice:
-                command.mark, command.written = (
-                    self.last_poll,
-                    True,
-                )  # else the run is at its next call already
+            if command.must_run_once and command.is_sent:
+                yield UncertainRun(command.request_id)
+            elif (
+                not command.notice_number
+                # Otherwise the run waits at a later call, to which this command does not apply.
+                or self.call_notices.get(command.request_id, command.notice_number) == command.notice_number
+            ):
+                command.last_poll, command.is_sent = self.last_poll, True
                 self.unconfirmed.append(command)
                 yield command.data
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -236,7 +236,7 @@
     session.supply_reply(b"a", b"r")
     sent = [session.spawn(b"b", b"c", b"x", False), session.spawn(b"k", b"c", b"x", True)]
     assert all(sent)
-    session.lose_link()
+    session.close_link()
     assert session.spawn(b"l", b"c", b"x", True) == b""  # never written: it may be sent later
     assert sent[1].endswith(b"poll 3\r\n")  # asked after at once
     assert session.open_link() == b"bind 1\r\n"
