--- a/saltcart/front/__init__.py
+++ b/saltcart/front/__init__.py
@@ -1,1 +1,1 @@
-"""The fronts: each turns its wire's requests into the core's asks and answers back."""
+"""Fronts: each translates the requests of one protocol for the core, and the core's responses back."""
--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -1,32 +1,38 @@
-"""The second front: AJP/1.3, for callers behind gateways that speak nothing else."""
+"""The AJP/1.3 front, for clients behind gateways that support only this protocol."""
 
 from __future__ import annotations
 
 from saltcart.core.service import Service
-from saltcart.front.connection import Fields, FrontConnection
-from saltcart.front.fields import MAX_BODY
+from saltcart.front.connection import FrontConnection, HeaderFields
+from saltcart.front.fields import MAX_BODY_BYTES
 from saltcart.net.listener import Listener
 from saltcart.wire import ajp, http1
 
 
 class AjpConnection(FrontConnection):
+    """A gateway's AJP connection."""
+
     def __init__(self, listener: Listener, service: Service, secret: bytes = b"") -> None:
         super().__init__(listener, service)
-        self.parser = ajp.AjpRequestParser(MAX_BODY, secret)
+        self.parser = ajp.AjpRequestParser(MAX_BODY_BYTES, secret)
 
-    def partial(self) -> bool:
-        return self.parser.incomplete_request is not None or super().partial()
+    def has_partial_request(self) -> bool:
+        """Return whether part of a request has arrived."""
+        return self.parser.incomplete_request is not None or super().has_partial_request()
 
-    def unread(self) -> bytes | None:
-        return None if self.parser.incomplete_request is not None else super().unread()
+    def unread_bytes(self) -> bytes | None:
+        """Return all bytes that have arrived of the next request; None once its first packet is consumed."""
+        return None if self.parser.incomplete_request is not None else super().unread_bytes()
 
-    def check_call(self) -> bool | None:
-        # What belongs to a request that was let in already is none of the door's.
+    def is_health_check(self) -> bool | None:
+        """Return whether a CPing has begun; None while too few bytes have arrived."""
+        # Body packets of a request that was already admitted must be read, so they pass like a health check.
         if self.parser.incomplete_request is not None:
             return True
         return self.buffer.peek(1, 4) == bytes([ajp.CPING]) if len(self.buffer) > 4 else None
 
-    def step(self) -> bool:
+    def read_message(self) -> bool:
+        """Read one message and respond to it or dispatch it; return False while none is complete."""
         message = self.parser.next(self.buffer)
         match message:
             case None:
@@ -40,7 +46,8 @@
                 self.dispatch(message.method, message.uri, message.headers, message.body)
         return True
 
-    def write(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
+    def write_response(self, status: int, body: bytes = b"", fields: HeaderFields = ()) -> None:
+        """Send one response; unless ``keep_alive`` is set it announces the end of the connection."""
         self.send(
             ajp.encode_response(
                 status,
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -1,4 +1,4 @@
-"""What the fronts share: one request at a time on a connection, its answer, and what its end means."""
+"""Client connections, common to all fronts: one request at a time, its response, and loss of the client."""
 
 from __future__ import annotations
 
@@ -12,177 +12,198 @@
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire.errors import MalformedMessageError
 
-STATUS = {ResponseStatus.SERVED: 200, ResponseStatus.REJECTED: 503, ResponseStatus.FAILED: 500}
-CLOSE_ON_ANSWER = 0.25  # idle times below this end the connection with the answer, not after it
-AT_ONCE = 8  # requests of one connection that are answered in one turn: a flood must not hold up the others
-Fields = tuple[tuple[str, str], ...]
+STATUS_CODES = {ResponseStatus.SERVED: 200, ResponseStatus.REJECTED: 503, ResponseStatus.FAILED: 500}
+# With a shorter idle timeout the connection ends with the response rather than some time after it.
+MIN_IDLE_TIMEOUT_SECONDS = 0.25
+MAX_REQUESTS_PER_TURN = 8  # of one connection in one turn of the event loop, so that a flood delays no others
+HeaderFields = tuple[tuple[str, str], ...]
 
 
-def response_headers(answer: FinalResponse) -> Fields:
-    """The fields that an answer carries, the same on every front."""
+def response_headers(response: FinalResponse) -> HeaderFields:
+    """Return the header fields of a response, which are the same on every front."""
     fields = []
-    if answer.load_level is not None:
-        fields.append(("Server-Hint", f"{answer.load_level:.4f}"))
-    if answer.status is ResponseStatus.REJECTED and answer.back_off_seconds > 0:
-        fields.append(("Back-Off-Ms", str(max(1, round(answer.back_off_seconds * 1000)))))
-    if answer.retry_after_seconds > 0:
-        fields.append(("Retry-After", str(max(1, ceil(answer.retry_after_seconds)))))
-    if answer.status is ResponseStatus.REJECTED and answer.is_final:
+    if response.load_level is not None:
+        fields.append(("Server-Hint", f"{response.load_level:.4f}"))
+    if response.status is ResponseStatus.REJECTED and response.back_off_seconds > 0:
+        fields.append(("Back-Off-Ms", str(max(1, round(response.back_off_seconds * 1000)))))
+    if response.retry_after_seconds > 0:
+        fields.append(("Retry-After", str(max(1, ceil(response.retry_after_seconds)))))
+    if response.status is ResponseStatus.REJECTED and response.is_final:
         fields.append(("Final-Refusal", "1"))
-    if answer.skipped_dependencies:
-        fields.append(("Left-Out", ", ".join(answer.skipped_dependencies)))
-    if answer.cached_dependencies:
-        fields.append(("From-Memory", ", ".join(answer.cached_dependencies)))
+    if response.skipped_dependencies:
+        fields.append(("Left-Out", ", ".join(response.skipped_dependencies)))
+    if response.cached_dependencies:
+        fields.append(("From-Memory", ", ".join(response.cached_dependencies)))
     return tuple(fields)
 
 
 class FrontConnection(ServerConnection):
-    """A front's connection; the subclass knows the wire."""
+    """A client's connection to a front; subclasses implement the protocol."""
 
     def __init__(self, listener: Listener, service: Service) -> None:
         super().__init__(listener)
         self.service = service
-        self.number, self.keep_alive = 0, True
-        self.open = False  # a whole request was read and its answer is owed
-        self.taking = False  # the core is being given a request: an answer at once goes on in the same turn
-        # Where storms are watched for: who sends, whether the request that comes was let in, and whether
-        # last.
+        # The open request's number, 0 if there is none; and whether the connection outlives the response.
+        self.request_number, self.keep_alive = 0, True
+        self.has_open_request = False  # a complete request was read and has no response yet
+        # The core is being passed a request; after an immediate response, reading continues in the same turn.
+        self.is_submitting = False
+        # For retry-storm control: the client's source, whether the next request was admitted, and whether it
+        # ranks after others.
         self.source = 0
-        self.entered = self.last = False
+        self.is_admitted = self.is_admitted_last = False
 
-    def check_call(self) -> bool | None:
-        """Whether a health check has begun, by its first bytes alone; None while there are too few."""
+    def is_health_check(self) -> bool | None:
+        """Return whether the first bytes are those of a health check; None while there are too few."""
         raise NotImplementedError
 
     def opened(self) -> None:
+        """Determine the client's source when the connection opens."""
         super().opened()
         if self.service.ports.storm_control is not None and self.transport is not None:
             peer = self.transport.get_extra_info("peername")
             self.source = self.service.ports.storm_control.source_of(peer[0] if peer else "")
 
-    def enters(self) -> bool:
-        """Whether the request whose first bytes are here may be read.  If not, it is turned back unread."""
-        storms = self.service.ports.storm_control
-        if storms is None or self.entered or not len(self.buffer):
+    def admit_request(self) -> bool:
+        """Return whether the request that has begun to arrive may be read; if not, reject it unread."""
+        storm_control = self.service.ports.storm_control
+        if storm_control is None or self.is_admitted or not len(self.buffer):
             return True
-        check = self.check_call()
-        if check is None:
+        is_check = self.is_health_check()
+        if is_check is None:
             return False
         now = self.service.clock.read_seconds()
-        entry = ConnectionAdmission.READ if check else storms.admit_connection(now, self.source)
-        if entry is ConnectionAdmission.REFUSE:
-            back = storms.reject_unread(now, self.source)
-            answer = FinalResponse(
-                ResponseStatus.REJECTED, retry_after_seconds=back.retry_after, is_final=back.is_final
+        admission = ConnectionAdmission.READ if is_check else storm_control.admit_connection(now, self.source)
+        if admission is ConnectionAdmission.REFUSE:
+            advice = storm_control.reject_unread(now, self.source)
+            response = FinalResponse(
+                ResponseStatus.REJECTED, retry_after_seconds=advice.retry_after, is_final=advice.is_final
             )
-            self.cut_off(503, b"", response_headers(answer))
+            self.reject_and_end(503, b"", response_headers(response))
             return False
-        self.entered, self.last = True, entry is ConnectionAdmission.READ_LAST
+        self.is_admitted, self.is_admitted_last = True, admission is ConnectionAdmission.READ_LAST
         return True
 
-    def step(self) -> bool:
-        """Read one message and act on it; False while none is whole."""
+    def read_message(self) -> bool:
+        """Read one message and handle it; return False while none is complete."""
         raise NotImplementedError
 
-    def write(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
-        """Send one answer; with ``keep_alive`` off it says that the connection ends."""
+    def write_response(self, status: int, body: bytes = b"", fields: HeaderFields = ()) -> None:
+        """Send one response; unless ``keep_alive`` is set it announces the end of the connection."""
         raise NotImplementedError
 
-    def partial(self) -> bool:
-        """Whether a part of a request is here."""
+    def has_partial_request(self) -> bool:
+        """Return whether part of a request has arrived."""
         return len(self.buffer) > 0
 
-    def unread(self) -> bytes | None:
-        """All bytes of the next request that came so far, or None where they can't be told any more."""
+    def unread_bytes(self) -> bytes | None:
+        """Return all bytes that have arrived of the next request; None if some were already discarded."""
         return self.buffer.peek(len(self.buffer))
 
     def hand_over(self) -> bool:
-        """Pass the connection to the process that takes over, unless a request or an end is under way."""
-        heir, transport = self.listener.pass_on, self.transport
+        """Pass the connection to the successor process, unless it has an open request or is ending.
+
+        Returns:
+            Whether the connection was passed.
+        """
+        pass_connection, transport = self.listener.pass_on, self.transport
         if (
-            heir is None
+            pass_connection is None
             or transport is None
             or transport.is_closing()
-            or self.open
+            or self.has_open_request
             or self.ending
             or (not self.keep_alive or transport.get_write_buffer_size())
         ):
             return False
-        rest = self.unread()
-        return rest is not None and heir(self, rest)
+        unread = self.unread_bytes()
+        return unread is not None and pass_connection(self, unread)
+
+    def can_read_request(self) -> bool:
+        """Return whether another request may be read.
 
-    def able(self) -> bool:
-        """Whether a further request may be read: one at a time, and none for a peer that reads no answers."""
+        Requests are read one at a time, and none from a client that does not read its responses.
+        """
         return (
-            not self.open
+            not self.has_open_request
             and self not in self.listener.blocked
             and not self.ending
             and (self.transport is not None and not self.transport.is_closing())
         )
 
     def received(self) -> None:
-        if not self.open:
+        """Read and handle requests from the buffer, or hand the connection over during a takeover."""
+        if not self.has_open_request:
             self.awaits()
-            if self.listener.pass_on is not None and self.keep_alive and self.unread() is not None:
+            if self.listener.pass_on is not None and self.keep_alive and self.unread_bytes() is not None:
                 if not self.hand_over() and self.transport is not None:
-                    self.transport.pause_reading()  # it goes later, and no more must come here meanwhile
+                    # The connection is handed over later; until then no more data must be read here.
+                    self.transport.pause_reading()
                 return
         try:
-            for _ in range(AT_ONCE):
-                if not self.able():
+            for _ in range(MAX_REQUESTS_PER_TURN):
+                if not self.can_read_request():
                     break
-                if not self.enters() or not self.step():
-                    if self.partial():  # its time runs, whatever was answered before it
+                if not self.admit_request() or not self.read_message():
+                    # The time limit of a partial request runs even if others were answered in this turn.
+                    if self.has_partial_request():
                         self.awaits()
                     return
             else:
                 self.continue_reading()
         except MalformedMessageError as error:
-            self.cut_off(error.status, str(error).encode())
+            self.reject_and_end(error.status, str(error).encode())
             return
-        # What follows an open request waits in the buffer; a full one stops the reading.
+        # Data after an open request stays in the buffer; reading pauses when the buffer is nearly full.
         if self.transport is not None and len(self.buffer) + 1024 > self.buffer.limit:
             self.transport.pause_reading()
 
     def continue_reading(self) -> None:
-        """Go on with what the buffer holds in the next turn of the loop."""
-        if self.able() and len(self.buffer):
+        """Continue with the data in the buffer in the next turn of the event loop."""
+        if self.can_read_request() and len(self.buffer):
             assert self.transport is not None
             self.transport.resume_reading()
-            self.listener.loop.call_soon(self._next)
+            self.listener.loop.call_soon(self._read_next)
 
-    def _next(self) -> None:
-        if self.able():
+    def _read_next(self) -> None:
+        if self.can_read_request():
             self.received()
 
     def resume_writing(self) -> None:
+        """Continue reading requests once the client reads its responses again."""
         super().resume_writing()
         self.continue_reading()
 
     def expire(self) -> None:
-        if self.partial():
-            self.cut_off(408, b"the request did not come whole in its time")
+        """End a connection whose next request did not arrive completely in time."""
+        if self.has_partial_request():
+            self.reject_and_end(408, b"the request did not come whole in its time")
         else:
             self.close()
 
-    def cut_off(self, status: int, why: bytes, fields: Fields = ()) -> None:
-        """Answer what was no request.  Nothing more is read; what still comes must not cost that answer."""
+    def reject_and_end(self, status: int, reason: bytes, fields: HeaderFields = ()) -> None:
+        """Respond to data that is not handled as a request, and end the connection.
+
+        Nothing more is read as a request; data that still arrives must not prevent the client from reading
+        the response.
+        """
         if self.ending or self.transport is None or self.transport.is_closing():
             return
         self.keep_alive = False
-        self.write(status, why, fields)
-        self.awaits()  # it may make way for others
+        self.write_response(status, reason, fields)
+        self.awaits()  # the listener may then close this connection in favour of a new one
         self.end()
 
-    def respond(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
-        self.write(status, body, fields)
-        self.entered = False
+    def respond(self, status: int, body: bytes = b"", fields: HeaderFields = ()) -> None:
+        """Send the response to a request, and end the connection unless it is kept alive."""
+        self.write_response(status, body, fields)
+        self.is_admitted = False
         self.rests()
         if not self.keep_alive:
             self.end()
 
     def dispatch(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], body: bytes) -> None:
-        """One whole request of either front."""
+        """Handle one complete request of either protocol."""
         self.carries()
         path = target.partition(b"?")[0]
         if path == b"/ping":
@@ -194,41 +215,45 @@
             self.respond(405, b"", (("Allow", "POST"),))
         else:
             try:
-                ask = parse_request(path, headers, body, self.service)
-                ask.admitted_last = self.last
-                self.open = self.taking = True
-                number = self.service.submit(ask, self.reply)
+                request = parse_request(path, headers, body, self.service)
+                request.admitted_last = self.is_admitted_last
+                self.has_open_request = self.is_submitting = True
+                number = self.service.submit(request, self.send_final_response)
             except InvalidRequestError as error:
-                self.open = False
+                self.has_open_request = False
                 self.respond(400, str(error).encode())
             else:
-                self.number = number if self.open else 0
+                self.request_number = number if self.has_open_request else 0
             finally:
-                self.taking = False
+                self.is_submitting = False
 
-    def reply(self, answer: FinalResponse) -> None:
-        self.open, self.number = False, 0
-        if answer.retry_after_seconds > 0 and self.service.ports.storm_control is not None:
+    def send_final_response(self, response: FinalResponse) -> None:
+        """Send the core's response to the open request, and continue with the next one."""
+        self.has_open_request, self.request_number = False, 0
+        if response.retry_after_seconds > 0 and self.service.ports.storm_control is not None:
             self.service.ports.storm_control.record_advice(
-                self.service.clock.read_seconds(), self.source, answer.retry_after_seconds
+                self.service.clock.read_seconds(), self.source, response.retry_after_seconds
             )
-        if self.service.idle_timeout < CLOSE_ON_ANSWER:
+        if self.service.idle_timeout < MIN_IDLE_TIMEOUT_SECONDS:
             self.keep_alive = False
-        self.respond(STATUS[answer.status], answer.body, response_headers(answer))
+        self.respond(STATUS_CODES[response.status], response.body, response_headers(response))
         self.hand_over()
-        if not self.taking:
+        if not self.is_submitting:
             self.continue_reading()
 
     def eof_received(self) -> bool:
-        """The peer sends no more: it has stopped waiting.  Should it still read, it is told."""
-        if self.open:
+        """Handle the end of the client's data: it no longer waits for its response.
+
+        An open request is answered with status 500, in case the client still reads.
+        """
+        if self.has_open_request:
             self.keep_alive = False
-            self.write(500)
+            self.write_response(500)
         return super().eof_received()
 
     def closed(self) -> None:
-        """The peer has stopped waiting, if a request is open."""
+        """Abandon the open request, since its client no longer waits."""
         super().closed()
-        if self.open:
-            self.open = False
-            self.service.abandon(self.number)
+        if self.has_open_request:
+            self.has_open_request = False
+            self.service.abandon(self.request_number)
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -1,4 +1,4 @@
-"""The operators' front: a second address, one call and its answer on each connection."""
+"""The operators' front, on an address of its own: one command and its response on each connection."""
 
 from __future__ import annotations
 
@@ -9,47 +9,66 @@
 from saltcart.wire.control import format_metric, take_command
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_CONNECTIONS = 24  # beyond these the one that has been silent longest makes way
-FIGURES = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
+MAX_CONNECTIONS = 24  # a further connection closes the one that has been silent longest
+# Metric names, and the counters that they show.
+OUTCOME_METRICS = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
 
 
 class ControlConnection(ServerConnection):
-    def __init__(self, listener: Listener, service: Service, ready: Callable[[], bool]) -> None:
+    """An operator's connection."""
+
+    def __init__(self, listener: Listener, service: Service, is_ready: Callable[[], bool]) -> None:
+        """Create a connection.
+
+        Args:
+            listener: The listener that accepted the connection.
+            service: The service to control.
+            is_ready: Returns whether the server can serve requests.
+        """
         super().__init__(listener, limit=4096)
-        self.service, self.ready = service, ready
+        self.service, self.is_ready = service, is_ready
 
     def received(self) -> None:
+        """Execute the command once its line is complete, and end the connection with the response."""
         try:
-            call = take_command(self.buffer)
-            answer = None if call is None else self.answer(call)
+            command = take_command(self.buffer)
+            response = None if command is None else self.execute(command)
         except MalformedMessageError as error:
-            answer = f"ERR {error}\n"
-        if answer is not None:
+            response = f"ERR {error}\n"
+        if response is not None:
             self.listener.leave(self)
-            self.send(answer.encode())
-            self.end()  # one call a connection: what follows it is not one
+            self.send(response.encode())
+            self.end()  # only one command is read on each connection; further data is ignored
 
-    def answer(self, call: str) -> str:
-        match call:
+    def execute(self, command: str) -> str:
+        """Execute a command and return the text of the response."""
+        match command:
             case "check":
-                return "OK yes\n" if self.ready() else "ERR not yet\n"
+                return "OK yes\n" if self.is_ready() else "ERR not yet\n"
             case "vars":
-                return self.figures()
+                return self.format_metrics()
             case "drain-on" | "drain-off":
-                self.service.set_withdrawn(call == "drain-on")
-                return f"OK {call}\n"
+                self.service.set_withdrawn(command == "drain-on")
+                return f"OK {command}\n"
         return "ERR no such call\n"
 
-    def figures(self) -> str:
-        """Every figure of every class, those at nought too, and the end of them."""
+    def format_metrics(self) -> str:
+        """Return all metrics of all classes, including those that are 0, followed by an END line."""
         counts, lines = self.service.counters.by_class(), list[str]()
-        for klass in self.service.intake.class_indexes:
-            lines += [format_metric(f"{name}.{klass}", counts[klass, what], "c") for name, what in FIGURES]
-            lines.append(format_metric(f"relayed.{klass}", self.service.counters.runs_started[klass], "c"))
-            if klass in self.service.composed_classes:
-                lines.append(format_metric(f"partial.{klass}", counts[klass, "partial"], "c"))
+        for class_name in self.service.intake.class_indexes:
+            lines += [
+                format_metric(f"{name}.{class_name}", counts[class_name, counter], "c")
+                for name, counter in OUTCOME_METRICS
+            ]
+            lines.append(
+                format_metric(f"relayed.{class_name}", self.service.counters.runs_started[class_name], "c")
+            )
+            if class_name in self.service.composed_classes:
+                lines.append(format_metric(f"partial.{class_name}", counts[class_name, "partial"], "c"))
         lines.append(format_metric("open_requests", self.service.lifecycle.open_request_count(), "g"))
         lines += [
-            format_metric(name, value, "g") for more in self.service.metric_sources for name, value in more()
+            format_metric(name, value, "g")
+            for source in self.service.metric_sources
+            for name, value in source()
         ]
         return "".join(lines) + "END\n"
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -1,4 +1,4 @@
-"""The request's fields, which are headers of the same names on every front."""
+"""Parsing of a request's header fields, which have the same names on every front."""
 
 from __future__ import annotations
 
@@ -9,89 +9,121 @@
 from saltcart.core.messages import InboundRequest, InvalidRequestError
 from saltcart.core.service import Service
 
-MAX_BODY = 2048
-# What no request can say, unless the settings' longest deadline allows more: milliseconds that a caller waits
-# or that work takes, and seconds before and after now in which it came to the machine.
-LONGEST, OLDEST, NEWEST = 600_000.0, 60.0, 5.0
-IDENT = re.compile(rb"[0-9a-fA-F]{16}\Z")
-KEY = re.compile(rb"[\x21-\x7e]{1,128}\Z")
-NUMBER = re.compile(rb"[0-9]{1,15}(\.[0-9]{1,9})?\Z")
-DIGITS = re.compile(rb"[0-9]{1,15}\Z")
-PRINTABLE = re.compile(rb"[\x20-\x7e]{1,256}\Z")
-ESCAPE = re.compile(rb"%([0-9a-fA-F]{2})")
-LONGEST_NAME = 256  # bytes: where no tenants are told an account may be any, and is kept with its keys
+MAX_BODY_BYTES = 2048
+# Bounds of a request's fields: the longest time that a caller waits or that work takes, and how long before
+# and after the current time the request may have reached the host. A long deadline in the settings raises
+# the first two bounds.
+MAX_DURATION_MS, MAX_AGE_SECONDS, MAX_FUTURE_SECONDS = 600_000.0, 60.0, 5.0
+REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}\Z")
+IDEMPOTENCY_KEY = re.compile(rb"[\x21-\x7e]{1,128}\Z")
+DECIMAL = re.compile(rb"[0-9]{1,15}(\.[0-9]{1,9})?\Z")
+INTEGER = re.compile(rb"[0-9]{1,15}\Z")
+RESOURCE_KEY = re.compile(rb"[\x20-\x7e]{1,256}\Z")
+PERCENT_ESCAPE = re.compile(rb"%([0-9a-fA-F]{2})")
+# If no tenants are configured, any account is accepted, and its name is stored with its idempotency keys.
+MAX_NAME_BYTES = 256
 
 
-def number(
+def parse_number_field(
     headers: Mapping[bytes, bytes],
     name: bytes,
     default: float | None,
-    low: float,
-    high: float,
-    form: re.Pattern[bytes] = NUMBER,
+    minimum: float,
+    maximum: float,
+    pattern: re.Pattern[bytes] = DECIMAL,
 ) -> float:
+    """Return a numeric header field.
+
+    Args:
+        headers: The request's headers.
+        name: The field's name in lower case.
+        default: The value of a missing field, or None if the field is required.
+        minimum: The lowest valid value.
+        maximum: The highest valid value.
+        pattern: The syntax of the field.
+
+    Raises:
+        InvalidRequestError: A required field is missing, or the value is malformed or out of range.
+    """
     text = headers.get(name)
     if text is None:
         if default is None:
             raise InvalidRequestError(f"{name.decode()} is missing")
         return default
-    if not form.match(text) or not low <= float(text) <= high:
+    if not pattern.match(text) or not minimum <= float(text) <= maximum:
         raise InvalidRequestError(f"{name.decode()} is not a number in its range")
     return float(text)
 
 
-def name(text: bytes) -> str:
-    """A class or tenant as the settings write it, whatever characters a customer puts into names."""
-    if len(text) > LONGEST_NAME:
+def decode_name(text: bytes) -> str:
+    """Decode the name of a class or tenant as the settings spell it; it may contain any characters.
+
+    Raises:
+        InvalidRequestError: The name is too long.
+    """
+    if len(text) > MAX_NAME_BYTES:
         raise InvalidRequestError("class or account is no name")
     try:
         return text.decode()
-    except UnicodeDecodeError:  # a sender that writes its fields in the older way
+    except UnicodeDecodeError:  # the sender encodes header values as Latin-1, as was usual before UTF-8
         return text.decode("latin-1")
 
 
 def parse_request(
     path: bytes, headers: Mapping[bytes, bytes], body: bytes, service: Service
 ) -> InboundRequest:
-    """Build the core's request from header fields; times are by the core's clock.
+    """Build the core's request from the path and the header fields; its times are on the core's clock.
+
+    Every number must lie in its range; otherwise a request could get terms that no valid request gets.
+
+    Args:
+        path: The request's path; its last segment is the class, percent-encoded.
+        headers: The request's headers, by names in lower case.
+        body: The request's body.
+        service: The service whose clock and longest deadline apply.
 
-    ``InvalidRequestError`` names the field that is wrong.  Every figure is held to its range: one outside it
-    would be served on terms that no request has.
+    Raises:
+        InvalidRequestError: A field is missing or invalid; the error names it.
     """
-    if len(body) > MAX_BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise InvalidRequestError("the body is too long")
-    ident = headers.get(b"request-id", b"")
-    if not IDENT.match(ident):
+    request_id = headers.get(b"request-id", b"")
+    if not REQUEST_ID.match(request_id):
         raise InvalidRequestError("request-id is not 16 hex digits")
-    part = path.partition(b"?")[0].rpartition(b"/")[2]
-    klass = name(ESCAPE.sub(lambda found: bytes([int(found[1], 16)]), part))
-    account = name(headers.get(b"account", b""))
+    last_segment = path.partition(b"?")[0].rpartition(b"/")[2]
+    class_name = decode_name(PERCENT_ESCAPE.sub(lambda found: bytes([int(found[1], 16)]), last_segment))
+    account = decode_name(headers.get(b"account", b""))
     key = headers.get(b"once-key")
-    if key is not None and not KEY.match(key):
+    if key is not None and not IDEMPOTENCY_KEY.match(key):
         raise InvalidRequestError("once-key is malformed")
-    subject = headers.get(b"resource-key")
-    if subject is not None and not PRINTABLE.match(subject):
+    resource_key = headers.get(b"resource-key")
+    if resource_key is not None and not RESOURCE_KEY.match(resource_key):
         raise InvalidRequestError("resource-key is malformed")
-    longest = max(LONGEST, 2000 * service.longest_deadline)
-    budget = number(headers, b"budget-ms", math.nan, 0, longest)
-    cost = number(headers, b"work-estimate", math.nan, 0, longest)
-    ahead = service.clock.seconds_ahead()
-    now = service.clock.read_seconds() - ahead  # on the Unix clock, by which the field is written
-    oldest = max(OLDEST, 2 * service.longest_deadline)
-    received = (
-        ahead + number(headers, b"received-at", None, (now - oldest) * 1000, (now + NEWEST) * 1000) / 1000
+    max_duration_ms = max(MAX_DURATION_MS, 2000 * service.longest_deadline)
+    budget_ms = parse_number_field(headers, b"budget-ms", math.nan, 0, max_duration_ms)
+    cost_ms = parse_number_field(headers, b"work-estimate", math.nan, 0, max_duration_ms)
+    seconds_ahead = service.clock.seconds_ahead()
+    unix_now = service.clock.read_seconds() - seconds_ahead  # Received-At is in Unix time
+    max_age = max(MAX_AGE_SECONDS, 2 * service.longest_deadline)
+    received_at = (
+        seconds_ahead
+        + parse_number_field(
+            headers, b"received-at", None, (unix_now - max_age) * 1000, (unix_now + MAX_FUTURE_SECONDS) * 1000
+        )
+        / 1000
     )
     return InboundRequest(
-        ident,
-        klass,
+        request_id,
+        class_name,
         account,
-        received,
-        None if math.isnan(budget) else budget / 1000,
-        number(headers, b"footprint-kb", None, 1e-9, math.nextafter(2000, 0)),
-        number(headers, b"priority-rank", 0.0, 0, math.nextafter(1, 0)),
-        None if math.isnan(cost) else cost / 1000,
-        int(number(headers, b"sent-by", 0, 0, 1e9, DIGITS)),
+        received_at,
+        None if math.isnan(budget_ms) else budget_ms / 1000,
+        # ``nextafter`` excludes the upper bound itself.
+        parse_number_field(headers, b"footprint-kb", None, 1e-9, math.nextafter(2000, 0)),
+        parse_number_field(headers, b"priority-rank", 0.0, 0, math.nextafter(1, 0)),
+        None if math.isnan(cost_ms) else cost_ms / 1000,
+        int(parse_number_field(headers, b"sent-by", 0, 0, 1e9, INTEGER)),
         key,
-        None if subject is None else subject.decode("latin-1"),
+        None if resource_key is None else resource_key.decode("latin-1"),
         body=body,
     )
--- a/saltcart/front/http.py
+++ b/saltcart/front/http.py
@@ -1,30 +1,38 @@
-"""The platform's front: HTTP/1.1."""
+"""The HTTP/1.1 front, for the platform's clients."""
 
 from __future__ import annotations
 
 from saltcart.core.service import Service
-from saltcart.front.connection import Fields, FrontConnection
-from saltcart.front.fields import MAX_BODY
+from saltcart.front.connection import FrontConnection, HeaderFields
+from saltcart.front.fields import MAX_BODY_BYTES
 from saltcart.net.listener import Listener
 from saltcart.wire import http1
 
 
 class HttpConnection(FrontConnection):
+    """A client's HTTP/1.1 connection."""
+
     def __init__(self, listener: Listener, service: Service) -> None:
         super().__init__(listener, service)
-        self.parser = http1.HttpRequestParser(MAX_BODY)
+        self.parser = http1.HttpRequestParser(MAX_BODY_BYTES)
 
-    def partial(self) -> bool:
-        return self.parser.head is not None or super().partial()
+    def has_partial_request(self) -> bool:
+        """Return whether part of a request has arrived."""
+        return self.parser.head is not None or super().has_partial_request()
 
-    def unread(self) -> bytes | None:
+    def unread_bytes(self) -> bytes | None:
+        """Return all bytes that have arrived of the next request."""
         return self.parser.raw_head + self.buffer.peek(len(self.buffer))
 
-    def check_call(self) -> bool | None:
-        begun = self.buffer.peek(4)
-        return begun == b"GET " if len(begun) == 4 or not b"GET ".startswith(begun) else None
+    def is_health_check(self) -> bool | None:
+        """Return whether a GET request has begun; None while too few bytes have arrived."""
+        first_bytes = self.buffer.peek(4)
+        return (
+            first_bytes == b"GET " if len(first_bytes) == 4 or not b"GET ".startswith(first_bytes) else None
+        )
 
-    def step(self) -> bool:
+    def read_message(self) -> bool:
+        """Read one request and dispatch it; return False while none is complete."""
         request = self.parser.next(self.buffer)
         if request is None:
             return False
@@ -32,5 +40,6 @@
         self.dispatch(request.method, request.target, request.headers, request.body)
         return True
 
-    def write(self, status: int, body: bytes = b"", fields: Fields = ()) -> None:
+    def write_response(self, status: int, body: bytes = b"", fields: HeaderFields = ()) -> None:
+        """Send one response; unless ``keep_alive`` is set it announces the end of the connection."""
         self.send(http1.encode_response(status, body, fields, not self.keep_alive))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -561,7 +561,7 @@
                 write, client.writer.write = client.writer.write, held.append  # type: ignore[assignment, method-assign]
                 client.send(1, body=b"xyz")
                 write(b"".join(held)[:-2])
-                await until(lambda: any(c.partial() for c in listener.connections))  # type: ignore[attr-defined]
+                await until(lambda: any(c.has_partial_request() for c in listener.connections))  # type: ignore[attr-defined]
             else:
                 client.send(1)
                 await until(lambda: pool.spawned == [ident(1)])
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -181,7 +181,7 @@
             await until(lambda: len(pool.spawned) == 2)
             head = "".join(f"{name}: {value}\r\n" for name, value in fields(3, budget="60000"))
             half.writer.write(f"POST /call/read HTTP/1.1\r\n{head}Content-Length: 4\r\n\r\nha".encode())
-            await until(lambda: any(c.partial() for c in old.fronts["http"].connections))  # type: ignore[attr-defined]
+            await until(lambda: any(c.has_partial_request() for c in old.fronts["http"].connections))  # type: ignore[attr-defined]
             async with running(None, platform, pool=other.address, **PATIENT) as new:
                 await until(lambda: len(new.fronts["http"].connections) == 2)
                 # Each stays in its place: the silent make way before those that balancers keep.
