--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -447,13 +447,7 @@
 ) -> bytes:
     """Encode a FORWARD_REQUEST packet; the body follows in body packets.
 
-    Args:
-        method: The HTTP method; one without a code is sent as the stored_method attribute.
-        uri: The request URI.
-        headers: The headers, with Content-Length if the request has a body of known length.
-        host: The server name.
-        port: The server port.
-        secret: If not empty, the secret that the container expects.
+    ``host`` and ``port`` name the server; ``secret`` is the one that the container expects, if any.
     """
     if method in METHODS:
         code, stored_method = METHODS.index(method) + 1, b""
