--- a/saltcart/front/ajp.py
+++ b/saltcart/front/ajp.py
@@ -39,7 +39,7 @@
                 return False
             case ajp.CPing():
                 self.send(ajp.CPONG_PACKET)
-                self.rests()
+                self.mark_idle()
             case ajp.GetBodyChunkPacket(data):
                 self.send(data)
             case ajp.ForwardRequest():
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -106,13 +106,13 @@
         Returns:
             Whether the connection was passed.
         """
-        pass_connection, transport = self.listener.pass_on, self.transport
+        pass_connection, transport = self.listener.pass_connection, self.transport
         if (
             pass_connection is None
             or transport is None
             or transport.is_closing()
             or self.has_open_request
-            or self.ending
+            or self.is_ending
             or (not self.keep_alive or transport.get_write_buffer_size())
         ):
             return False
@@ -126,16 +126,20 @@
         """
         return (
             not self.has_open_request
-            and self not in self.listener.blocked
-            and not self.ending
+            and self not in self.listener.write_blocked
+            and not self.is_ending
             and (self.transport is not None and not self.transport.is_closing())
         )
 
     def received(self) -> None:
         """Read and handle requests from the buffer, or hand the connection over during a takeover."""
         if not self.has_open_request:
-            self.awaits()
-            if self.listener.pass_on is not None and self.keep_alive and self.unread_bytes() is not None:
+            self.mark_awaiting_request()
+            if (
+                self.listener.pass_connection is not None
+                and self.keep_alive
+                and self.unread_bytes() is not None
+            ):
                 if not self.hand_over() and self.transport is not None:
                     # The connection is handed over later; until then no more data must be read here.
                     self.transport.pause_reading()
@@ -147,7 +151,7 @@
                 if not self.admit_request() or not self.read_message():
                     # The time limit of a partial request runs even if others were answered in this turn.
                     if self.has_partial_request():
-                        self.awaits()
+                        self.mark_awaiting_request()
                     return
             else:
                 self.continue_reading()
@@ -174,7 +178,7 @@
         super().resume_writing()
         self.continue_reading()
 
-    def expire(self) -> None:
+    def on_request_timeout(self) -> None:
         """End a connection whose next request did not arrive completely in time."""
         if self.has_partial_request():
             self.reject_and_end(408, b"the request did not come whole in its time")
@@ -187,24 +191,24 @@
         Nothing more is read as a request; data that still arrives must not prevent the client from reading
         the response.
         """
-        if self.ending or self.transport is None or self.transport.is_closing():
+        if self.is_ending or self.transport is None or self.transport.is_closing():
             return
         self.keep_alive = False
         self.write_response(status, reason, fields)
-        self.awaits()  # the listener may then close this connection in favour of a new one
-        self.end()
+        self.mark_awaiting_request()  # the listener may then close this connection in favour of a new one
+        self.half_close()
 
     def respond(self, status: int, body: bytes = b"", fields: HeaderFields = ()) -> None:
         """Send the response to a request, and end the connection unless it is kept alive."""
         self.write_response(status, body, fields)
         self.is_admitted = False
-        self.rests()
+        self.mark_idle()
         if not self.keep_alive:
-            self.end()
+            self.half_close()
 
     def dispatch(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], body: bytes) -> None:
         """Handle one complete request of either protocol."""
-        self.carries()
+        self.mark_busy()
         path = target.partition(b"?")[0]
         if path == b"/ping":
             hint = response_headers(FinalResponse(ResponseStatus.SERVED, load_level=self.service.load_level))
--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -36,9 +36,9 @@
         except MalformedMessageError as error:
             response = f"ERR {error}\n"
         if response is not None:
-            self.listener.leave(self)
+            self.listener.clear_state(self)
             self.send(response.encode())
-            self.end()  # only one command is read on each connection; further data is ignored
+            self.half_close()  # only one command is read on each connection; further data is ignored
 
     def execute(self, command: str) -> str:
         """Execute a command and return the text of the response."""
