--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -15,7 +15,7 @@
 STATUS_CODES = {ResponseStatus.SERVED: 200, ResponseStatus.REJECTED: 503, ResponseStatus.FAILED: 500}
 # With a shorter idle timeout the connection ends with the response rather than some time after it.
 MIN_IDLE_TIMEOUT_SECONDS = 0.25
-MAX_REQUESTS_PER_TURN = 8  # of one connection in one turn of the event loop, so that a flood delays no others
+MAX_REQUESTS_PER_ITERATION = 8  # of one connection and the event loop, so that a flood delays no others
 HeaderFields = tuple[tuple[str, str], ...]
 
 
@@ -46,7 +46,7 @@
         # The open request's number, 0 if there is none; and whether the connection outlives the response.
         self.request_number, self.keep_alive = 0, True
         self.has_open_request = False  # a complete request was read and has no response yet
-        # The core is being passed a request; after an immediate response, reading continues in the same turn.
+        # A request is being passed to the core; after an immediate response, reading continues at once.
         self.is_submitting = False
         # For retry-storm control: the client's source, whether the next request was admitted, and whether it
         # ranks after others.
@@ -145,11 +145,11 @@
                     self.transport.pause_reading()
                 return
         try:
-            for _ in range(MAX_REQUESTS_PER_TURN):
+            for _ in range(MAX_REQUESTS_PER_ITERATION):
                 if not self.can_read_request():
                     break
                 if not self.admit_request() or not self.read_message():
-                    # The time limit of a partial request runs even if others were answered in this turn.
+                    # The time limit of a partial request runs even if others were answered just now.
                     if self.has_partial_request():
                         self.mark_awaiting_request()
                     return
@@ -163,7 +163,7 @@
             self.transport.pause_reading()
 
     def continue_reading(self) -> None:
-        """Continue with the data in the buffer in the next turn of the event loop."""
+        """Continue with the data in the buffer in the next iteration of the event loop."""
         if self.can_read_request() and len(self.buffer):
             assert self.transport is not None
             self.transport.resume_reading()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The operators' address: calls, figures, and the drain that sends callers away."""
+"""The operators' front: commands, metrics, and draining by command."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "found"),
+    ("data", "expected"),
     [
         (b"", None),
         (b"check", None),
@@ -29,51 +29,57 @@
         (b"\xff\n", MalformedMessageError),
     ],
 )
-def test_a_call_is_one_line(data: bytes, found: object) -> None:
+def test_command_is_one_line(data: bytes, expected: object) -> None:
     buffer = Buffer()
     buffer.write(data)
-    if found is MalformedMessageError:
+    if expected is MalformedMessageError:
         with pytest.raises(MalformedMessageError):
             control.take_command(buffer)
     else:
-        assert control.take_command(buffer) == found
+        assert control.take_command(buffer) == expected
 
 
-async def call(address: str, line: bytes) -> list[str]:
+async def send_command(address: str, line: bytes) -> list[str]:
+    """Send a command line on a connection of its own, and return the lines of the response."""
     reader, writer = await asyncio.open_connection(*address.split(":"))
     writer.write(line)
-    answer = await reader.read()  # the connection ends with its one answer
+    response = await reader.read()  # the server closes the connection after the response
     writer.close()
-    return answer.decode().splitlines()
+    return response.decode().splitlines()
 
 
-def test_operators_call_see_figures_and_drain() -> None:
+def test_commands_check_drain_and_show_metrics() -> None:
     async def play() -> None:
         async with Pool(auto=False) as pool, running(pool=pool.address, control="127.0.0.1:0") as app:
-            at, client = app.addresses["control"], await HttpClient(app.addresses["http"]).open()
-            assert (await call(at, b"check\n"))[0].startswith("OK")
+            control_address, client = app.addresses["control"], await HttpClient(app.addresses["http"]).open()
+            assert (await send_command(control_address, b"check\n"))[0].startswith("OK")
             for line in (b"\n", b"what\r\n", b"CHECK\n", b"\x00\n", b"x" * 100_000):
-                assert (await call(at, line))[0].startswith("ERR")
-            silent, half = [await asyncio.open_connection(*at.split(":")) for _ in "12"]
-            half[1].write(b"dra")
+                assert (await send_command(control_address, line))[0].startswith("ERR")
+            silent, partial = [await asyncio.open_connection(*control_address.split(":")) for _ in "12"]
+            partial[1].write(b"dra")
             client.send(1)
             await until(lambda: len(pool.spawned) == 1)
-            await call(at, b"drain-on\n")
+            await send_command(control_address, b"drain-on\n")
             ping = await HttpClient(app.addresses["http"]).open()
-            for wanted, drain in ((503, b"drain-off\n"), (200, b"drain-on\n"), (503, b"drain-off\n")):
+            for expected_status, command in (
+                (503, b"drain-off\n"),
+                (200, b"drain-on\n"),
+                (503, b"drain-off\n"),
+            ):
                 ping.writer.write(b"GET /ping HTTP/1.1\r\n\r\n")
-                assert (await ping.answer()).status == wanted
-                assert (await call(at, drain))[0].startswith("OK")
-            assert "balancer.open_requests:1|g" in await call(at, b"vars\n")
+                assert (await ping.answer()).status == expected_status
+                assert (await send_command(control_address, command))[0].startswith("OK")
+            assert "balancer.open_requests:1|g" in await send_command(control_address, b"vars\n")
             app.service.set_withdrawn(True)
             pool.finish(pool.spawned[0])
-            assert (await client.answer()).status == 200  # what reaches it in a drain is served as always
+            # A request that arrives while draining is still served.
+            assert (await client.answer()).status == 200
             client.send(2, "oddaja", key="k")
             await until(lambda: len(pool.spawned) == 2)
             pool.finish(pool.spawned[1], b"FAIL")
             assert (await client.answer()).status == 500
             app.service.lifecycle.fail_all()
-            lines = await call(at, b"vars\n")
+            lines = await send_command(control_address, b"vars\n")
             assert lines[-1] == "END" and set(lines[:-1]) == {
                 "balancer.fulfilled.read:1|c",
                 "balancer.fulfilled.oddaja:0|c",
@@ -85,27 +91,27 @@
                 "balancer.relayed.oddaja:1|c",
                 "balancer.open_requests:0|g",
             }
-            for _, writer in (silent, half):
+            for _, writer in (silent, partial):
                 writer.close()
 
     asyncio.run(play())
 
 
-def test_silent_operators_keep_no_one_from_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_do_not_block_commands(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
     async def play() -> None:
         async with Pool() as pool, running(pool=pool.address, control="127.0.0.1:0") as app:
-            at = app.addresses["control"]
-            crowd = [await asyncio.open_connection(*at.split(":")) for _ in range(100)]
-            assert (await call(at, b"check\n"))[0].startswith("OK")
-            for reader, writer in crowd:
+            control_address = app.addresses["control"]
+            idle_clients = [await asyncio.open_connection(*control_address.split(":")) for _ in range(100)]
+            assert (await send_command(control_address, b"check\n"))[0].startswith("OK")
+            for reader, writer in idle_clients:
                 assert await reader.read() == b""
                 writer.close()
 
     asyncio.run(play())
 
 
-def test_the_environment_names_the_control_address_first() -> None:
-    conf = read_config(raw_config(control="127.0.0.1:5"), {"BALANCER_CONTROL": "127.0.0.1:6"})
-    assert conf.control == "127.0.0.1:6" and read_config(raw_config()).control is None
+def test_environment_overrides_the_control_address() -> None:
+    config = read_config(raw_config(control="127.0.0.1:5"), {"BALANCER_CONTROL": "127.0.0.1:6"})
+    assert config.control == "127.0.0.1:6" and read_config(raw_config()).control is None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The state machines, by tables of cases; each is fed whole and byte by byte."""
+"""Protocol state machines, tested by tables of cases that are fed whole and in pieces."""
 
 from __future__ import annotations
 
@@ -15,31 +15,32 @@
 
 
 def feed(read: Callable[[Buffer], Any], data: bytes, step: int) -> list[Any]:
-    """All messages of ``data`` given in pieces; ends with the status of what was malformed."""
-    buffer, out = Buffer(64), list[Any]()
+    """Return the messages in ``data``, fed ``step`` bytes at a time, and the status of a malformed one."""
+    buffer, results = Buffer(64), list[Any]()
     try:
-        for at in range(0, len(data), step):
-            buffer.write(data[at : at + step])
+        for offset in range(0, len(data), step):
+            buffer.write(data[offset : offset + step])
             while (message := read(buffer)) is not None:
-                out.append(message)
+                results.append(message)
     except MalformedMessageError as error:
-        out.append(error.status)
-    return out
+        results.append(error.status)
+    return results
 
 
-def listed(messages: Callable[[Buffer], Any]) -> Callable[[Buffer], Any]:
+def first_of(messages: Callable[[Buffer], Any]) -> Callable[[Buffer], Any]:
+    """Return a function that reads one message, or None while none is complete."""
     return lambda buffer: next(iter(messages(buffer)), None)
 
 
 # ---- HTTP/1.1 ---------------------------------------------------------------------------------
 
 
-GET = b"GET /ping HTTP/1.1\r\nHost: h\r\n\r\n"
-CASES: list[tuple[bytes, list[Any]]] = [
-    (GET + GET, [(b"GET", b"/ping", b"", True)] * 2),
-    (b"\r\n" + GET, [(b"GET", b"/ping", b"", True)]),
+GET_PING = b"GET /ping HTTP/1.1\r\nHost: h\r\n\r\n"
+HTTP_REQUEST_CASES: list[tuple[bytes, list[Any]]] = [
+    (GET_PING + GET_PING, [(b"GET", b"/ping", b"", True)] * 2),
+    (b"\r\n" + GET_PING, [(b"GET", b"/ping", b"", True)]),
     (
-        b"POST /call/x HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\n" + GET,
+        b"POST /call/x HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\n" + GET_PING,
         [(b"POST", b"/call/x", b"\r\n\r\n", True), (b"GET", b"/ping", b"", True)],
     ),
     (b"GET /a HTTP/1.1\r\nConnection: Keep-Alive, Close\r\n\r\n", [(b"GET", b"/a", b"", False)]),
@@ -67,10 +68,12 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 100_000])
-@pytest.mark.parametrize(("data", "expected"), CASES)
+@pytest.mark.parametrize(("data", "expected"), HTTP_REQUEST_CASES)
 def test_http_requests(data: bytes, expected: list[Any], step: int) -> None:
-    got = feed(http1.HttpRequestParser(2048).next, data, step)
-    assert [m if isinstance(m, int) else (m.method, m.target, m.body, m.keep_alive) for m in got] == expected
+    results = feed(http1.HttpRequestParser(2048).next, data, step)
+    assert [
+        m if isinstance(m, int) else (m.method, m.target, m.body, m.keep_alive) for m in results
+    ] == expected
 
 
 @pytest.mark.parametrize(
@@ -85,79 +88,84 @@
     ],
 )
 def test_http_responses(data: bytes, expected: list[Any]) -> None:
-    got = feed(http1.HttpResponseParser(100).next, data, 1)
-    assert [m if isinstance(m, int) else (m.status, m.body, m.keep_alive) for m in got] == expected
+    results = feed(http1.HttpResponseParser(100).next, data, 1)
+    assert [m if isinstance(m, int) else (m.status, m.body, m.keep_alive) for m in results] == expected
 
 
 # ---- AJP --------------------------------------------------------------------------------------
 
 
-def forward(*headers: tuple[bytes, bytes], method: bytes = b"POST", uri: bytes = b"/call/x") -> bytes:
+def forward_request(*headers: tuple[bytes, bytes], method: bytes = b"POST", uri: bytes = b"/call/x") -> bytes:
     return ajp.encode_forward_request(method, uri, headers, b"h", 80, b"s")
 
 
-def raw(payload: bytes) -> bytes:
+def container_packet(payload: bytes) -> bytes:
     return ajp.encode_packet(ajp.TO_CONTAINER, payload)
 
 
-LONG = (b"Content-Length", b"5")
-AJP_CASES: list[tuple[bytes, list[Any]]] = [
-    (forward(), [(b"POST", b"/call/x", b"")]),
-    (forward(method=b"PATCH"), [(b"PATCH", b"/call/x", b"")]),
-    (forward((b"Request-Id", b"1"), (b"Host", b"h")) * 2, [(b"POST", b"/call/x", b"")] * 2),
-    (forward(LONG) + ajp.encode_body_packet(b"hello"), [(b"POST", b"/call/x", b"hello")]),
+CONTENT_LENGTH_5 = (b"Content-Length", b"5")
+AJP_REQUEST_CASES: list[tuple[bytes, list[Any]]] = [
+    (forward_request(), [(b"POST", b"/call/x", b"")]),
+    (forward_request(method=b"PATCH"), [(b"PATCH", b"/call/x", b"")]),
+    (forward_request((b"Request-Id", b"1"), (b"Host", b"h")) * 2, [(b"POST", b"/call/x", b"")] * 2),
+    (forward_request(CONTENT_LENGTH_5) + ajp.encode_body_packet(b"hello"), [(b"POST", b"/call/x", b"hello")]),
     (
-        forward(LONG) + ajp.encode_body_packet(b"he") + ajp.encode_body_packet(b"llo"),
+        forward_request(CONTENT_LENGTH_5) + ajp.encode_body_packet(b"he") + ajp.encode_body_packet(b"llo"),
         [ajp.GetBodyChunkPacket(ajp.encode_get_body_chunk(3)), (b"POST", b"/call/x", b"hello")],
     ),
     (
-        forward((b"Transfer-Encoding", b"chunked"))
+        forward_request((b"Transfer-Encoding", b"chunked"))
         + ajp.encode_body_packet(b"hi")
         + ajp.encode_body_packet(b""),
         [ajp.GetBodyChunkPacket(ajp.encode_get_body_chunk(2048))] * 2 + [(b"POST", b"/call/x", b"hi")],
     ),
-    (ajp.CPING_PACKET + raw(b"\x07") + raw(b"\x08") + ajp.CPING_PACKET, [ajp.CPing(), ajp.CPing()]),
-    (forward(LONG) + ajp.encode_body_packet(b"hello!"), [413]),
     (
-        forward(LONG) + ajp.encode_body_packet(b"he") + ajp.encode_body_packet(b""),
+        ajp.CPING_PACKET + container_packet(b"\x07") + container_packet(b"\x08") + ajp.CPING_PACKET,
+        [ajp.CPing(), ajp.CPing()],
+    ),
+    (forward_request(CONTENT_LENGTH_5) + ajp.encode_body_packet(b"hello!"), [413]),
+    (
+        forward_request(CONTENT_LENGTH_5) + ajp.encode_body_packet(b"he") + ajp.encode_body_packet(b""),
         [ajp.GetBodyChunkPacket(ajp.encode_get_body_chunk(3)), 400],
     ),
-    (forward((b"Content-Length", b"2049")), [413]),
-    (forward((b"Content-Length", b"x")), [400]),
-    (forward(LONG, LONG), [400]),
-    (forward(LONG, (b"Transfer-Encoding", b"chunked")), [400]),
-    (forward(uri=b"x"), [400]),
+    (forward_request((b"Content-Length", b"2049")), [413]),
+    (forward_request((b"Content-Length", b"x")), [400]),
+    (forward_request(CONTENT_LENGTH_5, CONTENT_LENGTH_5), [400]),
+    (forward_request(CONTENT_LENGTH_5, (b"Transfer-Encoding", b"chunked")), [400]),
+    (forward_request(uri=b"x"), [400]),
     (ajp.encode_forward_request(b"GET", b"/", [], b"h", 80), [403]),
     (b"AB\x00\x01\x0a", [400]),
     (b"\x12\x34\xff\xff", [400]),
-    (raw(b""), [400]),
-    (raw(b"\x63"), [400]),
-    (raw(b"\x02\x63"), [400]),
-    (raw(b"\x02\x02\x00\x08HTTP"), [400]),
-    (forward()[:-1].replace(b"\x00\x57", b"\x00\x57", 1), []),
+    (container_packet(b""), [400]),
+    (container_packet(b"\x63"), [400]),
+    (container_packet(b"\x02\x63"), [400]),
+    (container_packet(b"\x02\x02\x00\x08HTTP"), [400]),
+    (forward_request()[:-1].replace(b"\x00\x57", b"\x00\x57", 1), []),
     (b"GET / HTTP/1.1\r\n\r\n", [400]),
 ]
 
 
 @pytest.mark.parametrize("step", [1, 100_000])
-@pytest.mark.parametrize(("data", "expected"), AJP_CASES)
+@pytest.mark.parametrize(("data", "expected"), AJP_REQUEST_CASES)
 def test_ajp_requests(data: bytes, expected: list[Any], step: int) -> None:
-    got = feed(ajp.AjpRequestParser(2048, b"s").next, data, step)
-    assert [(m.method, m.uri, m.body) if isinstance(m, ajp.ForwardRequest) else m for m in got] == expected
+    results = feed(ajp.AjpRequestParser(2048, b"s").next, data, step)
+    assert [
+        (m.method, m.uri, m.body) if isinstance(m, ajp.ForwardRequest) else m for m in results
+    ] == expected
 
 
-ANSWER = ajp.encode_response(200, b"OK", [(b"Set-Cookie", b"a"), (b"X", b"y")], b"z" * 20_000, True)
+AJP_RESPONSE = ajp.encode_response(200, b"OK", [(b"Set-Cookie", b"a"), (b"X", b"y")], b"z" * 20_000, True)
 
 
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
-        (ANSWER * 2, [(200, 20_000, True)] * 2),
+        (AJP_RESPONSE * 2, [(200, 20_000, True)] * 2),
         (ajp.CPONG_PACKET + ajp.encode_get_body_chunk(9), [ajp.CPong(), ajp.GetBodyChunk(9)]),
         (
-            ANSWER[:-6] + ajp.encode_packet(b"AB", b"\x03\x00\x01x\x00") + ANSWER[-6:],
+            AJP_RESPONSE[:-6] + ajp.encode_packet(b"AB", b"\x03\x00\x01x\x00") + AJP_RESPONSE[-6:],
             [400],
-        ),  # longer than it said
+        ),  # longer than its Content-Length
         (ajp.encode_packet(b"AB", b"\x05\x01"), [400]),
         (ajp.encode_packet(b"AB", b"\x03\x00\x01x\x00"), [400]),
         (ajp.encode_packet(b"AB", b"\x04\x00"), [400]),
@@ -166,13 +174,13 @@
     ],
 )
 def test_ajp_responses(data: bytes, expected: list[Any]) -> None:
-    got = feed(ajp.AjpResponseParser(30_000).next, data, 999)
+    results = feed(ajp.AjpResponseParser(30_000).next, data, 999)
     assert [
-        (m.status, len(m.body), m.reuse) if isinstance(m, ajp.AjpResponse) else m for m in got
+        (m.status, len(m.body), m.reuse) if isinstance(m, ajp.AjpResponse) else m for m in results
     ] == expected
 
 
-# ---- the pool and the index -------------------------------------------------------------------
+# ---- worker pool and index ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("step", [1, 100_000])
@@ -196,7 +204,7 @@
             + b"y" * 1020
             + b"\r\nblocked 2 b 0\r\n\r\n",
             [pool.Blocked(b"b", 1, b""), pool.Blocked(b"b", 2, b"")],
-        ),  # a remark of any length means nothing
+        ),  # chatter is ignored, whatever its length
         (
             b"polled 0 0.5 3\r\nunknown spawn x\r\n",
             [pool.Polled((0.5, 3.0)), pool.UnknownCommand(b"spawn", b"x")],
@@ -212,38 +220,38 @@
     ],
 )
 def test_pool_messages(data: bytes, expected: list[Any], step: int) -> None:
-    session, buffer, out = pool.PoolSession(), Buffer(64), list[Any]()
+    session, buffer, results = pool.PoolSession(), Buffer(64), list[Any]()
     try:
-        for at in range(0, len(data), step):
-            buffer.write(data[at : at + step])
-            out += session.messages(buffer)
+        for offset in range(0, len(data), step):
+            buffer.write(data[offset : offset + step])
+            results += session.messages(buffer)
     except MalformedMessageError as error:
-        out.append(error.status)
-    assert out == expected
+        results.append(error.status)
+    assert results == expected
 
 
-def test_a_new_link_repeats_what_is_safe_and_only_that() -> None:
+def test_new_link_resends_only_commands_that_are_safe_to_repeat() -> None:
     session, buffer = pool.PoolSession(), Buffer()
 
-    def hears(data: bytes) -> list[Any]:
+    def receive(data: bytes) -> list[Any]:
         buffer.write(data)
         return list(session.messages(buffer))
 
     assert session.open_link() == b"bind 0\r\n"
-    hears(b"bound EMPTY 0\r\npolled 1\r\n")
+    receive(b"bound EMPTY 0\r\npolled 1\r\n")
     assert session.spawn(b"a", b"c", b"x", False) and session.poll() == b"poll 2\r\n"
-    hears(b"polled 2\r\nblocked 1 a 0\r\n\r\n")  # the spawn of a has arrived
+    receive(b"polled 2\r\nblocked 1 a 0\r\n\r\n")  # confirms the spawn of run a
     session.supply_reply(b"a", b"r")
     sent = [session.spawn(b"b", b"c", b"x", False), session.spawn(b"k", b"c", b"x", True)]
     assert all(sent)
     session.close_link()
-    assert session.spawn(b"l", b"c", b"x", True) == b""  # never written: it may be sent later
-    assert sent[1].endswith(b"poll 3\r\n")  # asked after at once
+    assert session.spawn(b"l", b"c", b"x", True) == b""  # not sent on the lost link, so it may be sent later
+    assert sent[1].endswith(b"poll 3\r\n")  # a poll follows at once, to confirm the spawn
     assert session.open_link() == b"bind 1\r\n"
-    assert hears(b"bound EMPTY 9\r\n") == [pool.Bound(False, 0.009), b"poll 4\r\n"]
-    # Run a stands at a second call already, so the reply to its first must not be given to that one.
-    out = hears(b"blocked 2 a 0\r\n\r\npolled 4\r\n")
-    assert out == [
+    assert receive(b"bound EMPTY 9\r\n") == [pool.Bound(False, 0.009), b"poll 4\r\n"]
+    # Run a waits at its second call by now, which must not be given the reply to the first.
+    results = receive(b"blocked 2 a 0\r\n\r\npolled 4\r\n")
+    assert results == [
         pool.Blocked(b"a", 2, b""),
         sent[0],
         pool.UncertainRun(b"k"),
@@ -270,7 +278,7 @@
     ],
 )
 def test_index_replies(data: bytes, expected: list[Any], step: int) -> None:
-    assert feed(listed(index.ReplyParser().messages), data, step) == expected
+    assert feed(first_of(index.ReplyParser().messages), data, step) == expected
 
 
 def test_index_calls() -> None:
@@ -278,33 +286,41 @@
     assert index.encode_stop(b"a") == b"STOP a\r\n"
 
 
-# ---- all of them ------------------------------------------------------------------------------
+# ---- all protocols -----------------------------------------------------------------------------
 
 
-MACHINES: list[Callable[[], Callable[[Buffer], Any]]] = [
+PARSERS: list[Callable[[], Callable[[Buffer], Any]]] = [
     lambda: http1.HttpRequestParser(99).next,
     lambda: http1.HttpResponseParser(99).next,
     lambda: ajp.AjpRequestParser(99).next,
     lambda: ajp.AjpResponseParser(99).next,
-    lambda: listed(pool.PoolSession().messages),
-    lambda: listed(index.ReplyParser().messages),
+    lambda: first_of(pool.PoolSession().messages),
+    lambda: first_of(index.ReplyParser().messages),
 ]
-SEEDS = [
-    GET,
-    forward(LONG) + ajp.encode_body_packet(b"he"),
-    ANSWER[:99],
+SAMPLE_INPUTS = [
+    GET_PING,
+    forward_request(CONTENT_LENGTH_5) + ajp.encode_body_packet(b"he"),
+    AJP_RESPONSE[:99],
     b"finished 1 a PASS 1 1\r\nx\r\n",
     b"a HIT 1\r\nx\r\n",
 ]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
-@given(st.integers(0, len(MACHINES) - 1), st.sampled_from(SEEDS), st.binary(max_size=40), st.integers(0, 60))
-def test_no_input_raises_anything_but_malformed(machine: int, seed: bytes, noise: bytes, at: int) -> None:
-    feed(MACHINES[machine](), seed[:at] + noise + seed[at:], 16)  # any other exception fails the test
+@given(
+    st.integers(0, len(PARSERS) - 1),
+    st.sampled_from(SAMPLE_INPUTS),
+    st.binary(max_size=40),
+    st.integers(0, 60),
+)
+def test_no_input_raises_other_errors_than_malformed(
+    parser_index: int, sample_input: bytes, noise: bytes, position: int
+) -> None:
+    # Any exception but MalformedMessageError fails the test.
+    feed(PARSERS[parser_index](), sample_input[:position] + noise + sample_input[position:], 16)
 
 
-def test_the_buffer_grows_to_its_limit_and_compacts_in_place() -> None:
+def test_buffer_grows_to_its_limit_and_compacts_in_place() -> None:
     buffer = Buffer(16, limit=2048)
     buffer.write(b"a" * 1000 + b"b" * 20)
     data = buffer.data
@@ -315,7 +331,7 @@
         buffer.write(b"c" * 3000)
 
 
-def test_the_buffer_gives_back_what_one_long_message_took() -> None:
+def test_empty_buffer_releases_the_capacity_of_a_long_message() -> None:
     buffer = Buffer(16)
     buffer.write(b"a" * 40_000)
     buffer.take(40_000)
