--- a/saltcart/front/control.py
+++ b/saltcart/front/control.py
@@ -9,7 +9,7 @@
 from saltcart.wire.control import format_metric, take_command
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_CONNECTIONS = 24  # a further connection closes the one that has been idle longest
+MAX_CONNECTIONS = 24  # beyond it, a new connection closes the longest idle one
 # Metric names, and the counters that they show.
 OUTCOME_METRICS = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
 
--- a/saltcart/wire/ajp.py
+++ b/saltcart/wire/ajp.py
@@ -447,7 +447,7 @@
 ) -> bytes:
     """Encode a FORWARD_REQUEST packet; the body follows in body packets.
 
-    ``host`` and ``port`` name the server; ``secret`` is the one that the container expects, if any.
+    ``host`` and ``port`` name the server; ``secret`` must equal the container's, if it has one.
     """
     if method in METHODS:
         code, stored_method = METHODS.index(method) + 1, b""
