--- a/saltcart/net/__init__.py
+++ b/saltcart/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin drivers: they read, write, connect and keep time, and leave every meaning to others."""
+"""Network drivers: sockets, connections and timers; they leave decisions to the core."""
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -1,4 +1,4 @@
-"""Reports to the announce service, well inside the time after which an entry lapses."""
+"""Reports to the announce service, often enough that this server's entry does not lapse."""
 
 from __future__ import annotations
 
@@ -12,72 +12,89 @@
 from saltcart.wire import http1
 from saltcart.wire.errors import MalformedMessageError
 
+# All of them are well below the time after which the announce service removes an entry.
 REPORT_INTERVAL_SECONDS, REPORT_TIMEOUT_SECONDS, RETRY_DELAY_SECONDS = 0.9, 0.7, 0.2
+MAX_RESPONSE_BODY_BYTES = 4096
 
 
 class ReportConnection(Connection):
+    """A connection to the announce service, with one report at a time."""
+
     def __init__(self) -> None:
         super().__init__()
-        self.parser = http1.ResponseParser(4096)
-        self.answer: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
+        self.parser = http1.ResponseParser(MAX_RESPONSE_BODY_BYTES)
+        self.response: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
 
     def received(self) -> None:
+        """Complete the report under way, or close the connection after a malformed response."""
         try:
             response = self.parser.next(self.buffer)
         except MalformedMessageError:
             self.close()
             return
-        if response is not None and not self.answer.done():
-            self.answer.set_result(response)
+        if response is not None and not self.response.done():
+            self.response.set_result(response)
 
     def closed(self) -> None:
-        if not self.answer.done():
-            self.answer.set_exception(ConnectionResetError("announce service closed the connection"))
-            self.answer.exception()  # seen: nobody may be waiting
+        """Fail the report under way."""
+        if not self.response.done():
+            self.response.set_exception(ConnectionResetError("announce service closed the connection"))
+            # Marks the exception as retrieved: without a report under way, asyncio would log it.
+            self.response.exception()
 
 
 class Announcer:
-    """The announce port: keeps the entry alive once the service takes requests."""
+    """Registration port: keeps this server's entry in the list alive, from the first state that is set.
+
+    Args:
+        peer: The address of the announce service.
+        name: The name of this server in the list.
+        log: Event log.
+    """
 
     def __init__(self, peer: str, name: str, log: Log) -> None:
         self.peer, self.name, self.log = peer, name, log
-        self.state: bool | None = None
-        self.changed = asyncio.Event()
+        self.is_accepting: bool | None = None
+        self.state_changed = asyncio.Event()
         self.is_failing = False
         self.connection: ReportConnection | None = None
-        self.kept = SupervisedTask("announcer", self._run, log)
+        self.report_task = SupervisedTask("announcer", self._run, log)
 
     def set_accepting(self, is_accepting: bool) -> None:
-        self.state = is_accepting
-        self.changed.set()
+        """Report whether the service accepts requests, at once and from then on periodically."""
+        self.is_accepting = is_accepting
+        self.state_changed.set()
 
     def start(self) -> None:
-        self.kept.start()
+        """Start to report."""
+        self.report_task.start()
 
     def close(self) -> None:
-        self.kept.stop()
+        """Stop reporting and close the connection."""
+        self.report_task.stop()
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     def change_address(self, peer: str) -> None:
-        """Another address from now on; it is told at once."""
+        """Report to an announce service at another address, at once."""
         if peer != self.peer:
-            running = self.kept.running
+            was_running = self.report_task.is_running
             self.close()
             self.peer = peer
-            if running:  # else another process reports
+            if was_running:  # otherwise another process reports
                 self.resume()
 
     def resume(self) -> None:
+        """Report again after ``close``."""
         self.start()
 
     async def _run(self) -> None:
-        while self.state is None:
-            await self.changed.wait()
+        while self.is_accepting is None:
+            await self.state_changed.wait()
         while True:
-            self.changed.clear()
-            pause = REPORT_INTERVAL_SECONDS
+            self.state_changed.clear()
+            delay = REPORT_INTERVAL_SECONDS
             try:
                 async with asyncio.timeout(REPORT_TIMEOUT_SECONDS):
                     await self._report()
@@ -88,13 +105,13 @@
                 if not self.is_failing:
                     self.is_failing = True
                     self.log("announce-lost", error=str(error))
-                pause = RETRY_DELAY_SECONDS
+                delay = RETRY_DELAY_SECONDS
                 if self.connection is not None:
                     self.connection.close()
                     self.connection = None
             try:
-                async with asyncio.timeout(pause):
-                    await self.changed.wait()
+                async with asyncio.timeout(delay):
+                    await self.state_changed.wait()
             except TimeoutError:
                 pass
 
@@ -103,10 +120,10 @@
         if self.connection is None or self.connection.transport is None:
             _, self.connection = await loop.create_connection(ReportConnection, *parse_address(self.peer))
         connection = self.connection
-        connection.answer = loop.create_future()
-        body = orjson.dumps({"accepting": "true" if self.state else "false"})
+        connection.response = loop.create_future()
+        body = orjson.dumps({"accepting": "true" if self.is_accepting else "false"})
         connection.send(http1.request("PUT", f"/announce/{self.name}", self.peer, body))
-        response = await connection.answer
+        response = await connection.response
         if response.status != 204:
             raise ConnectionError(f"status {response.status}")
         if not response.keep_alive:
--- a/saltcart/net/base.py
+++ b/saltcart/net/base.py
@@ -1,4 +1,4 @@
-"""What all connections share: one buffer, one transport, one place where each is given back."""
+"""Base classes of connections: a protocol with one receive buffer, and links that reconnect."""
 
 from __future__ import annotations
 
@@ -8,9 +8,15 @@
 from saltcart.net.supervision import SupervisedTask
 from saltcart.wire.buffer import Buffer
 
+CONNECT_TIMEOUT_SECONDS = 2.0
+
 
 class Connection(asyncio.BufferedProtocol):
-    """A link that feeds its buffer to ``received`` and tells ``closed`` once when it ends."""
+    """A connection with one receive buffer; subclasses implement ``opened``, ``received`` and ``closed``.
+
+    Args:
+        limit: Most unread bytes that the buffer may hold.
+    """
 
     transport: asyncio.Transport | None = None
 
@@ -18,94 +24,120 @@
         self.buffer = Buffer(limit=limit)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, as asyncio reports that the connection is established."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.opened()
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return free space of the buffer for asyncio to receive into."""
         return self.buffer.space()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Process the bytes that asyncio has received into the buffer."""
         self.buffer.commit(nbytes)
         self.received()
 
     def eof_received(self) -> bool:
-        return False  # both directions end together
+        """Close the connection when the peer closes its sending direction."""
+        return False  # asyncio then closes the transport, so both directions end together
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Drop the transport, as asyncio reports that the connection has ended."""
         self.transport = None
         self.closed()
 
     def send(self, data: bytes) -> None:
+        """Send data, unless the connection has ended or is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self) -> None:
+        """Close the connection once the written data is sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """End it at once: for a peer that need not read what is still to be written."""
+        """Close the connection at once; use it if the peer need not receive the data that is still unsent."""
         if self.transport is not None:
             self.transport.abort()
 
     def opened(self) -> None:
-        """The connection stands."""
+        """Handle the establishment of the connection."""
 
     def received(self) -> None:
-        """New bytes are in the buffer."""
+        """Handle new bytes in the buffer."""
 
     def closed(self) -> None:
-        """The connection has ended, whoever ended it."""
+        """Handle the end of the connection; called once, whichever side ended it."""
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Split an address of the form ``host:port``.
+
+    Raises:
+        ValueError: The port is not a number.
+    """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class LinkConnection(Connection):
-    """A link's connection; only the newest one speaks for the link."""
+    """A connection of a link; a new one replaces the previous one."""
 
     def __init__(self, link: Link) -> None:
         super().__init__()
         self.link = link
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        before, self.link.connection = self.link.connection, self
-        if before is not None:
-            before.close()
+        """Become the link's connection, and close the previous one."""
+        previous, self.link.connection = self.link.connection, self
+        if previous is not None:
+            previous.close()
         super().connection_made(transport)
 
     def is_current(self) -> bool:
+        """Whether this is the link's connection, and not one that was replaced."""
         return self.link.connection is self
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Let the link reconnect, if this is its connection."""
         super().connection_lost(exc)
         if self.is_current():
             self.link.connection = None
-            self.link.ended.set()
+            self.link.disconnected.set()
 
 
 class Link:
-    """Keeps one connection to a peer open: waits a little longer after each failure."""
+    """Keeps one connection to a peer open, and reconnects with exponential backoff.
+
+    Args:
+        name: The name of the link in the log.
+        peer: The address of the peer.
+        log: Event log.
+    """
 
     INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.02, 0.5
 
     def __init__(self, name: str, peer: str, log: Log) -> None:
         self.name, self.peer, self.log = name, parse_address(peer), log
         self.connection: LinkConnection | None = None
-        self.ended = asyncio.Event()
-        self.kept = SupervisedTask(f"{name} link", self._run, log)
+        self.disconnected = asyncio.Event()
+        self.connect_task = SupervisedTask(f"{name} link", self._run, log)
 
     def make_connection(self) -> LinkConnection:
+        """Return a new connection object, for asyncio to connect."""
         raise NotImplementedError
 
     def start(self) -> None:
-        self.kept.start()
+        """Connect, and reconnect whenever the connection is lost."""
+        self.connect_task.start()
 
     def change_address(self, peer: str) -> None:
-        """Another address from now on; what the old connection still had to say is asked for again."""
+        """Reconnect to another address.
+
+        What the old connection had not delivered yet is requested again on the new one.
+        """
         if parse_address(peer) == self.peer:
             return
         self.peer = parse_address(peer)
@@ -113,26 +145,27 @@
         self.start()
 
     def close(self) -> None:
-        self.kept.stop()
+        """Close the connection and stop reconnecting."""
+        self.connect_task.stop()
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     async def _run(self) -> None:
-        wait = self.INITIAL_BACKOFF_SECONDS
+        backoff = self.INITIAL_BACKOFF_SECONDS
         loop = asyncio.get_running_loop()
         while True:
-            self.ended.clear()
+            self.disconnected.clear()
             try:
-                async with asyncio.timeout(2.0):
+                async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                     await loop.create_connection(self.make_connection, *self.peer)
             except (OSError, TimeoutError) as error:
-                if wait == self.INITIAL_BACKOFF_SECONDS:
+                if backoff == self.INITIAL_BACKOFF_SECONDS:
                     self.log("link-refused", link=self.name, error=str(error))
-                await asyncio.sleep(wait)
-                wait = min(self.MAX_BACKOFF_SECONDS, 2 * wait)
+                await asyncio.sleep(backoff)
+                backoff = min(self.MAX_BACKOFF_SECONDS, 2 * backoff)
                 continue
-            wait = self.INITIAL_BACKOFF_SECONDS
-            await self.ended.wait()
+            backoff = self.INITIAL_BACKOFF_SECONDS
+            await self.disconnected.wait()
             self.log("link-lost", link=self.name)
             await asyncio.sleep(self.INITIAL_BACKOFF_SECONDS)
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -1,7 +1,7 @@
-"""Calls to the next tier: the calls port on sockets, one call at a time on each.
+"""Calls to the next tier: the dependency calls port on sockets, with one call at a time on each connection.
 
-What spoils a reply spoils its connection, and with it every call there.  So a connection carries one call at
-a time, and one whose reply was spoilt or stayed away is never used again.
+A malformed reply makes the rest of its connection unreadable, which would fail every call on it.  So a
+connection carries one call at a time, and is never reused after a malformed or missing reply.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from saltcart.wire import index as wire
 from saltcart.wire.errors import MalformedMessageError
 
-# Only SHED and NOBODY prove that the call never ran, and a connection that was never made.
+# Only SHED, NOBODY and a connection that was never established prove that the call never ran.
 OUTCOMES = {
     b"HIT": Outcome.SUCCEEDED,
     b"SHED": Outcome.REJECTED,
@@ -25,70 +25,88 @@
     b"NOBODY": Outcome.REJECTED,
 }
 CONNECT_TIMEOUT_SECONDS = 2.0
-CONNECT_RETRY_DELAYS_SECONDS = (0.02, 0.05)  # a proxy that refuses is asked again: calls must not spin
-REUSE_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS = (
-    0.5,
-    2.0,
-)  # used again within the first, closed after the second: the proxy may forget idle ones
+CONNECT_RETRY_DELAYS_SECONDS = (0.02, 0.05)  # calls must not spin on a proxy that refuses connections
+# An idle connection is reused within the first and closed after the second, because the proxy may drop
+# idle connections.
+REUSE_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS = 0.5, 2.0
 SWEEP_INTERVAL_SECONDS = 0.5
-STALLED_REPLY_TIMEOUT_SECONDS = 0.25  # a reply that has begun comes whole; its sender is on the same machine
+STALLED_REPLY_TIMEOUT_SECONDS = 0.25  # the proxy is on the same machine and sends replies whole
 
 
 class IndexCall:
-    """One call under way."""
+    """A call in progress.
 
-    __slots__ = ("connection", "data", "ident", "once", "task")
+    Args:
+        request_id: The request whose run waits for the reply.
+        message: The encoded call.
+        must_run_once: Whether the call must not be retried if it may already have taken effect.
+    """
 
-    def __init__(self, ident: bytes, data: bytes, once: bool) -> None:
-        self.ident, self.data, self.once = ident, data, once
+    __slots__ = ("connect_task", "connection", "message", "must_run_once", "request_id")
+
+    def __init__(self, request_id: bytes, message: bytes, must_run_once: bool) -> None:
+        self.request_id, self.message, self.must_run_once = request_id, message, must_run_once
         self.connection: IndexConnection | None = None
-        self.task: asyncio.Task[None] | None = None  # that connects
+        self.connect_task: asyncio.Task[None] | None = None
 
 
 class IndexConnection(Connection):
+    """A connection to the proxy of the next tier; it is idle or carries one call."""
+
     def __init__(self, client: IndexClient) -> None:
         super().__init__()
         self.client, self.peer, self.parser = client, client.peer, wire.ReplyParser()
         self.call: IndexCall | None = None
-        self.stall: asyncio.TimerHandle | None = None
-        self.last = b""  # whose call it carried last: a second copy must not answer that one's next call
-        self.used = 0.0
+        self.stall_timer: asyncio.TimerHandle | None = None
+        # The request whose call it carried last: a duplicate reply must not answer that request's next call.
+        self.last_request_id = b""
+        self.last_used_at = 0.0
 
     def opened(self) -> None:
+        """Register with the client."""
         self.client.connections.add(self)
 
     def received(self) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+        """Finish the call in progress, or discard the connection after a malformed reply."""
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
         try:
             for reply in self.parser.messages(self.buffer):
-                # A second copy, or a reply to what was given up or never asked, stands for nothing.
-                if self.call is not None and reply.ident == self.call.ident:
-                    self.client.ended(self.call, OUTCOMES[reply.end], reply.body)
+                # Duplicate replies, and replies to cancelled or unknown calls, are ignored.
+                if self.call is not None and reply.ident == self.call.request_id:
+                    self.client.finish_call(self.call, OUTCOMES[reply.end], reply.body)
         except MalformedMessageError as error:
-            self.spoilt(str(error))
+            self.discard(str(error))
         else:
-            if self.parser.partial(self.buffer):  # a length that does not fit: what is missing never comes
-                self.stall = asyncio.get_running_loop().call_later(
-                    STALLED_REPLY_TIMEOUT_SECONDS, self.spoilt, "reply stands still"
+            if self.parser.partial(self.buffer):  # if the length is wrong, the missing bytes never arrive
+                self.stall_timer = asyncio.get_running_loop().call_later(
+                    STALLED_REPLY_TIMEOUT_SECONDS, self.discard, "incomplete reply"
                 )
 
-    def spoilt(self, why: str) -> None:
-        """Of no further use; the call under way has run."""
-        self.client.log("index-malformed", error=why)
+    def discard(self, reason: str) -> None:
+        """Close the connection after a malformed reply; the call in progress may have taken effect."""
+        self.client.log("index-malformed", error=reason)
         self.abort()
-        self.client.lost(self)
+        self.client.handle_connection_closed(self)
 
     def closed(self) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
+        """Deregister from the client."""
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
         self.client.connections.discard(self)
-        self.client.lost(self)
+        self.client.handle_connection_closed(self)
 
 
 class IndexClient:
-    """Owns the connections: each is idle, or belongs to the one call it carries."""
+    """Owns the connections: each is idle, or belongs to the one call that it carries.
+
+    Args:
+        peer: The address of the proxy.
+        events: Receives the ends of calls.
+        log: Event log.
+        max_connections: Most connections, including those being established; further calls wait for one.
+    """
 
     def __init__(self, peer: str, events: DependencyCallEvents, log: Log, max_connections: int = 64) -> None:
         self.peer, self.events, self.log, self.max_connections = (
@@ -99,75 +117,86 @@
         )
         self.calls: dict[bytes, IndexCall] = {}
         self.connections = set[IndexConnection]()
-        self.connect_tasks = set[asyncio.Task[None]]()  # that connect
-        self.idle: list[IndexConnection] = []  # the one used last is at the end
-        self.waiting = deque[IndexCall]()  # for a descriptor
+        self.connect_tasks = set[asyncio.Task[None]]()
+        self.idle: list[IndexConnection] = []  # connections, least recently used first
+        self.waiting_calls = deque[IndexCall]()  # wait for a connection within the bound
         self.sweeper = PeriodicTask(SWEEP_INTERVAL_SECONDS, self._sweep)
 
-    # ---- the port -----------------------------------------------------------------------------
+    # ---- dependency calls port ----------------------------------------------------------------
 
-    def call(self, ident: bytes, limit: float, body: bytes, once: bool) -> None:
-        self.cancel_call(ident)  # a second call for a request gives up the first
-        call = self.calls[ident] = IndexCall(ident, wire.get(ident, limit, body), once)
-        self._begin(call)
+    def call(self, request_id: bytes, timeout: float, body: bytes, must_run_once: bool) -> None:
+        """Make a call for a request; an earlier call for it is cancelled."""
+        self.cancel_call(request_id)
+        call = self.calls[request_id] = IndexCall(
+            request_id, wire.get(request_id, timeout, body), must_run_once
+        )
+        self._start_call(call)
 
-    def cancel_call(self, ident: bytes) -> None:
-        """Nobody waits for this call any more; its reply may still come, so the connection ends with it."""
-        call = self.calls.pop(ident, None)
+    def cancel_call(self, request_id: bytes) -> None:
+        """Cancel the call of a request, and close its connection, as the reply may still arrive on it."""
+        call = self.calls.pop(request_id, None)
         if call is not None:
             if call.connection is not None:
-                call.connection.send(wire.stop(ident))
-            self._finish(call)
+                call.connection.send(wire.stop(request_id))
+            self._release_call(call)
 
     def change_address(self, peer: str) -> None:
-        """Another address from now on; calls under way end where they were made."""
+        """Make further calls at another address; calls in progress end on their connections."""
         if parse_address(peer) != self.peer:
             self.peer = parse_address(peer)
             self._close_idle(0.0)
 
     def close(self) -> None:
+        """Cancel all calls without reporting their ends, and close the connections."""
         self.sweeper.stop()
         self._close_idle(0.0)
         for call in list(self.calls.values()):
-            self._finish(call)
+            self._release_call(call)
         self.calls.clear()
 
     # ---- connections --------------------------------------------------------------------------
 
-    def _full(self) -> bool:
+    def _is_full(self) -> bool:
         return len(self.connections) + len(self.connect_tasks) >= self.max_connections
 
-    def _begin(self, call: IndexCall) -> None:
+    def _start_call(self, call: IndexCall) -> None:
         loop = asyncio.get_running_loop()
-        found = None if call.once else self._rested(call.ident, loop.time() - REUSE_TIMEOUT_SECONDS)
-        if found is not None:
-            self._write(call, found)
-        elif self._full() and not self.idle:
-            self.waiting.append(call)
+        reusable = (
+            None
+            if call.must_run_once
+            else self._take_idle_connection(call.request_id, loop.time() - REUSE_TIMEOUT_SECONDS)
+        )
+        if reusable is not None:
+            self._send_call(call, reusable)
+        elif self._is_full() and not self.idle:
+            self.waiting_calls.append(call)
         else:
-            if self._full():
+            if self._is_full():
                 self.idle.pop(0).abort()
-            call.task = loop.create_task(self._connect(call))
-            self.connect_tasks.add(call.task)
-            call.task.add_done_callback(self._connected)
+            call.connect_task = loop.create_task(self._connect(call))
+            self.connect_tasks.add(call.connect_task)
+            call.connect_task.add_done_callback(self._connect_finished)
 
-    def _rested(self, ident: bytes, since: float) -> IndexConnection | None:
-        """An idle connection that is good for this call, taken off the list.
+    def _take_idle_connection(self, request_id: bytes, used_since: float) -> IndexConnection | None:
+        """Remove an idle connection that can carry a call of this request from the list, and return it.
 
-        The proxy may have forgotten one: its reset could not be told from one that comes after the call has
-        run.  So those used last come first, and what must run once takes none.
+        The proxy may have dropped an idle connection, and its reset cannot be distinguished from one sent
+        after the call has run.  So the most recently used connections are preferred, and calls that must run
+        once never reuse one.
         """
         for n in range(len(self.idle) - 1, -1, -1):
-            if self.idle[n].used < since:
+            if self.idle[n].last_used_at < used_since:
                 break
-            # What stands behind a good reply may spoil the next one.
-            if self.idle[n].last != ident and not self.idle[n].parser.partial(self.idle[n].buffer):
+            # Bytes left over after a good reply may corrupt the next one.
+            if self.idle[n].last_request_id != request_id and not self.idle[n].parser.partial(
+                self.idle[n].buffer
+            ):
                 return self.idle.pop(n)
         return None
 
     async def _connect(self, call: IndexCall) -> None:
         connection = None
-        for wait in (*CONNECT_RETRY_DELAYS_SECONDS, 0.0):
+        for delay in (*CONNECT_RETRY_DELAYS_SECONDS, 0.0):
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                     _, connection = await asyncio.get_running_loop().create_connection(
@@ -176,72 +205,76 @@
             except TimeoutError:
                 break
             except OSError:
-                await asyncio.sleep(wait)
+                await asyncio.sleep(delay)
             else:
                 if connection.transport is not None:
                     break
-                await asyncio.sleep(wait)  # it was reset as soon as it stood
-        call.task = None
+                await asyncio.sleep(delay)  # it was reset as soon as it was established
+        call.connect_task = None
         if connection is None or connection.transport is None:
-            # Refused, reset or timed out, nothing of the call was written: it never ran, whatever it is.
+            # Whether connecting was refused, reset or timed out, no byte of the call was sent: it never ran.
             self.log("index-refused")
-            self.ended(call, Outcome.UNREACHABLE, b"")
+            self.finish_call(call, Outcome.UNREACHABLE, b"")
         else:
-            self._write(call, connection)
+            self._send_call(call, connection)
 
-    def _connected(self, task: asyncio.Task[None]) -> None:
-        """Its descriptor is a connection's by now, or free: also if its call was given up meanwhile."""
+    def _connect_finished(self, task: asyncio.Task[None]) -> None:
+        """Start calls that wait, also if the task's call was cancelled meanwhile.
+
+        The task's descriptor now belongs to a connection or is free again.
+        """
         self.connect_tasks.discard(task)
-        self._serve_waiting()
+        self._start_waiting_calls()
 
-    def _write(self, call: IndexCall, connection: IndexConnection) -> None:
-        call.connection, connection.call, connection.last = connection, call, call.ident
-        connection.send(call.data)
+    def _send_call(self, call: IndexCall, connection: IndexConnection) -> None:
+        call.connection, connection.call, connection.last_request_id = connection, call, call.request_id
+        connection.send(call.message)
 
-    def ended(self, call: IndexCall, outcome: Outcome, reply: bytes) -> None:
-        """Every call that is not given up ends here, once."""
-        if self.calls.get(call.ident) is not call:
+    def finish_call(self, call: IndexCall, outcome: Outcome, reply: bytes) -> None:
+        """End a call, and report it unless it was cancelled or has ended before."""
+        if self.calls.get(call.request_id) is not call:
             return
-        del self.calls[call.ident]
+        del self.calls[call.request_id]
         connection, call.connection = call.connection, None
         if connection is not None:
             connection.call = None
             if connection.peer != self.peer:
                 connection.close()
             elif connection.transport is not None and not connection.transport.is_closing():
-                connection.used = asyncio.get_running_loop().time()
+                connection.last_used_at = asyncio.get_running_loop().time()
                 self.idle.append(connection)
                 self.sweeper.start()
-        self.events.call_finished(call.ident, outcome, reply)
-        self._serve_waiting()
+        self.events.call_finished(call.request_id, outcome, reply)
+        self._start_waiting_calls()
 
-    def _finish(self, call: IndexCall) -> None:
-        """Give back what a call that was given up had taken."""
+    def _release_call(self, call: IndexCall) -> None:
+        """Close the connection of a cancelled call, or stop connecting for it."""
         connection, call.connection = call.connection, None
         if connection is not None:
             connection.call = None
             connection.close()
-        if call.task is not None:
-            call.task.cancel()
+        if call.connect_task is not None:
+            call.connect_task.cancel()
 
-    def lost(self, connection: IndexConnection) -> None:
-        """A connection that breaks under a call proves nothing about it."""
+    def handle_connection_closed(self, connection: IndexConnection) -> None:
+        """Fail the call of a connection that was closed; whether the call ran is unknown."""
         if connection in self.idle:
             self.idle.remove(connection)
         if connection.call is not None:
-            self.ended(connection.call, Outcome.BROKEN_OFF, b"")
+            self.finish_call(connection.call, Outcome.BROKEN_OFF, b"")
         else:
-            self._serve_waiting()
-
-    def _serve_waiting(self) -> None:
-        while self.waiting and (self.idle or not self._full()):
-            call = self.waiting.popleft()
-            if self.calls.get(call.ident) is call:
-                self._begin(call)
-
-    def _close_idle(self, age: float) -> None:
-        oldest = asyncio.get_running_loop().time() - age
-        for connection in [c for c in self.idle if c.used <= oldest]:
+            self._start_waiting_calls()
+
+    def _start_waiting_calls(self) -> None:
+        while self.waiting_calls and (self.idle or not self._is_full()):
+            call = self.waiting_calls.popleft()
+            if self.calls.get(call.request_id) is call:
+                self._start_call(call)
+
+    def _close_idle(self, min_idle: float) -> None:
+        """Close the connections that have been idle for at least ``min_idle`` seconds."""
+        used_before = asyncio.get_running_loop().time() - min_idle
+        for connection in [c for c in self.idle if c.last_used_at <= used_before]:
             self.idle.remove(connection)
             connection.close()
 
--- a/saltcart/net/signals.py
+++ b/saltcart/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals on the event loop, with the moment at which they came."""
+"""Signal handlers on the event loop that report when a signal arrived."""
 
 from __future__ import annotations
 
@@ -8,14 +8,21 @@
 
 
 def handle_signals(
-    numbers: tuple[int, ...], clock: Callable[[], float], leave: Callable[[float], None]
+    signal_numbers: tuple[int, ...], clock: Callable[[], float], on_signal: Callable[[float], None]
 ) -> None:
-    """``leave`` is told how long ago the first of these signals came, in seconds.
+    """Handle signals on the running event loop.
 
-    The loop hears of a signal once the turn is over in which it came, and the drain counts from the signal.
+    The loop runs a handler only after the iteration in which the signal arrived, but the time to drain counts
+    from the signal itself.  So a plain signal handler notes the time.
+
+    Args:
+        signal_numbers: The signals to handle.
+        clock: Returns the time in seconds.
+        on_signal: Called for each signal with the seconds since the first of them arrived.
     """
-    loop, noted = asyncio.get_running_loop(), list[float]()
-    for number in numbers:
-        loop.add_signal_handler(number, lambda: leave(clock() - noted[0]))
-        signal.signal(number, lambda *_: noted.append(clock()))  # the loop is woken as before
-        signal.siginterrupt(number, False)
+    loop, arrival_times = asyncio.get_running_loop(), list[float]()
+    for signal_number in signal_numbers:
+        loop.add_signal_handler(signal_number, lambda: on_signal(clock() - arrival_times[0]))
+        # Replaces asyncio's own empty handler; the loop is still woken through its wake-up descriptor.
+        signal.signal(signal_number, lambda *_: arrival_times.append(clock()))
+        signal.siginterrupt(signal_number, False)
--- a/saltcart/net/supervision.py
+++ b/saltcart/net/supervision.py
@@ -1,6 +1,6 @@
-"""Work that must go on: a task and a call that come again, whatever becomes of one of them.
+"""Tasks that are restarted when they end, and periodic calls that continue after an exception.
 
-A loop that died unseen would leave a service that looks well and serves nothing.
+Without them, a background loop that dies unnoticed leaves a service that looks healthy but serves nothing.
 """
 
 from __future__ import annotations
@@ -10,11 +10,17 @@
 
 from saltcart.core.ports import Log
 
-RESTART_DELAY = 0.2  # seconds before a task that ended is started again: one that always fails must not spin
+RESTART_DELAY_SECONDS = 0.2  # a task that always fails must not spin
 
 
 class SupervisedTask:
-    """Owns a task that must live: its end is logged, and it is started again."""
+    """Owns a task that must keep running: when it ends, that is logged, and it is started again.
+
+    Args:
+        name: The name of the task in the log.
+        run: Returns the coroutine to run.
+        log: Event log.
+    """
 
     def __init__(self, name: str, run: Callable[[], Awaitable[None]], log: Log) -> None:
         self.name = name
@@ -23,17 +29,17 @@
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def running(self) -> bool:
-        """Whether it was started and not stopped."""
+    def is_running(self) -> bool:
+        """Whether the task was started and not stopped."""
         return self.task is not None
 
     def start(self) -> None:
-        """Start the task, in the place of one that runs."""
+        """Start the task; one that is running is cancelled first."""
         self.stop()
         self.task = asyncio.get_running_loop().create_task(self._run_for_ever())
 
     def stop(self) -> None:
-        """End the task."""
+        """Cancel the task."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
@@ -46,31 +52,34 @@
             except Exception as caught:
                 error = caught
             self.log("loop-died", name=self.name, error=repr(error))
-            await asyncio.sleep(RESTART_DELAY)
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
 
 
 class PeriodicTask:
-    """Calls ``act`` every ``seconds``, the next call set first: a fault costs one call and is logged."""
+    """Calls ``callback`` every ``interval`` seconds.
+
+    The next call is scheduled first, so an exception costs one call; the event loop logs it.
+    """
 
-    def __init__(self, seconds: float, act: Callable[[], None]) -> None:
-        self.seconds = seconds
-        self.act = act
+    def __init__(self, interval: float, callback: Callable[[], None]) -> None:
+        self.interval = interval
+        self.callback = callback
         self.handle: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin, unless it has begun."""
+        """Schedule the first call, unless calls are scheduled already."""
         if self.handle is None:
-            self._set_next()
+            self._schedule_next()
 
     def stop(self) -> None:
-        """Call no more."""
+        """Cancel the calls."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
 
-    def _set_next(self) -> None:
-        self.handle = asyncio.get_running_loop().call_later(self.seconds, self._call)
+    def _schedule_next(self) -> None:
+        self.handle = asyncio.get_running_loop().call_later(self.interval, self._call)
 
     def _call(self) -> None:
-        self._set_next()
-        self.act()
+        self._schedule_next()
+        self.callback()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -182,7 +182,7 @@
     begun: list[bytes] = []
 
     async def connect(client: IndexClient, call: IndexCall) -> None:
-        begun.append(call.ident)
+        begun.append(call.request_id)
         await asyncio.Event().wait()  # a proxy that takes no connection and refuses none
 
     monkeypatch.setattr(IndexClient, "_connect", connect)
