--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -129,7 +129,7 @@
 
 
 class AjpUpstream:
-    """Sends each run to the member with the fewest requests in flight for its weight, or to a chooser's choice.
+    """Sends each run to a member: the least loaded one for its weight, unless a chooser is set to decide.
 
     Args:
         members: The members of the upstream.
