--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -1,4 +1,4 @@
-"""AJP on both sides of the service, against stand-ins on loopback."""
+"""AJP from gateways and to upstreams, with stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import AjpFront, Deployment, MemberConf, UpstreamConf
-from saltcart.net import ajp as module
+from saltcart.net import ajp as ajp_driver
 from saltcart.net.ajp import AjpMember, AjpUpstream
 from saltcart.wire import ajp
 from tests.standins import AjpClient, AjpServer, HttpClient, Pool, container_answer, running, until
@@ -16,12 +16,12 @@
 FRONT = Deployment(ajp=AjpFront("127.0.0.1:0", "s3cret"))
 
 
-def upstream(*hosts: str) -> Deployment:
-    return Deployment(upstreams=(UpstreamConf("u", tuple(MemberConf(h) for h in hosts)),))
+def upstream_deployment(*hosts: str) -> Deployment:
+    return Deployment(upstreams=(UpstreamConf("u", tuple(MemberConf(host) for host in hosts)),))
 
 
-def test_one_path_with_reuse_pings_and_a_body_in_parts() -> None:
-    async def play() -> None:
+def test_a_gateway_connection_is_reused_and_carries_pings_and_bodies_in_parts() -> None:
+    async def run_scenario() -> None:
         async with Pool() as pool, running(FRONT, pool=pool.address) as app:
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             body = bytes(range(256)) * 8
@@ -31,41 +31,46 @@
             assert b"server-hint" in answer.headers
             client.writer.write(ajp.CPING_PACKET)
             assert isinstance(await client.message(), ajp.Pong)
-            client.writer.write(ajp.packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # is ignored
+            client.writer.write(ajp.packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # ignored
             assert (await client.ask(2, "oddaja", b"", key="k")).body == b"done "
             assert (await client.ask(3, "nothing")).status == 400
-            assert (await client.ask(4, "oddaja")).status == 400  # no key
-            stranger = await AjpClient(app.addresses["ajp"], b"wrong").open()
-            refused = await stranger.ask(5)
-            assert (refused.status, refused.keep_alive) == (403, False)
+            assert (await client.ask(4, "oddaja")).status == 400  # without an idempotency key
+            client_with_wrong_secret = await AjpClient(app.addresses["ajp"], b"wrong").open()
+            rejection = await client_with_wrong_secret.ask(5)
+            assert (rejection.status, rejection.keep_alive) == (403, False)
             assert len(pool.spawned) == 2
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_connections_to_a_member_rest_only_so_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A member may forget an idle connection, and each holds a descriptor."""
-    monkeypatch.setattr(module, "IDLE_TIMEOUT_SECONDS", 0.05)
-    monkeypatch.setattr(module, "SWEEP_INTERVAL_SECONDS", 0.02)
+def test_idle_connections_to_a_member_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A member may drop an idle connection, and each one holds a descriptor."""
+    monkeypatch.setattr(ajp_driver, "IDLE_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(ajp_driver, "SWEEP_INTERVAL_SECONDS", 0.02)
 
-    async def act(_: ajp.ForwardRequest) -> bytes:
+    async def respond(_: ajp.ForwardRequest) -> bytes:
         return container_answer(200, b"good")
 
-    async def play() -> None:
-        async with AjpServer(act) as server, running(upstream(server.address)) as app:
+    async def run_scenario() -> None:
+        async with AjpServer(respond) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
             assert app.upstreams is not None
-            used = app.upstreams.by_name["u"]
-            for n in (1, 2):
-                assert (await client.ask(n)).body == b"good"
-                await until(lambda: not used.members[0].idle_connections and used.sweeper.handle is None)
-                assert len(server.writers) == n  # a new one each time: the one before was closed
-
-    asyncio.run(play())
-
-
-def test_a_drop_in_mid_body_leaves_nothing_behind() -> None:
-    async def play() -> None:
+            ajp_upstream = app.upstreams.by_name["u"]
+            for number in (1, 2):
+                assert (await client.ask(number)).body == b"good"
+                await until(
+                    lambda: (
+                        not ajp_upstream.members[0].idle_connections and ajp_upstream.sweeper.handle is None
+                    )
+                )
+                # Each request has a new connection, since the previous one was closed.
+                assert len(server.writers) == number
+
+    asyncio.run(run_scenario())
+
+
+def test_a_connection_lost_within_a_body_leaves_no_state() -> None:
+    async def run_scenario() -> None:
         async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             client.send(1, "oddaja", b"x" * 900, first=300, key="k")
@@ -73,18 +78,18 @@
             client.drop()
             await until(lambda: not app.listeners[1].connections)
             assert not app.service.requests and not app.service.keys.records and pool.spawned == []
-            # The whole request may come after it, and a drop once it is whole is a caller that has gone.
+            # A whole request is accepted next; a connection lost after it means that the caller left.
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             client.send(2, "oddaja", b"x", key="k")
             await until(lambda: len(pool.spawned) == 1)
             client.drop()
             await until(lambda: app.service.counts["acme", "oddaja", "abandoned"] == 1)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_oddaja_runs_once_across_both_fronts() -> None:
-    async def play() -> None:
+def test_an_idempotency_key_holds_across_both_fronts() -> None:
+    async def run_scenario() -> None:
         async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
             gateway = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             balancer = await HttpClient(app.addresses["http"]).open()
@@ -94,31 +99,33 @@
             await until(lambda: len(app.service.requests) == 2)
             pool.finish(pool.spawned[0])
             answers = await asyncio.gather(gateway.answer(), balancer.answer())
-            assert [a.body for a in answers] == [b"done same"] * 2
+            assert [answer.body for answer in answers] == [b"done same"] * 2
             assert (await gateway.ask(3, "oddaja", b"same", key="k")).body == b"done same"
             assert len(pool.spawned) == 1
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_the_drain_is_honoured() -> None:
-    async def play() -> None:
+def test_draining_answers_requests_until_the_process_stops() -> None:
+    async def run_scenario() -> None:
         async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
-            early = await AjpClient(app.addresses["ajp"], b"s3cret").open()
-            early.send(1)
+            earlier_client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
+            earlier_client.send(1)
             await until(lambda: len(pool.spawned) == 1)
             app.leave()
             await asyncio.sleep(0.35)
-            late = await AjpClient(app.addresses["ajp"], b"s3cret").open()  # still accepted
-            assert (await late.ask(2)).status == 503
-            assert (await early.answer()).status in (500, 503)  # answered before the stop, unfinished
+            # Connections are still accepted.
+            later_client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
+            assert (await later_client.ask(2)).status == 503
+            # Answered before the process stops, though its run is unfinished.
+            assert (await earlier_client.answer()).status in (500, 503)
             assert pool.spawned == [b"%016x" % 1]
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
-    ("status", "klass", "expected", "runs"),
+    ("status", "class_name", "expected", "runs"),
     [
         (200, "read", 200, 1),
         (200, "oddaja", 200, 1),
@@ -129,76 +136,81 @@
         (None, "read", 500, 2),
     ],
 )
-def test_an_upstreams_answers(status: int | None, klass: str, expected: int, runs: int) -> None:
-    async def act(_: ajp.ForwardRequest) -> bytes | None:
+def test_the_answer_to_the_client_for_each_response_of_an_upstream(
+    status: int | None, class_name: str, expected: int, runs: int
+) -> None:
+    async def respond(_: ajp.ForwardRequest) -> bytes | None:
         return None if status is None else container_answer(status, b"\x00result")
 
-    async def play() -> None:
-        async with AjpServer(act) as server, running(upstream(server.address)) as app:
+    async def run_scenario() -> None:
+        async with AjpServer(respond) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            answer = await client.ask(1, klass, b"body", key="k" if klass == "oddaja" else None)
+            answer = await client.ask(1, class_name, b"body", key="k" if class_name == "oddaja" else None)
             assert answer.status == expected and len(server.seen) == runs
             assert answer.body == (b"\x00result" if expected == 200 else b"")
-            assert server.seen[0].body == b"body" and server.seen[0].uri == b"/call/" + klass.encode()
-            if klass == "oddaja":  # whatever became of it, a further try does not reach the upstream
-                assert (await client.ask(2, klass, b"body", key="k")).status == expected
+            assert server.seen[0].body == b"body" and server.seen[0].uri == b"/call/" + class_name.encode()
+            if class_name == "oddaja":  # whatever the outcome, a retry does not reach the upstream
+                assert (await client.ask(2, class_name, b"body", key="k")).status == expected
                 assert len(server.seen) == runs
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-@pytest.mark.parametrize("klass", ["read", "oddaja"])
-def test_proof_that_nothing_ran_leads_to_the_next_member(klass: str) -> None:
-    async def refuse(_: ajp.ForwardRequest) -> bytes:
+@pytest.mark.parametrize("class_name", ["read", "oddaja"])
+def test_another_member_is_tried_if_the_request_did_not_run(class_name: str) -> None:
+    async def reject(_: ajp.ForwardRequest) -> bytes:
         return container_answer(503)
 
     async def serve(_: ajp.ForwardRequest) -> bytes:
         return container_answer(200, b"ok")
 
-    async def play() -> None:
-        async with AjpServer(refuse) as gone:
-            pass  # nobody listens there any more
+    async def run_scenario() -> None:
+        async with AjpServer(reject) as stopped:
+            pass  # connections to its address are refused from here on
         async with (
-            AjpServer(refuse) as full,
-            AjpServer(serve) as good,
-            running(upstream(gone.address, full.address, good.address)) as app,
+            AjpServer(reject) as overloaded,
+            AjpServer(serve) as healthy,
+            running(upstream_deployment(stopped.address, overloaded.address, healthy.address)) as app,
         ):
             client = await HttpClient(app.addresses["http"]).open()
-            for n in range(1, 4):
-                assert (await client.ask(n, klass, key=f"k{n}" if klass == "oddaja" else None)).body == b"ok"
-            assert len(good.seen) == 3 and len(good.writers) == 1  # END_RESPONSE lets it be used again
+            for number in range(1, 4):
+                assert (
+                    await client.ask(number, class_name, key=f"k{number}" if class_name == "oddaja" else None)
+                ).body == b"ok"
+            # END_RESPONSE permits reuse of the connection.
+            assert len(healthy.seen) == 3 and len(healthy.writers) == 1
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_a_run_that_is_stopped_before_its_first_step_ends_too() -> None:
-    async def play() -> None:
-        ended = list[tuple[bytes, Outcome]]()
-        up = AjpUpstream(
+def test_a_run_cancelled_before_its_task_starts_is_reported() -> None:
+    async def run_scenario() -> None:
+        finished_runs = list[tuple[bytes, Outcome]]()
+        ajp_upstream = AjpUpstream(
             [AjpMember("127.0.0.1:9")],
-            lambda ident, how, *_: ended.append((ident, how)),
+            lambda request_id, outcome, *_: finished_runs.append((request_id, outcome)),
             lambda *_, **__: None,
         )
-        up.spawn(b"a", "read", "acme", b"", False, 1.0)
-        up.suspend(b"a")
-        await until(lambda: ended == [(b"a", Outcome.CANCELLED)] and not up.run_tasks)
+        ajp_upstream.spawn(b"a", "read", "acme", b"", False, 1.0)
+        ajp_upstream.suspend(b"a")
+        await until(lambda: finished_runs == [(b"a", Outcome.CANCELLED)] and not ajp_upstream.run_tasks)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_an_upstream_that_is_silent_costs_no_more_than_the_callers_time() -> None:
+def test_a_request_to_a_silent_upstream_ends_at_the_callers_deadline() -> None:
     async def hang(_: ajp.ForwardRequest) -> bytes | None:
         await asyncio.Event().wait()
         return None
 
-    async def play() -> None:
-        async with AjpServer(hang) as server, running(upstream(server.address)) as app:
+    async def run_scenario() -> None:
+        async with AjpServer(hang) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
             answer = await client.ask(1, "oddaja", key="k", budget="400")
             assert answer.status == 500 and len(server.seen) == 1
             await until(lambda: not app.service.requests)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 HEADERS = ajp.packet(ajp.FROM_CONTAINER, b"\x04" + ajp.integer(200) + ajp.text(b"OK") + ajp.integer(0))
@@ -206,7 +218,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"",
         b"noise",
@@ -219,18 +231,20 @@
         ajp.CPONG_PACKET * 2,
     ],
 )
-def test_a_members_spoilt_answer_ends_its_connection_and_what_must_run_once(spoilt: bytes) -> None:
-    """Noise, wrong lengths, endless bodies, silence: the run fails, and the next has a new connection."""
-    answers = [spoilt, container_answer(200, b"good")]
+def test_a_malformed_response_of_a_member_ends_its_connection_and_a_run_that_must_run_once(
+    malformed: bytes,
+) -> None:
+    """Noise, wrong lengths, endless bodies or silence: the run fails, and the next uses a new connection."""
+    answers = [malformed, container_answer(200, b"good")]
 
-    async def act(_: ajp.ForwardRequest) -> bytes:
+    async def respond(_: ajp.ForwardRequest) -> bytes:
         return answers.pop(0)
 
-    async def play() -> None:
-        async with AjpServer(act) as server, running(upstream(server.address)) as app:
+    async def run_scenario() -> None:
+        async with AjpServer(respond) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
             assert (await client.ask(1, "oddaja", key="k", budget="500")).status == 500
             assert (await client.ask(2, "oddaja", key="other")).body == b"good"
             assert len(server.seen) == 2 and len(server.writers) == 2
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
