--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -60,7 +60,7 @@
         super().__init__()
         self.member, self.parser = member, ajp.ResponseParser(MAX_RESULT_BYTES)
         self.response: asyncio.Future[ajp.Response | ajp.Pong] | None = None
-        self.unsent_body = b""  # the rest of the request body, sent in parts as the member requests them
+        self.unsent = b""  # the rest of the request body; the member requests it in parts
         self.last_used_at = 0.0
 
     def received(self) -> None:
@@ -68,10 +68,7 @@
         try:
             while (message := self.parser.next(self.buffer)) is not None:
                 if isinstance(message, ajp.WantBody):
-                    part, self.unsent_body = (
-                        self.unsent_body[: message.size],
-                        self.unsent_body[message.size :],
-                    )
+                    part, self.unsent = self.unsent[: message.size], self.unsent[message.size :]
                     self.send(ajp.body_packet(part))
                 elif self.response is not None and not self.response.done():
                     self.response.set_result(message)
@@ -298,15 +295,13 @@
             data = ajp.forward_request(
                 b"POST", b"/call/" + class_name.encode(), headers, host.encode(), port, member.secret
             )
-            connection.unsent_body = body[ajp.MAX_DATA :]
+            connection.unsent = body[ajp.MAX_DATA :]
             response = await connection.exchange(
                 data + (ajp.body_packet(body[: ajp.MAX_DATA]) if body else b""), max(0.0, time_left)
             )
             if not isinstance(response, ajp.Response):
                 raise ConnectionResetError("CPong in place of a response")
-            if response.reuse and not (
-                self.is_closed or connection.unsent_body or connection.transport is None
-            ):
+            if response.reuse and not (self.is_closed or connection.unsent or connection.transport is None):
                 connection.last_used_at = asyncio.get_running_loop().time()
                 member.idle_connections.append(connection)
                 connection = None
--- a/saltcart/net/clock.py
+++ b/saltcart/net/clock.py
@@ -49,7 +49,7 @@
             self.handle.cancel()
 
     def arm(self) -> None:
-        """Set the loop's timer to the core's earliest timer, in place of the one that is set."""
+        """Set the event loop's timer for the core's earliest timer, replacing any previous one."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -16,7 +16,7 @@
 from saltcart.wire import index as wire
 from saltcart.wire.errors import MalformedMessageError
 
-# Only SHED, NOBODY and a connection that was never established prove that the call never ran.
+# Only REJECTED, and UNREACHABLE for a failure to connect, prove that the call never ran.
 OUTCOMES = {
     b"HIT": Outcome.SUCCEEDED,
     b"SHED": Outcome.REJECTED,
--- a/saltcart/net/listener.py
+++ b/saltcart/net/listener.py
@@ -228,8 +228,8 @@
     ) -> None:
         """Add a connection that another process accepted.
 
-        It keeps its age: otherwise silent connections, counted as new, would outlast those that balancers
-        keep open.
+        It keeps its age: otherwise silent connections, counted as new, would be evicted later than those that
+        balancers keep open.
 
         Args:
             sock: The socket of the connection.
@@ -272,7 +272,7 @@
         new.state_since -= new.state_age
 
     def _evict_one(self) -> bool:
-        """Close a connection that sends no request, or the one that has been idle longest.
+        """Close a connection that sends no request, or else the connection that has been idle longest.
 
         It is no longer counted from here on, because its close is reported some iterations of the loop later:
         in a flood the same connection would be evicted for each of the new ones that arrive meanwhile.
