--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -15,7 +15,7 @@
 STATUS_CODES = {ResponseStatus.SERVED: 200, ResponseStatus.REJECTED: 503, ResponseStatus.FAILED: 500}
 # With a shorter idle timeout the connection ends with the response rather than some time after it.
 MIN_IDLE_TIMEOUT_SECONDS = 0.25
-MAX_REQUESTS_PER_ITERATION = 8  # of one connection and the event loop, so that a flood delays no others
+MAX_REQUESTS_PER_ITERATION = 8  # of one connection, so that a flood on it does not delay the others
 HeaderFields = tuple[tuple[str, str], ...]
 
 
