--- a/saltcart/wire/pool.py
+++ b/saltcart/wire/pool.py
@@ -88,9 +88,8 @@
         self.is_ready = False  # the current link is bound and the notices that it replays have been read
         self.last_poll = 0  # number of polls sent so far
         self.unconfirmed: deque[Command] = deque()
-        self.call_notices: dict[
-            bytes, int
-        ] = {}  # by request id, the notice of the call that its run waits for
+        # By request id, the number of the notice of the call that its run waits for.
+        self.call_notices: dict[bytes, int] = {}
         self.reader = LineReader(self._body_length, ignored_prefix=b"chatter ")
         self.replay_poll = 0  # number of the poll whose reply follows the replayed notices
 
