--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -28,7 +28,9 @@
 from saltcart.wire.handover import HandoverPacket, PacketKind
 
 # All in seconds.
-ANSWER_WAIT = 4.0  # an old process that tells nothing for this long is not waited for: its keys are lost
+HANDOVER_TIMEOUT_SECONDS = (
+    4.0  # an old process that tells nothing for this long is not waited for: its keys are lost
+)
 PASS_INTERVAL = 0.02  # between two looks for connections that became free
 NEXT_PASS = 0.002  # after a turn that passed as many as it may: descriptors are closed some turns later
 MIN_STAY = 0.5  # a release that stops both processes at once leaves the old one time to learn of it
@@ -70,7 +72,7 @@
         if link.is_open:
             link.send(HandoverPacket(PacketKind.TAKE, {}))
         try:
-            async with asyncio.timeout(ANSWER_WAIT):
+            async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
                 await self.is_settled.wait()
         except TimeoutError:
             self.log("takeover-unanswered")
@@ -123,7 +125,7 @@
     async def _fronts_open(self) -> None:
         if self.fronts:
             return
-        async with asyncio.timeout(ANSWER_WAIT):
+        async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
             while not self.fronts:
                 await asyncio.sleep(PASS_INTERVAL)
 
@@ -269,7 +271,7 @@
         self.is_closed = False
         self.reopening: asyncio.Task[None] | None = None
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Take over, if there is a process to take over from, and open the fronts."""
         pool_is_up = asyncio.Event()
         self.service.on_started = pool_is_up.set
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -364,7 +364,7 @@
 def test_an_old_process_that_does_not_tell_its_keys_leaves_them_in_doubt(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("saltcart.takeover.ANSWER_WAIT", 0.2)
+    monkeypatch.setattr("saltcart.takeover.HANDOVER_TIMEOUT_SECONDS", 0.2)
 
     async def play() -> None:
         old = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
