--- a/saltcart/net/handover.py
+++ b/saltcart/net/handover.py
@@ -1,6 +1,7 @@
-"""The socket between an old process and the one that takes over: packets that may carry descriptors.
+"""Unix sockets between predecessor and successor: packets that may carry a file descriptor.
 
-asyncio's transports carry no descriptors, so this one socket is read and written on the loop by hand.
+asyncio transports can't send file descriptors, so this module reads and writes the sockets itself, from the
+event loop.
 """
 
 from __future__ import annotations
@@ -14,42 +15,53 @@
 from pathlib import Path
 
 from saltcart.wire.errors import MalformedMessageError
-from saltcart.wire.handover import MAX_PACKET, HandoverPacket, decode, encode
+from saltcart.wire.handover import MAX_PACKET_BYTES, HandoverPacket, decode, encode
 
-MAX_PATH = 100  # bytes; a longer one does not fit a Unix address
-SEND_BUFFER = 256 * 1024  # bytes
-MAX_DESCRIPTORS = 4  # read with one packet; one is expected
-BACKLOG = 4
+MAX_PATH_BYTES = 100  # a longer path does not fit in the address of a Unix socket
+SEND_BUFFER_BYTES = 256 * 1024
+MAX_DESCRIPTORS = 4  # file descriptors read with a packet, which should carry at most one
+BACKLOG_CONNECTIONS = 4
 
 
 class HandoverLink:
-    """Owns its socket; a descriptor goes with a packet at once or not at all, so none is held twice."""
+    """A connection between predecessor and successor, which owns its socket.
+
+    A file descriptor is sent at once or not at all, so that a queue never keeps a second copy of it open.
+    """
 
     def __init__(self, link_socket: socket.socket) -> None:
         self.socket = link_socket
         self.loop = asyncio.get_running_loop()
-        self.outgoing = deque[bytes]()
+        self.unsent_packets = deque[bytes]()
         self.on_packet: Callable[[HandoverPacket, int | None], None] = lambda packet, descriptor: None
         self.on_closed: Callable[[], None] = lambda: None
         self.is_open = True
         link_socket.setblocking(False)
-        link_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        link_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
 
     def start(self) -> None:
-        """Read packets from now on; ``on_packet`` owns the descriptor that it is given."""
+        """Start to read packets.  ``on_packet`` owns the file descriptor that it receives."""
         self.loop.add_reader(self.socket, self._read)
 
     def send(self, packet: HandoverPacket) -> None:
-        """Send a packet, as soon as there is room for it."""
+        """Send a packet, or queue it while the socket's send buffer is full."""
         if not self.is_open:
             return
-        self.outgoing.append(encode(packet))
-        if len(self.outgoing) == 1:
+        self.unsent_packets.append(encode(packet))
+        if len(self.unsent_packets) == 1:
             self._write()
 
     def send_descriptor(self, packet: HandoverPacket, descriptor: int) -> bool:
-        """Send a descriptor, which stays the caller's to close; False where it can't go now."""
-        if not self.is_open or self.outgoing:  # what was sent before comes first
+        """Send a packet with a file descriptor, without queueing.
+
+        Args:
+            packet: The packet.
+            descriptor: The file descriptor, which the caller still has to close.
+
+        Returns:
+            Whether it was sent.  If not, the caller may try again later.
+        """
+        if not self.is_open or self.unsent_packets:  # packets must arrive in the order of the calls
             return False
         try:
             socket.send_fds(self.socket, [encode(packet)], [descriptor])
@@ -60,54 +72,54 @@
         return True
 
     def close(self) -> None:
-        """End the link; what was not sent is lost."""
+        """Close the link.  Unsent packets are lost."""
         if not self.is_open:
             return
         self.is_open = False
         self.loop.remove_reader(self.socket)
         self.loop.remove_writer(self.socket)
         self.socket.close()
-        self.outgoing.clear()
+        self.unsent_packets.clear()
         self.on_closed()
 
     def _write(self) -> None:
-        while self.is_open and self.outgoing:
+        while self.is_open and self.unsent_packets:
             try:
-                self.socket.send(self.outgoing[0])
+                self.socket.send(self.unsent_packets[0])
             except BlockingIOError:
                 self.loop.add_writer(self.socket, self._write)
                 return
             except OSError:
                 self.close()
                 return
-            self.outgoing.popleft()
+            self.unsent_packets.popleft()
         if self.is_open:
             self.loop.remove_writer(self.socket)
 
     def _read(self) -> None:
         try:
-            data, descriptors, _, _ = socket.recv_fds(self.socket, MAX_PACKET, MAX_DESCRIPTORS)
+            data, descriptors, _, _ = socket.recv_fds(self.socket, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
         except BlockingIOError:
             return
         except OSError:
             data = b""
             descriptors = []
-        for descriptor in descriptors[1:]:
-            os.close(descriptor)
+        for extra_descriptor in descriptors[1:]:
+            os.close(extra_descriptor)
         if not data:
             self.close()
             return
-        first = descriptors[0] if descriptors else None
+        descriptor = descriptors[0] if descriptors else None
         try:
-            self.on_packet(decode(data), first)
+            self.on_packet(decode(data), descriptor)
         except MalformedMessageError:
-            if first is not None:
-                os.close(first)
+            if descriptor is not None:
+                os.close(descriptor)
             self.close()
 
 
 class HandoverListener:
-    """The path in a private folder where a serving process is found by the one that is to take over."""
+    """The Unix socket in a private folder at which a serving process waits for its successor."""
 
     def __init__(self, folder: Path, name: str, on_connected: Callable[[HandoverLink], None]) -> None:
         self.folder = folder
@@ -115,54 +127,58 @@
         self.on_connected = on_connected
         self.socket: socket.socket | None = None
 
-    def _with_path(self, call: Callable[[str], None]) -> None:
+    def _call_with_path(self, function: Callable[[str], None]) -> None:
         path = str(self.folder / self.name)
-        if len(os.fsencode(path)) <= MAX_PATH:
-            call(path)
+        if len(os.fsencode(path)) <= MAX_PATH_BYTES:
+            function(path)
             return
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        folder_descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            call(f"/proc/self/fd/{folder}/{self.name}")
+            function(f"/proc/self/fd/{folder_descriptor}/{self.name}")
         finally:
-            os.close(folder)
+            os.close(folder_descriptor)
 
     def connect(self) -> HandoverLink | None:
-        """Return a link to the process that serves now, or None where there is none."""
+        """Return a link to the process that serves now, or None if there is none."""
         link_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            self._with_path(link_socket.connect)
+            self._call_with_path(link_socket.connect)
         except OSError:
             link_socket.close()
             return None
         return HandoverLink(link_socket)
 
     def open(self) -> None:
-        """Be found from now on, in the place of whoever was; ``OSError`` where that can not be."""
+        """Listen for the successor, and replace the socket of an earlier process.
+
+        Raises:
+            OSError: The socket can't be created in the folder.
+        """
         self.close()
-        listening = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             path = self.folder / self.name
             path.unlink(missing_ok=True)
-            self._with_path(listening.bind)
+            self._call_with_path(listening_socket.bind)
             path.chmod(0o600)
-            listening.listen(BACKLOG)
-            listening.setblocking(False)
+            listening_socket.listen(BACKLOG_CONNECTIONS)
+            listening_socket.setblocking(False)
         except BaseException:
-            listening.close()
+            listening_socket.close()
             raise
-        self.socket = listening
-        asyncio.get_running_loop().add_reader(listening, self._accept)
+        self.socket = listening_socket
+        asyncio.get_running_loop().add_reader(listening_socket, self._accept)
 
     def _accept(self) -> None:
         assert self.socket is not None
         try:
-            accepted, _ = self.socket.accept()
+            link_socket, _ = self.socket.accept()
         except OSError:
             return
-        self.on_connected(HandoverLink(accepted))
+        self.on_connected(HandoverLink(link_socket))
 
     def close(self) -> None:
-        """Be found no longer."""
+        """Stop listening for a successor."""
         if self.socket is not None:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -117,7 +117,7 @@
             passed = wire.read_connection(packet)
             await self._fronts_open()
             front = self.fronts[passed.front]
-            await front.attach(client, passed.unread, passed.is_resting, passed.age)
+            await front.attach(client, passed.buffered_bytes, passed.is_idle, passed.waiting_seconds)
         except (OSError, KeyError, TimeoutError, MalformedMessageError) as error:
             client.close()
             self.log("connection-lost", error=repr(error))
@@ -190,9 +190,9 @@
         listener = connection.listener
         passed = wire.PassedConnection(
             front=next(name for name, front in self.fronts.items() if front is listener),
-            is_resting=connection in listener.resting,
-            age=asyncio.get_running_loop().time() - connection.since,
-            unread=unread,
+            is_idle=connection in listener.resting,
+            waiting_seconds=asyncio.get_running_loop().time() - connection.since,
+            buffered_bytes=unread,
         )
         descriptor = connection.transport.get_extra_info("socket").fileno()
         if not self.link.send_descriptor(wire.connection_packet(passed), descriptor):
@@ -235,7 +235,7 @@
 
     def has_unsent(self) -> bool:
         """Whether something told was not sent yet."""
-        return self.link is not None and bool(self.link.outgoing)
+        return self.link is not None and bool(self.link.unsent_packets)
 
     def close(self) -> None:
         """End the link, for the end of this process."""
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -1,6 +1,7 @@
-"""Packets between an old process and the one that takes over from it: a JSON line and bytes behind it.
+"""Packets of a hot restart, sent between the predecessor and the successor.
 
-Their words are read by other releases and stay as they are, whatever the code calls what they tell.
+A packet is one line of JSON, followed by binary data.  Other releases read the names and values in the JSON,
+so these must not change when the code is renamed.
 """
 
 from __future__ import annotations
@@ -15,45 +16,49 @@
 from saltcart.wire.errors import MalformedMessageError
 
 VERSION = 1
-MAX_PACKET = 65536  # bytes
-MAX_FIGURE = 1e12  # what another release may send must not upset the decision module
+MAX_PACKET_BYTES = 65536
+MAX_NUMBER = 1e12  # protects the decision module from unusable numbers sent by another release
 
 
 class PacketKind(enum.StrEnum):
-    """What a packet tells; one of another kind is of a later release and is ignored."""
+    """The kind of a packet.  A successor ignores other kinds, which only later releases send."""
 
-    TAKE = "take"  # from the successor: it is ready to take over
-    KEY = "entry"  # one idempotency key, and what became of its run so far
-    FREED_KEY = "gone"  # one that is free again
-    LOAD = "beside"  # what the old process still has
-    HANDED_OVER = "yours"  # all keys are told, and the place is the successor's
-    CONNECTION = "connection"  # a client's connection, whose descriptor goes with the packet
+    TAKE = "take"  # sent by the successor, which is ready to take over
+    KEY = "entry"  # an idempotency key with the present state of its run
+    FREED_KEY = "gone"  # an idempotency key that is free again because nothing ran
+    LOAD = "beside"  # the load that remains on the predecessor
+    HANDED_OVER = "yours"  # all keys were sent, and the successor serves from now on
+    CONNECTION = "connection"  # a client connection, whose file descriptor is sent with the packet
 
 
 class HandoverPacket(NamedTuple):
-    """One packet; ``kind`` is a ``PacketKind`` where this release knows it."""
+    """A decoded packet."""
 
-    kind: str
+    kind: str  # a value of ``PacketKind`` if this release knows the kind
     fields: dict[str, Any]
     data: bytes = b""
 
 
 class PassedConnection(NamedTuple):
-    """A client's connection as the old process leaves it."""
+    """The state of a client connection when the predecessor passes it to the successor."""
 
     front: str
-    is_resting: bool  # it carried a request and has begun no other
-    age: float  # seconds since it began to await a request or to rest
-    unread: bytes  # that were read of its next request
+    is_idle: bool  # it has carried a request and has not begun another one
+    waiting_seconds: float  # time since it became idle or began to wait for a whole request
+    buffered_bytes: bytes  # the part of its next request that the predecessor has read
 
 
 def encode(packet: HandoverPacket) -> bytes:
-    """Return a packet's bytes."""
+    """Return a packet as it is sent."""
     return orjson.dumps({"v": VERSION, "say": packet.kind, **packet.fields}) + b"\n" + packet.data
 
 
 def decode(raw: bytes) -> HandoverPacket:
-    """Read a packet; ``MalformedMessageError`` where it is none or of a release too far away."""
+    """Decode a packet.
+
+    Raises:
+        MalformedMessageError: The bytes are not a packet, or its version is not supported.
+    """
     head, _, data = raw.partition(b"\n")
     try:
         fields = orjson.loads(head)
@@ -62,14 +67,18 @@
     except (ValueError, KeyError, AttributeError, TypeError) as error:
         raise MalformedMessageError(f"handover: {error!r}") from error
     if version != VERSION or not isinstance(kind, str):
-        raise MalformedMessageError(f"handover: version {version!r}")
+        raise MalformedMessageError(f"handover: unsupported packet kind or version {version!r}")
     return HandoverPacket(kind, fields, data)
 
 
 def key_packet(record: KeyRecord, is_free: bool, seconds_ahead: float = 0.0) -> HandoverPacket:
-    """Return what is told of one key.
+    """Return the packet for an idempotency key.
 
-    ``seconds_ahead``: by which the clock of ``expires_at`` is ahead of the Unix clock that the packet tells.
+    Args:
+        record: The key and the state of its run.
+        is_free: Whether the key is free again because nothing ran.
+        seconds_ahead: Seconds by which the clock of ``expires_at`` is ahead of the Unix clock.  The packet
+            carries Unix time.
     """
     account, class_name, key = record.key
     fields = {
@@ -87,7 +96,15 @@
 
 
 def read_key(packet: HandoverPacket, seconds_ahead: float = 0.0) -> KeyRecord:
-    """Read one key, by a clock that is so far ahead of the Unix clock."""
+    """Read an idempotency key from its packet.
+
+    Args:
+        packet: A packet of kind ``KEY`` or ``FREED_KEY``.
+        seconds_ahead: Seconds by which the clock of the returned ``expires_at`` is ahead of the Unix clock.
+
+    Raises:
+        MalformedMessageError: A field is missing or invalid.
+    """
     fields = packet.fields
     try:
         key = (str(fields["account"]), str(fields["klass"]), fields["key"].encode("latin-1"))
@@ -106,7 +123,7 @@
 
 
 def load_packet(load: PredecessorLoad, connections: int) -> HandoverPacket:
-    """Return what is told of the old process's load and of how many connections of clients it holds."""
+    """Return the packet for the predecessor's load and the number of its client connections."""
     fields = {
         "on_core": load.running,
         "calling": load.calling,
@@ -117,32 +134,44 @@
 
 
 def read_load(packet: HandoverPacket) -> tuple[PredecessorLoad, int]:
-    """Read the old process's load and how many connections of clients it holds."""
+    """Read the predecessor's load and the number of its client connections.
+
+    Raises:
+        MalformedMessageError: A field is missing or invalid.
+    """
     running, calling, memory_kb, connections = (
-        read_figure(packet.fields.get(name)) for name in ("on_core", "calling", "memory_kb", "connections")
+        read_number(packet.fields.get(name)) for name in ("on_core", "calling", "memory_kb", "connections")
     )
     return PredecessorLoad(int(running), int(calling), memory_kb), int(connections)
 
 
 def connection_packet(connection: PassedConnection) -> HandoverPacket:
-    """Return what is told of a connection that is passed on."""
-    fields = {"front": connection.front, "rests": connection.is_resting, "age": connection.age}
-    return HandoverPacket(PacketKind.CONNECTION, fields, connection.unread)
+    """Return the packet for a connection that is passed to the successor."""
+    fields = {"front": connection.front, "rests": connection.is_idle, "age": connection.waiting_seconds}
+    return HandoverPacket(PacketKind.CONNECTION, fields, connection.buffered_bytes)
 
 
 def read_connection(packet: HandoverPacket) -> PassedConnection:
-    """Read what is told of a connection that is passed on."""
+    """Read the state of a connection that the predecessor passes.
+
+    Raises:
+        MalformedMessageError: The age is missing or invalid.
+    """
     fields = packet.fields
     return PassedConnection(
         front=str(fields.get("front")),
-        is_resting=fields.get("rests") is True,
-        age=read_figure(fields.get("age")),
-        unread=packet.data,
+        is_idle=fields.get("rests") is True,
+        waiting_seconds=read_number(fields.get("age")),
+        buffered_bytes=packet.data,
     )
 
 
-def read_figure(value: object) -> float:
-    """Read a figure of 0 or more."""
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < MAX_FIGURE:
-        raise MalformedMessageError("handover: not a figure")
+def read_number(value: object) -> float:
+    """Return a number from 0 to below ``MAX_NUMBER``.
+
+    Raises:
+        MalformedMessageError: The value is not such a number.
+    """
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < MAX_NUMBER:
+        raise MalformedMessageError("handover: value is not a number, is negative or is too large")
     return value
