--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -1,9 +1,10 @@
-"""A new version under load: the new process takes over from the old one while both serve.
+"""Hot restart: a new process, the successor, takes over from the predecessor under load.
 
-The platform holds the clients' listening socket.  The new process, once its worker pool is up, asks the old
-one for its place; the old one stops accepting, tells of every idempotency key that it holds, and then passes
-its connections, each as soon as it carries no request.  So what comes from then on reaches the new process
-alone, which knows all keys; the old one finishes what it has and tells how its runs with keys end.
+The platform holds the clients' listening socket.  Once its worker pool is up, the successor requests the
+takeover.  The predecessor sends the idempotency keys that it holds and stops accepting connections.  Then it
+passes its open connections to the successor, each as soon as it carries no request.  New requests therefore
+reach only the successor, which knows all keys.  The predecessor finishes its own requests and reports how its
+runs with keys end.
 """
 
 from __future__ import annotations
@@ -27,20 +28,29 @@
 from saltcart.wire.errors import MalformedMessageError
 from saltcart.wire.handover import HandoverPacket, PacketKind
 
-# All in seconds.
-HANDOVER_TIMEOUT_SECONDS = (
-    4.0  # an old process that tells nothing for this long is not waited for: its keys are lost
-)
-PASS_INTERVAL = 0.02  # between two looks for connections that became free
-NEXT_PASS = 0.002  # after a turn that passed as many as it may: descriptors are closed some turns later
-MIN_STAY = 0.5  # a release that stops both processes at once leaves the old one time to learn of it
-MAX_STAY = 3.0  # after a stop, and STAY_MARGIN more: the old process is killed its longest deadline, at most,
-STAY_MARGIN = 0.7  # and then later
-MAX_PASSES = 16  # connections passed in one turn
+# After this timeout, the successor serves without the keys of a predecessor that hasn't handed over.
+HANDOVER_TIMEOUT_SECONDS = 4.0
+POLL_INTERVAL_SECONDS = 0.02  # between checks for connections to pass, open fronts and finished requests
+MAX_CONNECTIONS_PER_BATCH = 16  # passed in one turn of the event loop
+# Delay after a full batch.  The descriptors of passed connections are closed a few turns later.
+NEXT_BATCH_DELAY_SECONDS = 0.002
+# A release may stop both processes at once; the predecessor needs time to notice that its successor is gone.
+MIN_RETIRE_SECONDS = 0.5
+# After a stop notice, a process that has handed over is killed in
+# min(longest deadline, MAX_DEADLINE_WAIT_SECONDS) + KILL_MARGIN_SECONDS.
+MAX_DEADLINE_WAIT_SECONDS = 3.0
+KILL_MARGIN_SECONDS = 0.7
 
 
 class Predecessor:
-    """The process before, as seen by the one that takes over from it."""
+    """The process from which this process takes over.
+
+    Args:
+        service: The service of this process.
+        log: The log of this process.
+        fronts: The listeners of this process by front name; empty until they are opened.
+        index: The client of the index, if this process has one.
+    """
 
     def __init__(
         self,
@@ -54,26 +64,34 @@
         self.fronts = fronts
         self.index = index
         self.link: HandoverLink | None = None
-        self.is_settled = asyncio.Event()  # it has handed over, or is gone
-        self.has_handed_over = False  # all of its keys are known
-        self.connections = 0  # of clients, that it still holds
-        self.attaching = set[asyncio.Task[None]]()
+        self.handover_ended = asyncio.Event()  # it has handed over, or is gone
+        self.has_handed_over = False  # it has sent all of its keys
+        self.connection_count = 0  # client connections that it still has
+        self.attach_tasks = set[asyncio.Task[None]]()
 
     async def take_over(self, link: HandoverLink, pool_is_up: asyncio.Event) -> None:
-        """Take the place of the process at the other end, once this one can serve."""
+        """Take over from the predecessor as soon as this process can serve.
+
+        Returns once the predecessor has handed over, is gone, or has not answered in time.  In the last two
+        cases, new keys fail for as long as they may have run in the predecessor.
+
+        Args:
+            link: The link to the predecessor.
+            pool_is_up: Set once the worker pool of this process is up.
+        """
         self.link = link
         link.on_packet = self._on_packet
         link.on_closed = self._on_closed
         link.start()
         if self.index is not None:
-            self.index.most //= 2  # the descriptors of both processes count together
+            self.index.most //= 2  # the descriptor limit applies to both processes together
         if self.service.controller is None:
             await pool_is_up.wait()
         if link.is_open:
             link.send(HandoverPacket(PacketKind.TAKE, {}))
         try:
             async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
-                await self.is_settled.wait()
+                await self.handover_ended.wait()
         except TimeoutError:
             self.log("takeover-unanswered")
         if not self.has_handed_over:
@@ -86,81 +104,93 @@
                 record = wire.read_key(packet, self.service.clock.seconds_ahead())
                 self.service.adopt_key(record, packet.kind == PacketKind.FREED_KEY)
             case PacketKind.LOAD:
-                load, connections = wire.read_load(packet)
+                load, connection_count = wire.read_load(packet)
                 self.service.set_predecessor_load(load)
-                self.count_connections(connections)
+                self.set_connection_count(connection_count)
             case PacketKind.HANDED_OVER:
                 self.has_handed_over = True
-                self.service.lifecycle.attempts.uncertain_until = 0.0  # told late is told
-                self.is_settled.set()
+                # Even after the timeout, all keys are known from here on.
+                self.service.lifecycle.attempts.uncertain_until = 0.0
+                self.handover_ended.set()
             case PacketKind.CONNECTION if descriptor is not None:
-                self.count_connections(max(0, self.connections - 1))
+                self.set_connection_count(max(0, self.connection_count - 1))
                 self._start_attaching(packet, descriptor)
-            case _:  # of a later release
+            case _:  # sent only by later releases
                 if descriptor is not None:
                     os.close(descriptor)
 
-    def count_connections(self, connections: int) -> None:
-        """Record how many connections of clients the old process holds: both have to do with one limit."""
-        self.connections = connections
+    def set_connection_count(self, count: int) -> None:
+        """Record the predecessor's number of client connections; one limit applies to both processes."""
+        self.connection_count = count
         if "http" in self.fronts:
-            self.fronts["http"].predecessor_connections = connections
+            self.fronts["http"].predecessor_connections = count
 
     def _start_attaching(self, packet: HandoverPacket, descriptor: int) -> None:
         task = asyncio.get_running_loop().create_task(self._attach(packet, descriptor))
-        self.attaching.add(task)
-        task.add_done_callback(self.attaching.discard)
+        self.attach_tasks.add(task)
+        task.add_done_callback(self.attach_tasks.discard)
 
     async def _attach(self, packet: HandoverPacket, descriptor: int) -> None:
-        client = socket.socket(fileno=descriptor)
+        client_socket = socket.socket(fileno=descriptor)
         try:
-            passed = wire.read_connection(packet)
-            await self._fronts_open()
-            front = self.fronts[passed.front]
-            await front.attach(client, passed.buffered_bytes, passed.is_idle, passed.waiting_seconds)
+            state = wire.read_connection(packet)
+            await self._wait_for_fronts()
+            front = self.fronts[state.front]
+            await front.attach(client_socket, state.buffered_bytes, state.is_idle, state.waiting_seconds)
         except (OSError, KeyError, TimeoutError, MalformedMessageError) as error:
-            client.close()
+            client_socket.close()
             self.log("connection-lost", error=repr(error))
 
-    async def _fronts_open(self) -> None:
+    async def _wait_for_fronts(self) -> None:
         if self.fronts:
             return
         async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
             while not self.fronts:
-                await asyncio.sleep(PASS_INTERVAL)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     def _on_closed(self) -> None:
-        """The old process is gone: what it has not told is not known and never will be."""
+        """Handle the end of the predecessor, which reports no further keys or results."""
         self.link = None
-        self.is_settled.set()
-        self.count_connections(0)
+        self.handover_ended.set()
+        self.set_connection_count(0)
         if self.index is not None:
             self.index.most *= 2
         self.service.predecessor_lost()
 
     def close(self) -> None:
-        """End the link, for the end of this process."""
+        """Close the link and stop attaching connections, because this process ends."""
         if self.link is not None:
             self.link.close()
-        for task in self.attaching:
+        for task in self.attach_tasks:
             task.cancel()
 
 
 class Successor:
-    """The process after, as seen by the one that hands over to it."""
+    """The process to which this process hands over.
+
+    Args:
+        service: The service of this process.
+        log: The log of this process.
+        fronts: The listeners of this process by front name.
+    """
 
     def __init__(self, service: Service, log: Log, fronts: dict[str, Listener]) -> None:
         self.service = service
         self.log = log
         self.fronts = fronts
         self.link: HandoverLink | None = None
-        self.last_load: tuple[PredecessorLoad, int] | None = None  # what it was told last
-        self.next_pass: asyncio.TimerHandle | None = None
+        # The load and the number of client connections.
+        self.last_sent_load: tuple[PredecessorLoad, int] | None = None
+        self.next_batch_timer: asyncio.TimerHandle | None = None
 
     def hand_over(self, link: HandoverLink) -> None:
-        """Give the process at the other end this one's place."""
+        """Send all keys, stop accepting connections and start to pass the open ones.
+
+        Args:
+            link: The link to the successor.
+        """
         self.link = link
-        self.last_load = None
+        self.last_sent_load = None
         for record in self.service.lifecycle.attempts.hand_over(self._send_key):
             self._send_key(record, False)
         self._send_load()
@@ -169,56 +199,68 @@
             listener.stop_accepting()
             listener.pass_on = self._pass_connection
         self.log("handed-over", open=len(self.service.requests), keys=len(self.service.keys))
-        self._pass_free_connections()
+        self._pass_connections()
 
     def _send_key(self, record: KeyRecord, is_free: bool) -> None:
         if self.link is not None:
             self.link.send(wire.key_packet(record, is_free, self.service.clock.seconds_ahead()))
 
     def _send_load(self) -> None:
-        """Both processes share the cores and the memory until this one has finished."""
-        connections = sum(len(listener.connections) for listener in self.fronts.values())
-        load = self.service.load(), connections
-        if self.link is not None and load != self.last_load:
-            self.last_load = load
+        """Report this process's load, if it changed, while both processes share the cores and the memory."""
+        connection_count = sum(len(listener.connections) for listener in self.fronts.values())
+        load = self.service.load(), connection_count
+        if self.link is not None and load != self.last_sent_load:
+            self.last_sent_load = load
             self.link.send(wire.load_packet(*load))
 
-    def _pass_connection(self, connection: ServerConnection, unread: bytes) -> bool:
-        """Pass one connection on and close its descriptor here; False where it can't go now."""
+    def _pass_connection(self, connection: ServerConnection, buffered_bytes: bytes) -> bool:
+        """Pass a connection to the successor and close it in this process.
+
+        Args:
+            connection: The connection, which carries no request.
+            buffered_bytes: The part of its next request that was read.
+
+        Returns:
+            Whether it was passed.  If not, it stays open here.
+        """
         if self.link is None or connection.transport is None:
             return False
         listener = connection.listener
-        passed = wire.PassedConnection(
+        state = wire.PassedConnection(
             front=next(name for name, front in self.fronts.items() if front is listener),
             is_idle=connection in listener.resting,
             waiting_seconds=asyncio.get_running_loop().time() - connection.since,
-            buffered_bytes=unread,
+            buffered_bytes=buffered_bytes,
         )
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        if not self.link.send_descriptor(wire.connection_packet(passed), descriptor):
+        if not self.link.send_descriptor(wire.connection_packet(state), descriptor):
             return False
         connection.abort()
         return True
 
-    def _pass_free_connections(self) -> None:
-        passed = MAX_PASSES  # a fault in passing one must not end the passing of the others
+    def _pass_connections(self) -> None:
+        passed_count = MAX_CONNECTIONS_PER_BATCH  # an error with one connection must not stop the others
         try:
             self._send_load()
-            passed = self._pass_some()
+            passed_count = self._pass_batch()
         finally:
-            delay = NEXT_PASS if passed == MAX_PASSES else PASS_INTERVAL
-            self.next_pass = asyncio.get_running_loop().call_later(delay, self._pass_free_connections)
-
-    def _pass_some(self) -> int:
-        passed = 0
+            delay = (
+                NEXT_BATCH_DELAY_SECONDS
+                if passed_count == MAX_CONNECTIONS_PER_BATCH
+                else POLL_INTERVAL_SECONDS
+            )
+            self.next_batch_timer = asyncio.get_running_loop().call_later(delay, self._pass_connections)
+
+    def _pass_batch(self) -> int:
+        passed_count = 0
         for listener in self.fronts.values():
             for connection in listener.in_order():
-                if isinstance(connection, FrontConnection) and passed < MAX_PASSES:
-                    passed += connection.hand_over()
-        return passed
+                if isinstance(connection, FrontConnection) and passed_count < MAX_CONNECTIONS_PER_BATCH:
+                    passed_count += connection.hand_over()
+        return passed_count
 
-    def take_back(self) -> None:
-        """The new process is gone: serve the connections that it did not take."""
+    def cancel_hand_over(self) -> None:
+        """Serve the remaining connections again, because the successor is gone."""
         self.link = None
         self.stop_passing()
         self.service.lifecycle.attempts.cancel_hand_over()
@@ -229,23 +271,34 @@
                     connection.continue_reading()
 
     def stop_passing(self) -> None:
-        """Look for no more connections to pass."""
-        if self.next_pass is not None:
-            self.next_pass.cancel()
+        """Pass no more connections to the successor."""
+        if self.next_batch_timer is not None:
+            self.next_batch_timer.cancel()
 
-    def has_unsent(self) -> bool:
-        """Whether something told was not sent yet."""
+    def has_unsent_packets(self) -> bool:
+        """Return whether packets still wait to be sent to the successor."""
         return self.link is not None and bool(self.link.unsent_packets)
 
     def close(self) -> None:
-        """End the link, for the end of this process."""
+        """Close the link and pass no more connections, because this process ends."""
         if self.link is not None:
             self.link.close()
         self.stop_passing()
 
 
 class Takeover:
-    """One process's part in it: it takes over from the one before, and then is found by the one after."""
+    """The hot restarts of one process: it takes over from a predecessor, and later hands over to a successor.
+
+    Args:
+        folder: The private folder that both processes share.
+        name: The name of this instance, which is part of the name of the socket in the folder.
+        service: The service of this process.
+        log: The log of this process.
+        fronts: The listeners by front name, which ``open_fronts`` fills.
+        open_fronts: Opens the fronts.
+        announcer: The client of the announce service, if this process has one.
+        index: The client of the index, if this process has one.
+    """
 
     def __init__(
         self,
@@ -266,26 +319,26 @@
         self.handover_listener = HandoverListener(folder, f"saltcart-{name}", self._on_connected)
         self.predecessor = Predecessor(service, log, fronts, index)
         self.successor = Successor(service, log, fronts)
-        self.stopped_at: float | None = None  # when this process was told to stop, after it had handed over
-        self.stop_within = 0.0
+        self.retired_at: float | None = None  # time of the stop notice, if it came after the handover
+        self.seconds_to_stop = 0.0  # from ``retired_at`` until this process is killed
         self.is_closed = False
-        self.reopening: asyncio.Task[None] | None = None
+        self.reopen_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Take over, if there is a process to take over from, and open the fronts."""
+        """Take over from the predecessor if there is one, then open the fronts."""
         pool_is_up = asyncio.Event()
         self.service.on_started = pool_is_up.set
         link = self.handover_listener.connect()
         if link is not None:
             await self.predecessor.take_over(link, pool_is_up)
-        self._be_found()
+        self._listen_for_successor()
         await self.open_fronts()
-        self.predecessor.count_connections(self.predecessor.connections)
+        self.predecessor.set_connection_count(self.predecessor.connection_count)
 
-    def _be_found(self) -> None:
+    def _listen_for_successor(self) -> None:
         try:
             self.handover_listener.open()
-        except OSError as error:  # no next version will find this one, but it serves
+        except OSError as error:  # this process can serve, but no successor can take over from it
             self.log("takeover-closed", error=str(error))
 
     def _on_connected(self, link: HandoverLink) -> None:
@@ -298,30 +351,30 @@
 
     def _on_packet(self, link: HandoverLink, packet: HandoverPacket, descriptor: int | None) -> None:
         if descriptor is not None:
-            os.close(descriptor)  # none is wanted from this side
+            os.close(descriptor)  # a successor has no connections to pass
         if packet.kind != PacketKind.TAKE or self.successor.link is not None:
-            raise MalformedMessageError("handover: not now")
+            raise MalformedMessageError("handover: unexpected packet from the successor")
         self.handover_listener.close()
         if self.announcer is not None:
-            self.announcer.close()  # the entry in the list is the new process's
+            self.announcer.close()  # the successor's reports now keep the entry in the endpoint list
         self.successor.hand_over(link)
 
     def _on_successor_lost(self, link: HandoverLink) -> None:
-        """Take the place back: this process serves on, or drains if it was told to stop."""
+        """Continue to serve without a successor, or drain if the stop notice has come."""
         if self.successor.link is not link or self.is_closed:
             return
-        self.successor.take_back()
-        self.log("takeover-reverted", stopping=self.stopped_at is not None)
-        if self.stopped_at is not None:
-            ago = self.service.clock.read_seconds() - self.stopped_at
-            self.stopped_at = None
-            self.service.start_drain(max(0.0, self.stop_within - ago), ago)
-        self.reopening = asyncio.get_running_loop().create_task(self._reopen())
+        self.successor.cancel_hand_over()
+        self.log("takeover-reverted", stopping=self.retired_at is not None)
+        if self.retired_at is not None:
+            notice_age = self.service.clock.read_seconds() - self.retired_at
+            self.retired_at = None
+            self.service.start_drain(max(0.0, self.seconds_to_stop - notice_age), notice_age)
+        self.reopen_task = asyncio.get_running_loop().create_task(self._reopen())
 
     async def _reopen(self) -> None:
         for listener in self.fronts.values():
             await self._reopen_front(listener)
-        self._be_found()
+        self._listen_for_successor()
         if self.announcer is not None:
             self.announcer.resume()
 
@@ -329,44 +382,54 @@
         while not self.is_closed:
             try:
                 await listener.open()
-            except OSError as error:  # without a listener it would look well and serve nobody
+            except OSError as error:  # without a listener, this process would look healthy but serve nothing
                 self.log("reopen-failed", error=str(error))
-                await asyncio.sleep(PASS_INTERVAL)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
             else:
                 return
 
-    def retire(self, within: float, done: Callable[[], None]) -> bool:
-        """Stop a process that has handed over: it ends what it has.  False where it has not handed over.
+    def retire(self, seconds_to_stop: float, on_finished: Callable[[], None]) -> bool:
+        """Finish the remaining requests before this process ends, if it has handed over.
+
+        Args:
+            seconds_to_stop: Seconds from now until the process is killed.
+            on_finished: Called when the process may end.
 
-        ``within``: seconds until it is killed; ``done`` is called when it may end.
+        Returns:
+            Whether this process has handed over.  If not, nothing is done.
         """
         if self.successor.link is None:
             return False
-        if self.stopped_at is None:
-            self.stopped_at = self.service.clock.read_seconds()
-            self.stop_within = within
-            stay = min(within, min(MAX_STAY, self.service.longest_deadline) + STAY_MARGIN)
-            self.service.retire_after(stay)
-            self._end_when_done(done, asyncio.get_running_loop().time() + stay - PASS_INTERVAL)
+        if self.retired_at is None:
+            self.retired_at = self.service.clock.read_seconds()
+            self.seconds_to_stop = seconds_to_stop
+            retire_seconds = min(
+                seconds_to_stop,
+                min(MAX_DEADLINE_WAIT_SECONDS, self.service.longest_deadline) + KILL_MARGIN_SECONDS,
+            )
+            self.service.retire_after(retire_seconds)
+            self._finish_when_idle(
+                on_finished, asyncio.get_running_loop().time() + retire_seconds - POLL_INTERVAL_SECONDS
+            )
         return True
 
-    def _end_when_done(self, done: Callable[[], None], until: float) -> None:
-        if self.stopped_at is None or self.is_closed:  # it took its place back
+    def _finish_when_idle(self, on_finished: Callable[[], None], latest_end: float) -> None:
+        if self.retired_at is None or self.is_closed:  # it serves again, or has ended
             return
         loop = asyncio.get_running_loop()
         has_connections = any(listener.connections for listener in self.fronts.values())
-        is_busy = has_connections or self.service.requests or self.successor.has_unsent()
-        is_early = self.service.clock.read_seconds() < self.stopped_at + MIN_STAY
-        if (is_busy or is_early) and loop.time() < until:
-            loop.call_later(PASS_INTERVAL, self._end_when_done, done, until)
+        is_busy = has_connections or self.service.requests or self.successor.has_unsent_packets()
+        is_early = self.service.clock.read_seconds() < self.retired_at + MIN_RETIRE_SECONDS
+        if (is_busy or is_early) and loop.time() < latest_end:
+            loop.call_later(POLL_INTERVAL_SECONDS, self._finish_when_idle, on_finished, latest_end)
         else:
-            done()
+            on_finished()
 
     def close(self) -> None:
-        """End all of it, for the end of this process."""
+        """Close both links and the socket, because this process ends."""
         self.is_closed = True
         self.handover_listener.close()
         self.predecessor.close()
         self.successor.close()
-        if self.reopening is not None:
-            self.reopening.cancel()
+        if self.reopen_task is not None:
+            self.reopen_task.cancel()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -251,7 +251,7 @@
     platform: dict[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A release may stop both at once: what waits at the platform's socket must still be answered."""
-    monkeypatch.setattr(takeover, "MIN_STAY", 10.0)
+    monkeypatch.setattr(takeover, "MIN_RETIRE_SECONDS", 10.0)
     address = at(platform)
 
     async def play() -> None:
