--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -140,7 +140,7 @@
                 self.announcer,
                 self.index,
             )
-            self.takeover_task = loop.create_task(self.takeover.start())
+            self.takeover_task = loop.create_task(self.takeover.start_serving())
         else:
             await self._open_fronts(most)
         if conf.control:
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -31,8 +31,7 @@
 # After this timeout, the successor serves without the keys of a predecessor that hasn't handed over.
 HANDOVER_TIMEOUT_SECONDS = 4.0
 POLL_INTERVAL_SECONDS = 0.02  # between checks for connections to pass, open fronts and finished requests
-MAX_CONNECTIONS_PER_BATCH = 16  # passed in one turn of the event loop
-# Delay after a full batch.  The descriptors of passed connections are closed a few turns later.
+# Delay after a full batch of connections, whose descriptors are closed some turns of the event loop later.
 NEXT_BATCH_DELAY_SECONDS = 0.002
 # A release may stop both processes at once; the predecessor needs time to notice that its successor is gone.
 MIN_RETIRE_SECONDS = 0.5
@@ -40,6 +39,7 @@
 # min(longest deadline, MAX_DEADLINE_WAIT_SECONDS) + KILL_MARGIN_SECONDS.
 MAX_DEADLINE_WAIT_SECONDS = 3.0
 KILL_MARGIN_SECONDS = 0.7
+MAX_CONNECTIONS_PER_BATCH = 16  # passed in one turn of the event loop
 
 
 class Predecessor:
@@ -324,7 +324,7 @@
         self.is_closed = False
         self.reopen_task: asyncio.Task[None] | None = None
 
-    async def start(self) -> None:
+    async def start_serving(self) -> None:
         """Take over from the predecessor if there is one, then open the fronts."""
         pool_is_up = asyncio.Event()
         self.service.on_started = pool_is_up.set
