--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -32,25 +32,18 @@
 HANDOVER_TIMEOUT_SECONDS = 4.0
 POLL_INTERVAL_SECONDS = 0.02  # between checks for connections to pass, open fronts and finished requests
 # Delay after a full batch of connections, whose descriptors are closed some turns of the event loop later.
-NEXT_BATCH_DELAY_SECONDS = 0.002
+BATCH_DELAY_SECONDS = 0.002
 # A release may stop both processes at once; the predecessor needs time to notice that its successor is gone.
 MIN_RETIRE_SECONDS = 0.5
 # After a stop notice, a process that has handed over is killed in
 # min(longest deadline, MAX_DEADLINE_WAIT_SECONDS) + KILL_MARGIN_SECONDS.
 MAX_DEADLINE_WAIT_SECONDS = 3.0
 KILL_MARGIN_SECONDS = 0.7
-MAX_CONNECTIONS_PER_BATCH = 16  # passed in one turn of the event loop
+MAX_BATCH_CONNECTIONS = 16  # passed in one turn of the event loop
 
 
 class Predecessor:
-    """The process from which this process takes over.
-
-    Args:
-        service: The service of this process.
-        log: The log of this process.
-        fronts: The listeners of this process by front name; empty until they are opened.
-        index: The client of the index, if this process has one.
-    """
+    """The process from which this process, the owner of ``service`` and ``fronts``, takes over."""
 
     def __init__(
         self,
@@ -61,7 +54,7 @@
     ) -> None:
         self.service = service
         self.log = log
-        self.fronts = fronts
+        self.fronts = fronts  # by name; empty until they are opened
         self.index = index
         self.link: HandoverLink | None = None
         self.handover_ended = asyncio.Event()  # it has handed over, or is gone
@@ -74,10 +67,6 @@
 
         Returns once the predecessor has handed over, is gone, or has not answered in time.  In the last two
         cases, new keys fail for as long as they may have run in the predecessor.
-
-        Args:
-            link: The link to the predecessor.
-            pool_is_up: Set once the worker pool of this process is up.
         """
         self.link = link
         link.on_packet = self._on_packet
@@ -166,13 +155,7 @@
 
 
 class Successor:
-    """The process to which this process hands over.
-
-    Args:
-        service: The service of this process.
-        log: The log of this process.
-        fronts: The listeners of this process by front name.
-    """
+    """The process to which this process, the owner of ``service`` and ``fronts``, hands over."""
 
     def __init__(self, service: Service, log: Log, fronts: dict[str, Listener]) -> None:
         self.service = service
@@ -184,11 +167,7 @@
         self.next_batch_timer: asyncio.TimerHandle | None = None
 
     def hand_over(self, link: HandoverLink) -> None:
-        """Send all keys, stop accepting connections and start to pass the open ones.
-
-        Args:
-            link: The link to the successor.
-        """
+        """Send all keys, stop accepting connections and start to pass the open ones."""
         self.link = link
         self.last_sent_load = None
         for record in self.service.lifecycle.attempts.hand_over(self._send_key):
@@ -214,15 +193,7 @@
             self.link.send(wire.load_packet(*load))
 
     def _pass_connection(self, connection: ServerConnection, buffered_bytes: bytes) -> bool:
-        """Pass a connection to the successor and close it in this process.
-
-        Args:
-            connection: The connection, which carries no request.
-            buffered_bytes: The part of its next request that was read.
-
-        Returns:
-            Whether it was passed.  If not, it stays open here.
-        """
+        """Pass a connection to the successor and close it here; return False if it can't be passed now."""
         if self.link is None or connection.transport is None:
             return False
         listener = connection.listener
@@ -239,23 +210,19 @@
         return True
 
     def _pass_connections(self) -> None:
-        passed_count = MAX_CONNECTIONS_PER_BATCH  # an error with one connection must not stop the others
+        passed_count = MAX_BATCH_CONNECTIONS  # an error with one connection must not stop the others
         try:
             self._send_load()
             passed_count = self._pass_batch()
         finally:
-            delay = (
-                NEXT_BATCH_DELAY_SECONDS
-                if passed_count == MAX_CONNECTIONS_PER_BATCH
-                else POLL_INTERVAL_SECONDS
-            )
+            delay = BATCH_DELAY_SECONDS if passed_count == MAX_BATCH_CONNECTIONS else POLL_INTERVAL_SECONDS
             self.next_batch_timer = asyncio.get_running_loop().call_later(delay, self._pass_connections)
 
     def _pass_batch(self) -> int:
         passed_count = 0
         for listener in self.fronts.values():
             for connection in listener.in_order():
-                if isinstance(connection, FrontConnection) and passed_count < MAX_CONNECTIONS_PER_BATCH:
+                if isinstance(connection, FrontConnection) and passed_count < MAX_BATCH_CONNECTIONS:
                     passed_count += connection.hand_over()
         return passed_count
 
@@ -290,14 +257,9 @@
     """The hot restarts of one process: it takes over from a predecessor, and later hands over to a successor.
 
     Args:
-        folder: The private folder that both processes share.
-        name: The name of this instance, which is part of the name of the socket in the folder.
-        service: The service of this process.
-        log: The log of this process.
+        folder: The private folder that all processes of this instance share.
+        name: The name of the instance, which is part of the name of the socket in the folder.
         fronts: The listeners by front name, which ``open_fronts`` fills.
-        open_fronts: Opens the fronts.
-        announcer: The client of the announce service, if this process has one.
-        index: The client of the index, if this process has one.
     """
 
     def __init__(
