--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -1,7 +1,7 @@
-"""Bytes that release 0.8.0 wrote: handover packets, gossip datagrams and the saved tenants.
+"""Compatibility with bytes that release 0.8.0 wrote: packets, datagrams, msgpack messages and saved tenants.
 
-The files in ``tests/fixtures`` were written by that release.  A later one must read them as that release did,
-and write the same bytes itself, for during a release both talk to each other.
+The files in ``tests/fixtures`` were written by that release.  Later releases must read them as it did and
+must write the same bytes, because both releases exchange them while a later one is rolled out.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from saltcart.admin.registry import Registry
 from saltcart.budget.dependency import ENDED
 from saltcart.core.idempotency_keys import KeyRecord, digest
-from saltcart.core.request import RequestPhase as RequestState
+from saltcart.core.request import RequestPhase
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
 from saltcart.deployment import Deployment
@@ -39,13 +39,15 @@
 from tests.standins import Pool, ident, running
 
 FIXTURES = Path(__file__).parent / "fixtures"
-KEY = KeyRecord(("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {ident(0xA1)}, True, True, b"\n{}\0")
-CLOCK_AHEAD = 2.25  # seconds by which the writer's clock was ahead of the Unix clock
-LOAD, CONNECTIONS = PredecessorLoad(3, 1, 120.5), 7
-PASSED = {"front": "http", "rests": True, "age": 1.5}
+KEY_RECORD = KeyRecord(
+    ("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {ident(0xA1)}, True, True, b"\n{}\0"
+)
+CLOCK_AHEAD_SECONDS = 2.25  # how far the writer's clock was ahead of the Unix clock
+LOAD, CONNECTION_COUNT = PredecessorLoad(3, 1, 120.5), 7
+CONNECTION_FIELDS = {"front": "http", "rests": True, "age": 1.5}
 
 MEMBER = MemberRecord("m1", "127.0.0.1:7946", 1000, MemberState.ALIVE, "kranj", "si", "m1")
-NEWS = [
+MEMBER_RECORDS = [
     MemberRecord("m2", "127.0.0.1:7947", 2000, MemberState.SUSPECT, "kranj", "si", "m1"),
     MemberRecord("m3", "127.0.0.1:7948", 3000, MemberState.DEAD),
 ]
@@ -78,86 +80,90 @@
     [
         ("take", handover.HandoverPacket("take", {})),
         ("yours", handover.HandoverPacket("yours", {})),
-        ("entry", handover.key_packet(KEY, False, CLOCK_AHEAD)),
-        ("gone", handover.key_packet(KEY, True, CLOCK_AHEAD)),
-        ("beside", handover.load_packet(LOAD, CONNECTIONS)),
-        ("connection", handover.HandoverPacket("connection", PASSED, b"POST /call")),
+        ("entry", handover.key_packet(KEY_RECORD, False, CLOCK_AHEAD_SECONDS)),
+        ("gone", handover.key_packet(KEY_RECORD, True, CLOCK_AHEAD_SECONDS)),
+        ("beside", handover.load_packet(LOAD, CONNECTION_COUNT)),
+        ("connection", handover.HandoverPacket("connection", CONNECTION_FIELDS, b"POST /call")),
     ],
 )
-def test_a_handover_packet_is_written_and_read_as_before(name: str, packet: handover.HandoverPacket) -> None:
+def test_handover_packets_are_written_and_read_as_recorded(
+    name: str, packet: handover.HandoverPacket
+) -> None:
     assert handover.encode(packet) == handover_packet(name)
     assert handover.decode(handover_packet(name)) == packet
 
 
-def test_a_recorded_key_is_read_with_all_of_its_fields() -> None:
-    read = handover.read_key(handover.decode(handover_packet("entry")), CLOCK_AHEAD)
-    assert read.key == KEY.key and read.expires_at == KEY.expires_at and read.body_digest == KEY.body_digest
+def test_a_recorded_key_packet_is_read_with_all_fields() -> None:
+    record = handover.read_key(handover.decode(handover_packet("entry")), CLOCK_AHEAD_SECONDS)
     assert (
-        read.attempt_ids == KEY.attempt_ids
-        and read.has_run
-        and read.is_finished
-        and read.result == KEY.result
+        record.key == KEY_RECORD.key
+        and record.expires_at == KEY_RECORD.expires_at
+        and record.body_digest == KEY_RECORD.body_digest
+    )
+    assert (
+        record.attempt_ids == KEY_RECORD.attempt_ids
+        and record.has_run
+        and record.is_finished
+        and record.result == KEY_RECORD.result
     )
 
 
-def test_a_recorded_load_is_read_with_all_of_its_fields() -> None:
-    assert handover.read_load(handover.decode(handover_packet("beside"))) == (LOAD, CONNECTIONS)
+def test_a_recorded_load_packet_is_read_with_all_fields() -> None:
+    assert handover.read_load(handover.decode(handover_packet("beside"))) == (LOAD, CONNECTION_COUNT)
 
 
-def test_a_key_that_the_earlier_release_ran_is_answered_from_its_record() -> None:
-    world = ServiceHarness()
+def test_a_key_that_the_earlier_release_ran_is_answered_with_the_recorded_result() -> None:
+    harness = ServiceHarness()
     recorded = handover.read_key(handover.decode(handover_packet("entry")))
     recorded.key = ("a", "oddaja", b"k")
-    recorded.expires_at = world.now + 5.0
+    recorded.expires_at = harness.now + 5.0
     recorded.body_digest = digest(b"body of k")
-    world.service.adopt_key(recorded, False)
-    world.submit(2)
-    assert world.statuses(2) == ["served"] and world.spawned_ids() == []
-    assert world.responses[ident(2)][0].body == KEY.result
+    harness.service.adopt_key(recorded, False)
+    harness.submit(2)
+    assert harness.statuses(2) == ["served"] and harness.spawned_ids() == []
+    assert harness.responses[ident(2)][0].body == KEY_RECORD.result
 
 
-def test_a_process_of_this_release_answers_the_recorded_take(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """What it sends: each key, its load, and the word that the place is the successor's."""
+def test_this_release_answers_a_recorded_take_packet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The answer is a packet for each key, one for the load, and one that ends the handover."""
 
-    async def play() -> list[bytes]:
-        with socket.create_server(("127.0.0.1", 0)) as held:
-            environment = {"BALANCER_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
+    async def receive_answer() -> list[bytes]:
+        with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+            environment = {"BALANCER_LISTEN_FD": str(listening_socket.fileno()), "TMPDIR": str(tmp_path)}
             async with Pool() as pool, running(None, environment, pool=pool.address) as app:
                 app.service.adopt_key(handover.read_key(handover.decode(handover_packet("entry"))), False)
-                path = next(p for p in tmp_path.iterdir() if p.is_socket())
+                socket_path = next(path for path in tmp_path.iterdir() if path.is_socket())
                 successor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
                 successor.setblocking(False)
-                loop, said = asyncio.get_running_loop(), list[bytes]()
+                loop, packets = asyncio.get_running_loop(), list[bytes]()
                 with successor:
-                    await loop.sock_connect(successor, str(path))
+                    await loop.sock_connect(successor, str(socket_path))
                     await loop.sock_sendall(successor, handover_packet("take"))
-                    while not said or said[-1] != handover_packet("yours"):
-                        said.append(await asyncio.wait_for(loop.sock_recv(successor, 65536), 20.0))
-                return said
+                    while not packets or packets[-1] != handover_packet("yours"):
+                        packets.append(await asyncio.wait_for(loop.sock_recv(successor, 65536), 20.0))
+                return packets
 
-    said = asyncio.run(play())
-    key, load, _ = said
-    sent, recorded = handover.decode(key), handover.decode(handover_packet("entry"))
+    packets = asyncio.run(receive_answer())
+    key_bytes, load_bytes, _ = packets
+    sent, recorded = handover.decode(key_bytes), handover.decode(handover_packet("entry"))
     assert sent.kind == recorded.kind and sent.data == recorded.data and [*sent.fields] == [*recorded.fields]
     assert {**sent.fields, "until": 0.0} == {**recorded.fields, "until": 0.0}
-    assert load == b'{"v":1,"say":"beside","on_core":0,"calling":0,"memory_kb":0.0,"connections":0}\n'
+    assert load_bytes == b'{"v":1,"say":"beside","on_core":0,"calling":0,"memory_kb":0.0,"connections":0}\n'
 
 
 # ---- gossip -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("name", [*MESSAGES])
-def test_a_datagram_is_written_and_read_as_before(name: str) -> None:
-    news = NEWS if name in ("tell", "records", "ping") else []
-    posts = [RegisterValue("plan", 4, "m2", b"\x00data")] if name == "tell" else []
-    packet = messages.Datagram(messages.PROTOCOL_VERSION, "lj", MEMBER, MESSAGES[name], news, posts)
+def test_datagrams_are_written_and_read_as_recorded(name: str) -> None:
+    records = MEMBER_RECORDS if name in ("tell", "records", "ping") else []
+    registers = [RegisterValue("plan", 4, "m2", b"\x00data")] if name == "tell" else []
+    packet = messages.Datagram(messages.PROTOCOL_VERSION, "lj", MEMBER, MESSAGES[name], records, registers)
     assert messages.encode(packet) == datagram(name)
     assert messages.decode(datagram(name)) == packet
 
 
-def test_a_recorded_probe_gets_the_recorded_answer() -> None:
+def test_a_recorded_ping_gets_the_recorded_answer() -> None:
     settings = MemberSettings("127.0.0.1:0", "lj")
     member = Member(settings, "m9", "127.0.0.1:7999", random.Random(1), 100.0, 9000)
     member.take_outgoing()
@@ -169,19 +175,19 @@
 # ---- the saved tenants ------------------------------------------------------------------------
 
 
-def test_the_saved_tenants_are_read_and_written_as_before(tmp_path: Path) -> None:
-    recorded, path = FIXTURES / "tenants.json", tmp_path / "tenants.json"
-    shutil.copy(recorded, path)
+def test_saved_tenants_are_read_and_written_as_recorded(tmp_path: Path) -> None:
+    recorded_path, path = FIXTURES / "tenants.json", tmp_path / "tenants.json"
+    shutil.copy(recorded_path, path)
     registry = Registry(Deployment(), ServiceHarness().service, None, path)
     tenant, upstream = registry.tenants["a"], registry.upstreams["u1"]
     assert (tenant.share, tenant.quota, tenant.upstream) == (0.25, 50, "u1")
-    assert [(m.host, m.weight, m.secret) for m in upstream.members] == [
+    assert [(member.host, member.weight, member.secret) for member in upstream.members] == [
         ("127.0.0.1:8010", 2, "s3"),
         ("127.0.0.1:8011", 1.0, ""),
     ]
     os.unlink(path)
     registry.set_shares({})
-    assert path.read_bytes() == recorded.read_bytes()
+    assert path.read_bytes() == recorded_path.read_bytes()
 
 
 # ---- names that the administration API shows --------------------------------------------------
@@ -200,12 +206,12 @@
         (Outcome.BROKEN_OFF, "broken"),
     ],
 )
-def test_the_outcomes_of_calls_are_counted_under_the_names_of_before(outcome: Outcome, shown: str) -> None:
+def test_call_outcomes_keep_their_names_in_the_administration_api(outcome: Outcome, shown: str) -> None:
     assert ENDED[outcome] == shown
 
 
-def test_the_states_of_requests_are_shown_under_the_names_of_before() -> None:
-    assert {state.value for state in RequestState} == {
+def test_request_phases_keep_their_names_in_the_administration_api() -> None:
+    assert {phase.value for phase in RequestPhase} == {
         "held",
         "waits for another try's result",
         "running",
@@ -215,32 +221,32 @@
     }
 
 
-# ---- decisions made in common -----------------------------------------------------------------
+# ---- messages on locality and subsetting ------------------------------------------------------
 
 
-def decision(name: str) -> bytes:
+def recorded_message(name: str) -> bytes:
     return (FIXTURES / "decisions" / f"{name}.msgpack").read_bytes()
 
 
-def test_a_recorded_plan_is_read_and_written_as_before() -> None:
+def test_failover_plans_are_read_and_written_as_recorded() -> None:
     trust = [ZoneTrust(0, 1, 250, 2, 1764576015.0, 900, 1764575990.1)]
     plan = FailoverPlan(1764576000.5, {0: {0: 700, 1: 300}, 2: {}}, trust)
-    assert read_plan(decision("locality-plan"), 3) == plan
-    assert encode_plan(plan) == decision("locality-plan")
+    assert read_plan(recorded_message("locality-plan"), 3) == plan
+    assert encode_plan(plan) == recorded_message("locality-plan")
 
 
-def test_recorded_reports_on_zones_are_read_and_written_as_before() -> None:
+def test_zone_load_reports_are_read_and_written_as_recorded() -> None:
     report = InstanceReport(12.5, {0: (0.975, 33.1)}, {0: (30, 2)}, {1: (7, 1, 0.25)}, 11.75)
     summary = ZoneSummary(1, 5, 62.25, {0: 0.5, 1: 1.0}, {1: (140.2, 3.5)}, 9.0, {3: 25})
-    assert read_report(decision("locality-report")) == report
-    assert read_summary(decision("locality-summary")) == summary
-    assert encode_report(report) == decision("locality-report")
-    assert encode_report(summary) == decision("locality-summary")
-
-
-def test_recorded_reports_on_subsets_are_read_and_written_as_before() -> None:
-    total, own = SubsetDemand(40.125, 4, {0: 3, 7: 1}), InstanceLoadReport(10.5, {7: 1})
-    assert msgspec.msgpack.decode(decision("fleet-sum"), type=SubsetDemand) == total
-    assert msgspec.msgpack.decode(decision("fleet-report"), type=InstanceLoadReport) == own
-    assert msgspec.msgpack.encode(total) == decision("fleet-sum")
-    assert msgspec.msgpack.encode(own) == decision("fleet-report")
+    assert read_report(recorded_message("locality-report")) == report
+    assert read_summary(recorded_message("locality-summary")) == summary
+    assert encode_report(report) == recorded_message("locality-report")
+    assert encode_report(summary) == recorded_message("locality-summary")
+
+
+def test_subset_load_reports_are_read_and_written_as_recorded() -> None:
+    demand, report = SubsetDemand(40.125, 4, {0: 3, 7: 1}), InstanceLoadReport(10.5, {7: 1})
+    assert msgspec.msgpack.decode(recorded_message("fleet-sum"), type=SubsetDemand) == demand
+    assert msgspec.msgpack.decode(recorded_message("fleet-report"), type=InstanceLoadReport) == report
+    assert msgspec.msgpack.encode(demand) == recorded_message("fleet-sum")
+    assert msgspec.msgpack.encode(report) == recorded_message("fleet-report")
