--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -31,7 +31,7 @@
 from saltcart.takeover import Takeover
 
 if TYPE_CHECKING:
-    from saltcart.budget.plan import Plans
+    from saltcart.composition.plan import CompositionSpec
     from saltcart.membership.settings import MemberSettings
     from saltcart.net.composer import Composer
     from saltcart.net.locality_driver import LocalityDriver
@@ -50,9 +50,9 @@
 RESERVE_PART, LEAST_RESERVE, SIDE_PART = 5, 16, 16
 
 
-def check_plans(plans: Plans, conf: Config) -> None:
+def check_plans(plans: CompositionSpec, conf: Config) -> None:
     """What has to hold of plans and the platform's object together; ``ConfigError`` says what does not."""
-    from saltcart.budget.plan import check_classes
+    from saltcart.composition.plan import check_classes
 
     if conf.pool is not None:
         raise ConfigError("plan: the worker pool does the work here, plans are for where there is none")
@@ -160,7 +160,7 @@
                 self.deployment, service, self.upstreams, Path(admin.state) if admin.state else None
             )
             if self.composer is not None:
-                registry.forget = self.composer.desk.last_good.forget
+                registry.forget = self.composer.engine.stale_cache.remove_tenant
             api = Api(
                 service,
                 registry,
@@ -234,7 +234,7 @@
             )
             self.service.metric_sources.append(self.subsets.balancer.figures)
 
-    def _compose(self, plans: Plans, upstreams: Upstreams) -> None:
+    def _compose(self, plans: CompositionSpec, upstreams: Upstreams) -> None:
         """Answers of the plans' classes are made of several dependencies' replies."""
         from saltcart.net.composer import Composer
 
@@ -250,7 +250,7 @@
             service.loop.held_count,
             service.loop.usable_time,
         )
-        service.composed_classes = frozenset(self.composer.desk.plans)
+        service.composed_classes = frozenset(self.composer.engine.plans)
         service.metric_sources.append(self.composer.figures)
 
     async def _open_fronts(self, most: int) -> None:
@@ -299,7 +299,7 @@
             self.gossip.leave()
         within = max(0.0, self.conf.stop_after - ago)
         if self.composer is not None:
-            self.composer.hasten(within - STOP_MARGIN_SECONDS)
+            self.composer.shorten_deadlines(within - STOP_MARGIN_SECONDS)
         if self.takeover is None or not self.takeover.retire(within, done):
             self.service.start_drain(within, ago)
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -331,10 +331,10 @@
                 def all_are_passed() -> bool:
                     nonlocal most_descriptors
                     most_descriptors = max(most_descriptors, len(os.listdir("/proc/self/fd")))
-                    connections = len(predecessor.fronts["http"].connections) + len(
+                    connection_count = len(predecessor.fronts["http"].connections) + len(
                         successor.fronts["http"].connections
                     )
-                    assert connections <= limit + Listener.COMING
+                    assert connection_count <= limit + Listener.COMING
                     return not predecessor.fronts["http"].connections
 
                 await until(all_are_passed)
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -17,7 +17,7 @@
 import pytest
 
 from saltcart.admin.registry import Registry
-from saltcart.budget.dependency import ENDED
+from saltcart.composition.dependency_state import OUTCOME_COUNTERS
 from saltcart.core.idempotency_keys import KeyRecord, digest
 from saltcart.core.request import RequestPhase
 from saltcart.decision.events import PredecessorLoad
@@ -207,7 +207,7 @@
     ],
 )
 def test_call_outcomes_keep_their_names_in_the_administration_api(outcome: Outcome, shown: str) -> None:
-    assert ENDED[outcome] == shown
+    assert OUTCOME_COUNTERS[outcome] == shown
 
 
 def test_request_phases_keep_their_names_in_the_administration_api() -> None:
