--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -32,7 +32,7 @@
 
 
 class HandoverPacket(NamedTuple):
-    """A decoded packet."""
+    """A packet, before it is encoded or after it is decoded."""
 
     kind: str  # a value of ``PacketKind`` if this release knows the kind
     fields: dict[str, Any]
