--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -73,7 +73,7 @@
         link.on_closed = self._on_closed
         link.start()
         if self.index is not None:
-            self.index.most //= 2  # the descriptor limit applies to both processes together
+            self.index.max_connections //= 2  # the descriptor limit applies to both processes together
         if self.service.controller is None:
             await pool_is_up.wait()
         if link.is_open:
@@ -125,7 +125,9 @@
             state = wire.read_connection(packet)
             await self._wait_for_fronts()
             front = self.fronts[state.front]
-            await front.attach(client_socket, state.buffered_bytes, state.is_idle, state.waiting_seconds)
+            await front.attach_connection(
+                client_socket, state.buffered_bytes, state.is_idle, state.waiting_seconds
+            )
         except (OSError, KeyError, TimeoutError, MalformedMessageError) as error:
             client_socket.close()
             self.log("connection-lost", error=repr(error))
@@ -143,7 +145,7 @@
         self.handover_ended.set()
         self.set_connection_count(0)
         if self.index is not None:
-            self.index.most *= 2
+            self.index.max_connections *= 2
         self.service.predecessor_lost()
 
     def close(self) -> None:
@@ -176,7 +178,7 @@
         link.send(HandoverPacket(PacketKind.HANDED_OVER, {}))
         for listener in self.fronts.values():
             listener.stop_accepting()
-            listener.pass_on = self._pass_connection
+            listener.pass_connection = self._pass_connection
         self.log("handed-over", open=len(self.service.requests), keys=len(self.service.keys))
         self._pass_connections()
 
@@ -199,8 +201,8 @@
         listener = connection.listener
         state = wire.PassedConnection(
             front=next(name for name, front in self.fronts.items() if front is listener),
-            is_idle=connection in listener.resting,
-            waiting_seconds=asyncio.get_running_loop().time() - connection.since,
+            is_idle=connection in listener.idle,
+            waiting_seconds=asyncio.get_running_loop().time() - connection.state_since,
             buffered_bytes=buffered_bytes,
         )
         descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -221,7 +223,7 @@
     def _pass_batch(self) -> int:
         passed_count = 0
         for listener in self.fronts.values():
-            for connection in listener.in_order():
+            for connection in listener.connections_by_age():
                 if isinstance(connection, FrontConnection) and passed_count < MAX_BATCH_CONNECTIONS:
                     passed_count += connection.hand_over()
         return passed_count
@@ -232,7 +234,7 @@
         self.stop_passing()
         self.service.lifecycle.attempts.cancel_hand_over()
         for listener in self.fronts.values():
-            listener.pass_on = None
+            listener.pass_connection = None
             for connection in list(listener.connections):
                 if isinstance(connection, FrontConnection):
                     connection.continue_reading()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -147,7 +147,9 @@
 @pytest.fixture
 def platform(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[dict[str, str]]:
     """Environment variables for the clients' listening socket and the folder that both processes share."""
-    monkeypatch.setattr(Listener, "READ_WAIT", 60.0)  # a slow machine must not close connections to be passed
+    monkeypatch.setattr(
+        Listener, "REQUEST_TIMEOUT_SECONDS", 60.0
+    )  # a slow machine must not close connections to be passed
     with socket.create_server(("127.0.0.1", 0)) as listening_socket:
         yield {
             "BALANCER_LISTEN_FD": str(listening_socket.fileno()),
@@ -196,8 +198,10 @@
             await until(lambda: any(c.partial() for c in predecessor.fronts["http"].connections))  # type: ignore[attr-defined]
             async with running(None, platform, pool=successor_pool.address, **LONG_DEADLINES) as successor:
                 await until(lambda: len(successor.fronts["http"].connections) == 2)
-                # Each stays awaiting or resting; near the limit, awaiting connections are closed first.
-                assert len(successor.fronts["http"].resting) == len(successor.fronts["http"].awaiting) == 1
+                # Each stays idle or awaiting a request; near the limit, the awaiting ones are closed first.
+                assert (
+                    len(successor.fronts["http"].idle) == len(successor.fronts["http"].awaiting_request) == 1
+                )
                 assert (
                     successor.service.controller is not None
                     and successor.service.controller.predecessor.running == 2
@@ -226,22 +230,22 @@
 
 @pytest.mark.parametrize("is_idle", [False, True])
 def test_an_attached_connection_is_registered_as_idle_or_awaiting_when_it_opens(is_idle: bool) -> None:
-    """The next request may be read before ``attach`` returns; a later registration would then be wrong."""
+    """The next request may be read before ``attach_connection`` returns; registering later would be wrong."""
     registrations: list[tuple[bool, bool, float]] = []
 
     class RecordingConnection(ServerConnection):
         def opened(self) -> None:
             super().opened()
-            waiting_seconds = self.listener.loop.time() - self.since
+            waiting_seconds = self.listener.loop.time() - self.state_since
             registrations.append(
-                (self in self.listener.resting, self in self.listener.awaiting, waiting_seconds)
+                (self in self.listener.idle, self in self.listener.awaiting_request, waiting_seconds)
             )
 
     async def scenario() -> None:
         listener = Listener("127.0.0.1:0", RecordingConnection, lambda: 30.0, 8)
         server_socket, client_socket = socket.socketpair()
         server_socket.setblocking(False)
-        await listener.attach(server_socket, b"", is_idle, 5.0)
+        await listener.attach_connection(server_socket, b"", is_idle, 5.0)
         assert registrations[0][:2] == (is_idle, not is_idle) and registrations[0][2] >= 5.0
         client_socket.close()
         listener.close()
@@ -304,7 +308,7 @@
     async def scenario() -> None:
         async with Pool() as pool, running(pool=pool.address, limits={"sockets": 200}) as app:
             listener = app.listeners[0]
-            listener.predecessor_connections = listener.most
+            listener.predecessor_connections = listener.max_connections
             client = await HttpClient(app.addresses["http"]).open()
             assert (await client.ask(1)).status == 200
 
@@ -323,7 +327,7 @@
             running(None, platform, pool=predecessor_pool.address, limits=limits) as predecessor,
         ):
             clients = await asyncio.gather(*(HttpClient(address).open() for _ in range(150)))
-            limit = predecessor.fronts["http"].most
+            limit = predecessor.fronts["http"].max_connections
             await until(lambda: len(predecessor.fronts["http"].connections) == limit)
             descriptors_before, most_descriptors = len(os.listdir("/proc/self/fd")), 0
             async with running(None, platform, pool=successor_pool.address, limits=limits) as successor:
@@ -334,7 +338,7 @@
                     connection_count = len(predecessor.fronts["http"].connections) + len(
                         successor.fronts["http"].connections
                     )
-                    assert connection_count <= limit + Listener.COMING
+                    assert connection_count <= limit + Listener.TAKEOVER_EXTRA_CONNECTIONS
                     return not predecessor.fronts["http"].connections
 
                 await until(all_are_passed)
