--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -49,7 +49,7 @@
 
 
 def test_commands_check_drain_and_show_metrics() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool(auto=False) as pool, running(pool=pool.address, control="127.0.0.1:0") as app:
             control_address, client = app.addresses["control"], await HttpClient(app.addresses["http"]).open()
             assert (await send_command(control_address, b"check\n"))[0].startswith("OK")
@@ -94,13 +94,13 @@
             for _, writer in (silent, partial):
                 writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_silent_connections_do_not_block_commands(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool() as pool, running(pool=pool.address, control="127.0.0.1:0") as app:
             control_address = app.addresses["control"]
             idle_clients = [await asyncio.open_connection(*control_address.split(":")) for _ in range(100)]
@@ -109,7 +109,7 @@
                 assert await reader.read() == b""
                 writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_environment_overrides_the_control_address() -> None:
