--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -58,8 +58,8 @@
 
     def __init__(self, member: AjpMember) -> None:
         super().__init__()
-        self.member, self.parser = member, ajp.ResponseParser(MAX_RESULT_BYTES)
-        self.response: asyncio.Future[ajp.Response | ajp.Pong] | None = None
+        self.member, self.parser = member, ajp.AjpResponseParser(MAX_RESULT_BYTES)
+        self.response: asyncio.Future[ajp.AjpResponse | ajp.CPong] | None = None
         self.unsent = b""  # the rest of the request body; the member requests it in parts
         self.last_used_at = 0.0
 
@@ -67,9 +67,9 @@
         """Handle the messages of the member, or close the connection after a malformed one."""
         try:
             while (message := self.parser.next(self.buffer)) is not None:
-                if isinstance(message, ajp.WantBody):
+                if isinstance(message, ajp.GetBodyChunk):
                     part, self.unsent = self.unsent[: message.size], self.unsent[message.size :]
-                    self.send(ajp.body_packet(part))
+                    self.send(ajp.encode_body_packet(part))
                 elif self.response is not None and not self.response.done():
                     self.response.set_result(message)
                 else:
@@ -84,7 +84,7 @@
         if self.response is not None and not self.response.done():
             self.response.set_exception(ConnectionResetError("the member closed the connection"))
 
-    async def exchange(self, data: bytes, timeout: float) -> ajp.Response | ajp.Pong:
+    async def exchange(self, data: bytes, timeout: float) -> ajp.AjpResponse | ajp.CPong:
         """Send a message and return the response.
 
         Raises:
@@ -279,7 +279,7 @@
         body: bytes,
         must_run_once: bool,
         deadline: float,
-    ) -> ajp.Response:
+    ) -> ajp.AjpResponse:
         member.in_flight += 1
         connection: MemberConnection | None = None
         try:
@@ -292,14 +292,15 @@
                 (b"Budget-Ms", b"%d" % max(1, time_left * 1000)),
                 (b"Content-Length", b"%d" % len(body)),
             ]
-            data = ajp.forward_request(
+            data = ajp.encode_forward_request(
                 b"POST", b"/call/" + class_name.encode(), headers, host.encode(), port, member.secret
             )
-            connection.unsent = body[ajp.MAX_DATA :]
+            connection.unsent = body[ajp.MAX_BODY_DATA_BYTES :]
             response = await connection.exchange(
-                data + (ajp.body_packet(body[: ajp.MAX_DATA]) if body else b""), max(0.0, time_left)
+                data + (ajp.encode_body_packet(body[: ajp.MAX_BODY_DATA_BYTES]) if body else b""),
+                max(0.0, time_left),
             )
-            if not isinstance(response, ajp.Response):
+            if not isinstance(response, ajp.AjpResponse):
                 raise ConnectionResetError("CPong in place of a response")
             if response.reuse and not (self.is_closed or connection.unsent or connection.transport is None):
                 connection.last_used_at = asyncio.get_running_loop().time()
@@ -325,7 +326,7 @@
             connection = member.idle_connections.pop()
             try:
                 if not must_run_once or isinstance(
-                    await connection.exchange(ajp.CPING_PACKET, PING_TIMEOUT_SECONDS), ajp.Pong
+                    await connection.exchange(ajp.CPING_PACKET, PING_TIMEOUT_SECONDS), ajp.CPong
                 ):
                     return connection
             except (OSError, TimeoutError):
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -71,7 +71,7 @@
     def opened(self) -> None:
         """Bind to the pool."""
         self.link.liveness.record_connected()
-        self.send(self.link.session.connected())
+        self.send(self.link.session.open_link())
 
     def received(self) -> None:
         """Handle the messages of the pool, or abort the connection after a malformed one."""
@@ -87,14 +87,14 @@
                     self.link.handle_message(message)
         except MalformedMessageError as error:
             self.link.log("pool-malformed", error=str(error))
-            self.link.session.lost()
+            self.link.session.close_link()
             self.abort()
         self.link.complete_address_change()
 
     def closed(self) -> None:
         """Tell the session that its connection is lost."""
         if self.is_current():
-            self.link.session.lost()
+            self.link.session.close_link()
 
 
 class PoolLink(Link):
@@ -108,7 +108,7 @@
 
     def __init__(self, peer: str, events: WorkerPoolEvents, log: Log) -> None:
         super().__init__("pool", peer, log)
-        self.session, self.events, self.liveness = wire.Session(), events, PoolLiveness()
+        self.session, self.events, self.liveness = wire.PoolSession(), events, PoolLiveness()
         self.next_address: str | None = None  # the target of a pending change of address
         self.address_change_timer: asyncio.TimerHandle | None = None
 
@@ -124,7 +124,7 @@
         """
         if parse_address(peer) == self.peer and self.next_address is None:
             return
-        self.session.lost()  # commands are queued until the new connection is bound
+        self.session.close_link()  # commands are queued until the new connection is bound
         self.next_address = peer
         if self.address_change_timer is None:
             self.address_change_timer = asyncio.get_running_loop().call_later(
@@ -139,7 +139,7 @@
             is_overdue: Whether to reconnect in spite of unconfirmed starts of runs.
         """
         if self.next_address is None or (
-            self.session.in_doubt() and self.connection is not None and not is_overdue
+            self.session.has_uncertain_run() and self.connection is not None and not is_overdue
         ):
             return
         peer, self.next_address = self.next_address, None
@@ -166,16 +166,16 @@
             case wire.Bound(is_warm, age):
                 if self.liveness.record_bound(asyncio.get_running_loop().time(), age):
                     self.log("pool-restarted", age=age)
-                    self.session.restarted()
+                    self.session.reset()
                     self.events.pool_replaced(not is_warm, age)
                 self.events.pool_started(not is_warm, age)
-            case wire.Lost(request_id):
+            case wire.UncertainRun(request_id):
                 self.events.run_uncertain(request_id)
-            case wire.Unknown(command, request_id):
+            case wire.UnknownCommand(command, request_id):
                 self.log("pool-unknown", command=command.decode("latin-1"), id=request_id.decode("latin-1"))
                 # An unknown spawn started nothing; after any other command the pool no longer has the run.
                 outcome = Outcome.NOT_STARTED if command == b"spawn" else Outcome.FAILED
-                self.session.forget(request_id)
+                self.session.forget_run(request_id)
                 self.events.run_finished(request_id, outcome, 0.0, b"")
 
     def _send(self, data: bytes) -> None:
@@ -203,15 +203,15 @@
 
     def resume(self, request_id: bytes) -> None:
         """Resume a paused run."""
-        self._send(self.session.proceed(request_id))
+        self._send(self.session.resume(request_id))
 
     def supply_reply(self, request_id: bytes, reply: bytes) -> None:
         """Pass the reply to its call to a waiting run."""
-        self._send(self.session.supply(request_id, reply))
+        self._send(self.session.supply_reply(request_id, reply))
 
     def skip_call(self, request_id: bytes, notice_number: int) -> None:
         """Resume a run without the call that the notice of this number requested."""
-        self._send(self.session.skip(request_id, notice_number))
+        self._send(self.session.skip_call(request_id, notice_number))
 
     def poll_gauges(self) -> None:
         """Request the current gauges; a connection on which the pool has fallen silent is aborted."""
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -30,8 +30,8 @@
             assert (answer.status, answer.body, answer.keep_alive) == (200, b"done " + body, True)
             assert b"server-hint" in answer.headers
             client.writer.write(ajp.CPING_PACKET)
-            assert isinstance(await client.message(), ajp.Pong)
-            client.writer.write(ajp.packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # ignored
+            assert isinstance(await client.message(), ajp.CPong)
+            client.writer.write(ajp.encode_packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # ignored
             assert (await client.ask(2, "oddaja", b"", key="k")).body == b"done "
             assert (await client.ask(3, "nothing")).status == 400
             assert (await client.ask(4, "oddaja")).status == 400  # without an idempotency key
@@ -74,7 +74,7 @@
         async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             client.send(1, "oddaja", b"x" * 900, first=300, key="k")
-            assert isinstance(await client.message(), ajp.WantBody)
+            assert isinstance(await client.message(), ajp.GetBodyChunk)
             client.drop()
             await until(lambda: not app.listeners[1].connections)
             assert not app.service.requests and not app.service.keys.records and pool.spawned == []
@@ -213,8 +213,10 @@
     asyncio.run(run_scenario())
 
 
-HEADERS = ajp.packet(ajp.FROM_CONTAINER, b"\x04" + ajp.integer(200) + ajp.text(b"OK") + ajp.integer(0))
-CHUNK = ajp.packet(ajp.FROM_CONTAINER, b"\x03" + ajp.text(b"x" * 4000))
+HEADERS = ajp.encode_packet(
+    ajp.FROM_CONTAINER, b"\x04" + ajp.encode_integer(200) + ajp.encode_string(b"OK") + ajp.encode_integer(0)
+)
+CHUNK = ajp.encode_packet(ajp.FROM_CONTAINER, b"\x03" + ajp.encode_string(b"x" * 4000))
 
 
 @pytest.mark.parametrize(
@@ -227,7 +229,7 @@
         HEADERS + CHUNK * 9,
         HEADERS + HEADERS,
         HEADERS + CHUNK[:9],
-        ajp.packet(ajp.FROM_CONTAINER, b"\x04\x00\xc8\x00\x09O"),
+        ajp.encode_packet(ajp.FROM_CONTAINER, b"\x04\x00\xc8\x00\x09O"),
         ajp.CPONG_PACKET * 2,
     ],
 )
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -195,7 +195,7 @@
             await until(lambda: len(predecessor_pool.spawned) == 2)
             head = "".join(f"{name}: {value}\r\n" for name, value in fields(3, budget="60000"))
             half_sent.writer.write(f"POST /call/read HTTP/1.1\r\n{head}Content-Length: 4\r\n\r\nha".encode())
-            await until(lambda: any(c.partial() for c in predecessor.fronts["http"].connections))  # type: ignore[attr-defined]
+            await until(lambda: any(c.has_partial_request() for c in predecessor.fronts["http"].connections))  # type: ignore[attr-defined]
             async with running(None, platform, pool=successor_pool.address, **LONG_DEADLINES) as successor:
                 await until(lambda: len(successor.fronts["http"].connections) == 2)
                 # Each stays idle or awaiting a request; near the limit, the awaiting ones are closed first.
