--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -28,8 +28,8 @@
     app, ended = App(conf, extra, log), asyncio.Event()
 
     def leave(ago: float) -> None:
-        app.leave(ended.set, ago)
-        loop.call_later(conf.stop_after + LINGER - ago, ended.set)
+        app.begin_drain(ended.set, ago)
+        loop.call_later(conf.stop_timeout + LINGER - ago, ended.set)
 
     def reload() -> None:
         try:
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -47,39 +47,43 @@
         self.status, self.headers = status, headers
 
 
-class Api:
+class AdminApi:
     def __init__(
         self,
         service: Service,
         registry: Registry,
         token: str,
         composer: Composer | None = None,
-        damper: Callable[[], RetryStormController | None] = lambda: None,
-        gossip: MembershipDriver | None = None,
-        nearby: LocalityDriver | None = None,
-        evenly: SubsetDriver | None = None,
+        storm_control: Callable[[], RetryStormController | None] = lambda: None,
+        membership: MembershipDriver | None = None,
+        locality: LocalityDriver | None = None,
+        subsets: SubsetDriver | None = None,
     ) -> None:
         self.service, self.registry, self.token = service, registry, token.encode()
-        self.composer, self.damper, self.gossip = composer, damper, gossip
-        self.nearby, self.evenly = nearby, evenly
+        self.composer, self.storm_control, self.membership = composer, storm_control, membership
+        self.locality, self.subsets = locality, subsets
         self.routes: dict[str, dict[str, Callable[..., Reply]]] = {
-            "state": {"GET": self.state},
-            "counts": {"GET": self.counts},
-            "dependencies": {"GET": self.dependencies},
-            "storm": {"GET": self.storm},
-            "members": {"GET": self.members},
-            "locality": {"GET": self.locality},
-            "fleet": {"GET": self.fleet},
-            "shares": {"GET": self.shares, "PUT": self.put_shares},
-            "tenants": {"GET": self.tenants, "POST": self.post_tenant},
-            "upstreams": {"GET": self.upstreams, "POST": self.post_upstream},
+            "state": {"GET": self.get_state},
+            "counts": {"GET": self.get_counts},
+            "dependencies": {"GET": self.get_dependencies},
+            "storm": {"GET": self.get_storm},
+            "members": {"GET": self.get_members},
+            "locality": {"GET": self.get_locality},
+            "fleet": {"GET": self.get_fleet},
+            "shares": {"GET": self.get_shares, "PUT": self.replace_shares},
+            "tenants": {"GET": self.list_tenants, "POST": self.create_tenant},
+            "upstreams": {"GET": self.list_upstreams, "POST": self.create_upstream},
             "tenants/": {
-                "GET": self.tenant,
-                "PUT": self.put_tenant,
-                "PATCH": self.patch_tenant,
+                "GET": self.get_tenant,
+                "PUT": self.replace_tenant,
+                "PATCH": self.update_tenant,
                 "DELETE": self.delete_tenant,
             },
-            "upstreams/": {"GET": self.upstream, "PUT": self.put_upstream, "DELETE": self.delete_upstream},
+            "upstreams/": {
+                "GET": self.get_upstream,
+                "PUT": self.replace_upstream,
+                "DELETE": self.delete_upstream,
+            },
         }
 
     def handle(
@@ -125,7 +129,7 @@
 
     # ---- a look at it -------------------------------------------------------------------------
 
-    def state(self) -> Reply:
+    def get_state(self) -> Reply:
         s = self.service
         return 200, {
             "healthy": s.is_healthy,
@@ -138,29 +142,29 @@
             "upstreams": len(self.registry.upstreams),
         }
 
-    def counts(self) -> Reply:
+    def get_counts(self) -> Reply:
         out: dict[str, dict[str, dict[str, int]]] = {}
         for (tenant, klass, verdict), count in self.service.counts.items():
             out.setdefault(tenant, {}).setdefault(klass, {})[verdict] = count
         return 200, out
 
-    def dependencies(self) -> Reply:
+    def get_dependencies(self) -> Reply:
         return 200, {} if self.composer is None else self.composer.engine.state(
             self.service.clock.read_seconds()
         )
 
-    def storm(self) -> Reply:
-        damper = self.damper()
-        return 200, {} if damper is None else damper.state(self.service.clock.read_seconds())
+    def get_storm(self) -> Reply:
+        storm_control = self.storm_control()
+        return 200, {} if storm_control is None else storm_control.state(self.service.clock.read_seconds())
 
-    def members(self) -> Reply:
-        return 200, {} if self.gossip is None else self.gossip.state()
+    def get_members(self) -> Reply:
+        return 200, {} if self.membership is None else self.membership.state()
 
-    def locality(self) -> Reply:
-        return 200, {} if self.nearby is None else self.nearby.state()
+    def get_locality(self) -> Reply:
+        return 200, {} if self.locality is None else self.locality.state()
 
-    def fleet(self) -> Reply:
-        return 200, {} if self.evenly is None else self.evenly.state()
+    def get_fleet(self) -> Reply:
+        return 200, {} if self.subsets is None else self.subsets.state()
 
     # ---- tenants and shares -------------------------------------------------------------------
 
@@ -169,20 +173,20 @@
             raise ApiError(404, f"no such tenant: {name}")
         return asdict(self.registry.tenants[name])
 
-    def tenants(self) -> Reply:
+    def list_tenants(self) -> Reply:
         return 200, [asdict(t) for t in self.registry.tenants.values()]
 
-    def tenant(self, name: str) -> Reply:
+    def get_tenant(self, name: str) -> Reply:
         return 200, self._tenant(name)
 
-    def post_tenant(self, raw: dict[str, Any]) -> Reply:
+    def create_tenant(self, raw: dict[str, Any]) -> Reply:
         tenant = read_tenant(raw, "tenant")
         if tenant.name in self.registry.tenants:
             raise ApiError(409, f"this tenant is there already: {tenant.name}")
         self.registry.put_tenant(tenant)
         return 201, asdict(tenant)
 
-    def put_tenant(self, name: str, raw: dict[str, Any]) -> Reply:
+    def replace_tenant(self, name: str, raw: dict[str, Any]) -> Reply:
         self._tenant(name)
         tenant = read_tenant({"name": name, **raw}, "tenant")
         if tenant.name != name:
@@ -190,30 +194,30 @@
         self.registry.put_tenant(tenant)
         return 200, asdict(tenant)
 
-    def patch_tenant(self, name: str, raw: dict[str, Any]) -> Reply:
-        return self.put_tenant(name, {**self._tenant(name), **raw})
+    def update_tenant(self, name: str, raw: dict[str, Any]) -> Reply:
+        return self.replace_tenant(name, {**self._tenant(name), **raw})
 
     def delete_tenant(self, name: str) -> Reply:
         self._tenant(name)
         self.registry.remove_tenant(name)
         return 204, None
 
-    def shares(self) -> Reply:
+    def get_shares(self) -> Reply:
         return 200, {t.name: t.share for t in self.registry.tenants.values()}
 
-    def put_shares(self, raw: dict[str, Any]) -> Reply:
+    def replace_shares(self, raw: dict[str, Any]) -> Reply:
         for name in raw:
             self._tenant(name)
         f = FieldReader(raw, "shares")
         self.registry.set_shares({name: f.number(name, high=1) for name in raw})
-        return self.shares()
+        return self.get_shares()
 
     # ---- upstreams ----------------------------------------------------------------------------
 
     def _upstream(self, name: str) -> dict[str, Any]:
         if name not in self.registry.upstreams:
             raise ApiError(404, f"no such upstream: {name}")
-        u, runs = self.registry.upstreams[name], self.registry.runs
+        u, runs = self.registry.upstreams[name], self.registry.live_upstreams
         under_way = {} if runs is None else runs.open_runs(name)
         return {
             "name": u.name,
@@ -228,20 +232,20 @@
             ],
         }
 
-    def upstreams(self) -> Reply:
+    def list_upstreams(self) -> Reply:
         return 200, [self._upstream(name) for name in self.registry.upstreams]
 
-    def upstream(self, name: str) -> Reply:
+    def get_upstream(self, name: str) -> Reply:
         return 200, self._upstream(name)
 
-    def post_upstream(self, raw: dict[str, Any]) -> Reply:
+    def create_upstream(self, raw: dict[str, Any]) -> Reply:
         upstream = read_upstream(raw, "upstream")
         if upstream.name in self.registry.upstreams:
             raise ApiError(409, f"this upstream is there already: {upstream.name}")
         self.registry.put_upstream(upstream)
         return 201, self._upstream(upstream.name)
 
-    def put_upstream(self, name: str, raw: dict[str, Any]) -> Reply:
+    def replace_upstream(self, name: str, raw: dict[str, Any]) -> Reply:
         self._upstream(name)
         upstream = read_upstream({"name": name, **raw}, "upstream")
         if upstream.name != name:
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -13,14 +13,21 @@
 from saltcart.config import ConfigError
 from saltcart.core.service import Service
 from saltcart.decision.settings import TenantSpec
-from saltcart.deployment import Deployment, TenantConf, UpstreamConf, check, read_tenant, read_upstream
+from saltcart.deployment import (
+    Deployment,
+    TenantConf,
+    UpstreamConf,
+    check_upstreams_and_tenants,
+    read_tenant,
+    read_upstream,
+)
 from saltcart.field_reader import InvalidFieldError
 from saltcart.net.upstreams import Upstreams
 
 Named = TypeVar("Named", TenantConf, UpstreamConf)
 
 
-def specs(tenants: Iterable[TenantConf]) -> tuple[TenantSpec, ...]:
+def tenant_specs(tenants: Iterable[TenantConf]) -> tuple[TenantSpec, ...]:
     """The tenants in the module's words."""
     return tuple(TenantSpec(t.name, t.quota, t.share) for t in tenants)
 
@@ -31,17 +38,19 @@
     def __init__(
         self, deployment: Deployment, service: Service, runs: Upstreams | None, path: Path | None
     ) -> None:
-        self.service, self.runs, self.path = service, runs, path
+        self.service, self.live_upstreams, self.path = service, runs, path
         tenants = deployment.tenants or tuple(
             TenantConf(t.name, t.share, t.quota) for t in service.settings.tenants
         )
         self.tenants = {t.name: t for t in tenants}
         self.upstreams = {u.name: u for u in deployment.upstreams}
-        self.forget: Callable[[str], None] = lambda tenant: None  # told of a tenant that is gone
+        self.on_tenant_removed: Callable[[str], None] = lambda tenant: None  # told of a tenant that is gone
         plans = deployment.plans
         # An upstream whose work is spread over zones: those are agreed on by all instances, from the start.
-        self.zoned = {t.upstream for t in (deployment.locality, deployment.fleet) if t is not None}
-        self.planned = set() if plans is None else {d.upstream for d in plans.dependency}  # not to be removed
+        self.fixed_upstreams = {t.upstream for t in (deployment.locality, deployment.fleet) if t is not None}
+        self.plan_upstreams = (
+            set() if plans is None else {d.upstream for d in plans.dependency}
+        )  # not to be removed
         if path is not None and path.exists():
             self._restore(path)
 
@@ -78,28 +87,30 @@
         return [x for x in known.values() if x.name != name]
 
     def _change(self, tenants: list[TenantConf], upstreams: list[UpstreamConf]) -> None:
-        if gone := self.planned - {None} - {u.name for u in upstreams}:
+        if gone := self.plan_upstreams - {None} - {u.name for u in upstreams}:
             raise InvalidFieldError(f"upstream {min(map(str, gone))}: plans need it")
-        for name in self.zoned & self.upstreams.keys():
+        for name in self.fixed_upstreams & self.upstreams.keys():
             if self.upstreams[name] not in upstreams:
                 raise InvalidFieldError(
                     f"upstream {name}: all instances agree on its members, from their start"
                 )
-        check(tuple(upstreams), tuple(tenants))  # a change that can't stand leaves all as it was
+        check_upstreams_and_tenants(
+            tuple(upstreams), tuple(tenants)
+        )  # a change that can't stand leaves all as it was
         before, self.upstreams = self.upstreams, {u.name: u for u in upstreams}
         left, self.tenants = self.tenants.keys() - {t.name for t in tenants}, {t.name: t for t in tenants}
-        if self.runs is not None:
+        if self.live_upstreams is not None:
             for upstream in upstreams:
                 if before.get(upstream.name) != upstream:
-                    self.runs.put(upstream)
+                    self.live_upstreams.put(upstream)
             for name in before.keys() - self.upstreams.keys():
-                self.runs.remove(name)
+                self.live_upstreams.remove(name)
             for tenant in tenants:
-                self.runs.assign(tenant.name, tenant.upstream)
+                self.live_upstreams.assign(tenant.name, tenant.upstream)
             for name in left:
-                self.runs.assign(name, None)
-                self.forget(name)
-        self.service.set_tenants(specs(tenants))
+                self.live_upstreams.assign(name, None)
+                self.on_tenant_removed(name)
+        self.service.set_tenants(tenant_specs(tenants))
         if self.path is not None:
             self._save(self.path)
 
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saltcart.admin.api import Api
+from saltcart.admin.api import AdminApi
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import http1
 from saltcart.wire.errors import MalformedMessageError
@@ -11,7 +11,7 @@
 
 
 class AdminConnection(ServerConnection):
-    def __init__(self, listener: Listener, api: Api) -> None:
+    def __init__(self, listener: Listener, api: AdminApi) -> None:
         super().__init__(listener, limit=2 * MAX_BODY)
         self.api, self.parser = api, http1.RequestParser(MAX_BODY)
 
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from saltcart.admin.api import Api
-from saltcart.admin.registry import Registry, specs
+from saltcart.admin.api import AdminApi
+from saltcart.admin.registry import Registry, tenant_specs
 from saltcart.admin.server import AdminConnection
 from saltcart.config import Config, ConfigError
 from saltcart.core.draining import STOP_MARGIN_SECONDS
@@ -72,7 +72,7 @@
         settings = conf.settings
         hosted = bool(deployment.tenants or deployment.admin)
         if deployment.tenants:
-            settings = replace(settings, tenants=specs(deployment.tenants))
+            settings = replace(settings, tenants=tenant_specs(deployment.tenants))
         if hosted:  # no tenant spends another's share: what is past its quota is worth nothing
             settings = replace(settings, over_quota_weight_share=0.0)
         key_room = int(conf.memory_mb * KEYS_SHARE * 1024 * 1024)
@@ -92,17 +92,19 @@
         self.upstreams: Upstreams | None = None
         self.composer: Composer | None = None
         self.storm_controller: RetryStormController | None = None
-        self.gossip: MembershipDriver | None = None
+        self.membership: MembershipDriver | None = None
         self.locality: LocalityDriver | None = None
         self.subsets: SubsetDriver | None = None
-        self.runs: WorkerPool | None = None  # set before the start: in the place of a pool or upstreams
+        self.worker_pool_override: WorkerPool | None = (
+            None  # set before the start: in the place of a pool or upstreams
+        )
         self.ticker: Ticker | None = None
 
     async def start(self) -> None:
         conf, service, loop = self.conf, self.service, asyncio.get_running_loop()
-        calls, side = max(4, min(CALLS, conf.sockets // 6)), conf.sockets // SIDE_PART
+        calls, side = max(4, min(CALLS, conf.max_sockets // 6)), conf.max_sockets // SIDE_PART
         operators, administration = min(CONTROL_CONNECTIONS, side), min(ADMIN_CONNECTIONS, side)
-        most = conf.sockets - calls - min(RESERVE, max(LEAST_RESERVE, conf.sockets // RESERVE_PART))
+        most = conf.max_sockets - calls - min(RESERVE, max(LEAST_RESERVE, conf.max_sockets // RESERVE_PART))
         if self.deployment.admin is not None:
             most -= administration
         if conf.listen_fd is not None:
@@ -116,8 +118,8 @@
             self.announcer.start()
         if conf.index:
             service.ports.dependency_calls = self.index = IndexClient(conf.index, service, self.log, calls)
-        if self.runs is not None:
-            service.ports.workers = self.runs
+        if self.worker_pool_override is not None:
+            service.ports.workers = self.worker_pool_override
             service.pool_started(False, 0.0)
         elif conf.pool:
             service.ports.workers = self.pool = PoolLink(conf.pool, service, self.log)
@@ -148,7 +150,7 @@
                 "control",
                 Listener(
                     conf.control,
-                    lambda owner: ControlConnection(owner, service, self.ready),
+                    lambda owner: ControlConnection(owner, service, self.is_ready),
                     lambda: ADMIN_IDLE,
                     operators,
                 ),
@@ -157,17 +159,17 @@
             await self._join(self.deployment.member)
         if (admin := self.deployment.admin) is not None:
             registry = Registry(
-                self.deployment, service, self.upstreams, Path(admin.state) if admin.state else None
+                self.deployment, service, self.upstreams, Path(admin.state_file) if admin.state_file else None
             )
             if self.composer is not None:
-                registry.forget = self.composer.engine.stale_cache.remove_tenant
-            api = Api(
+                registry.on_tenant_removed = self.composer.engine.stale_cache.remove_tenant
+            api = AdminApi(
                 service,
                 registry,
                 admin.token,
                 self.composer,
                 lambda: self.storm_controller,
-                self.gossip,
+                self.membership,
                 self.locality,
                 self.subsets,
             )
@@ -189,10 +191,10 @@
         service = self.service
 
         def make(settings: Settings, started: float) -> RetryStormController:
-            damper = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started)
-            service.metric_sources.append(lambda: damper.figures(service.clock.read_seconds()))
-            self.storm_controller = damper
-            return damper
+            controller = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started)
+            service.metric_sources.append(lambda: controller.figures(service.clock.read_seconds()))
+            self.storm_controller = controller
+            return controller
 
         service.make_storm_control = make
 
@@ -200,9 +202,9 @@
         """Keep a view of the fleet together with its other processes."""
         from saltcart.net.membership_driver import MembershipDriver
 
-        self.gossip = MembershipDriver(conf, self.conf.name, self.conf.seed, self.log)
-        self.addresses["member"] = await self.gossip.open()
-        self.service.metric_sources.append(self.gossip.figures)
+        self.membership = MembershipDriver(conf, self.conf.name, self.conf.seed, self.log)
+        self.addresses["member"] = await self.membership.open()
+        self.service.metric_sources.append(self.membership.figures)
         self.log("listening", name=self.conf.name, front="member", address=self.addresses["member"])
         locality, fleet, upstreams = self.deployment.locality, self.deployment.fleet, self.upstreams
         if upstreams is None:
@@ -214,7 +216,7 @@
             self.locality = LocalityDriver(
                 locality,
                 known[locality.upstream],
-                self.gossip,
+                self.membership,
                 upstreams.by_name[locality.upstream],
                 seed + 1,
                 self.log,
@@ -227,7 +229,7 @@
             self.subsets = SubsetDriver(
                 fleet,
                 known[fleet.upstream],
-                self.gossip,
+                self.membership,
                 upstreams.by_name[fleet.upstream],
                 seed + 2,
                 self.log,
@@ -283,11 +285,11 @@
         self.listeners.append(listener)
         self.log("listening", name=self.conf.name, front=name, address=self.addresses[name])
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process can serve."""
         return self.service.controller is not None and bool(self.fronts)
 
-    def leave(self, done: Callable[[], None] = lambda: None, ago: float = 0.0) -> None:
+    def begin_drain(self, done: Callable[[], None] = lambda: None, ago: float = 0.0) -> None:
         """The notice to drain, which came ``ago`` seconds ago.
 
         The listeners stay open, for what reaches them is still answered.
@@ -295,9 +297,9 @@
         To a process that has handed over it only tells that it is stopped soon; ``done`` is told when it has
         nothing left to do.
         """
-        if self.gossip is not None:
-            self.gossip.leave()
-        within = max(0.0, self.conf.stop_after - ago)
+        if self.membership is not None:
+            self.membership.leave()
+        within = max(0.0, self.conf.stop_timeout - ago)
         if self.composer is not None:
             self.composer.shorten_deadlines(within - STOP_MARGIN_SECONDS)
         if self.takeover is None or not self.takeover.retire(within, done):
@@ -328,7 +330,7 @@
             self.takeover.close()
         for listener in self.listeners:
             listener.close()
-        for part in (self.locality, self.subsets, self.pool, self.index, self.announcer, self.gossip):
+        for part in (self.locality, self.subsets, self.pool, self.index, self.announcer, self.membership):
             if part is not None:
                 part.close()
         if self.composer is not None:
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -15,7 +15,7 @@
 from saltcart.field_reader import FieldReader, InvalidFieldError
 from saltcart.platform_settings import read_settings
 
-PLACE = re.compile(r"([A-Za-z0-9.-]{1,253}):(\d{1,5})\Z")
+HOST_AND_PORT = re.compile(r"([A-Za-z0-9.-]{1,253}):(\d{1,5})\Z")
 HEXADECIMAL = re.compile(r"[0-9a-fA-F]{1,64}\Z")
 GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")
 
@@ -24,10 +24,10 @@
     """The configuration can't be used; the text names the field."""
 
 
-def place(f: FieldReader, key: str) -> str:
+def read_host_and_port(f: FieldReader, key: str) -> str:
     """A field that is host:port."""
     value: str = f.text(key)
-    found = PLACE.match(value)
+    found = HOST_AND_PORT.match(value)
     if not found or int(found[2]) > 65535:
         raise InvalidFieldError(f"{f.where}: field {key} is not host:port")
     return value
@@ -44,8 +44,8 @@
     listen_fd: int | None  # the clients' listening socket, where the platform holds it
     shared_folder: str | None  # where a process finds the one that it follows
     seed: int
-    stop_after: float  # seconds from the notice to the kill
-    sockets: int
+    stop_timeout: float  # seconds from the notice to the kill
+    max_sockets: int
     memory_mb: float
     settings: Settings
     gauges: tuple[str | None, ...]  # names of the pool's gauges, in their order; None for a new one
@@ -59,7 +59,7 @@
             if environment.get(f"BALANCER_{key.upper()}"):
                 f = FieldReader({**f.raw, key: environment[f"BALANCER_{key.upper()}"]}, "config")
         pool, announce, index, control = (
-            None if f.raw.get(key) is None else place(f, key)
+            None if f.raw.get(key) is None else read_host_and_port(f, key)
             for key in ("pool", "announce", "index", "control")
         )
         fd = environment.get("BALANCER_LISTEN_FD") or ""
@@ -74,7 +74,7 @@
             raise InvalidFieldError(f"config: field seed is not hexadecimal: {seed}")
         return Config(
             environment.get("BALANCER_NAME") or f.text("name"),
-            place(f, "listen"),
+            read_host_and_port(f, "listen"),
             pool,
             announce,
             index,
--- a/saltcart/deployment.py
+++ b/saltcart/deployment.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from saltcart.config import ConfigError, place
+from saltcart.config import ConfigError, read_host_and_port
 from saltcart.field_reader import FieldReader, InvalidFieldError
 
 if TYPE_CHECKING:
@@ -24,23 +24,23 @@
     from saltcart.retry_storm.settings import StormSettings
     from saltcart.subsetting.settings import FleetSettings
 
-NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
 LOOPBACK = re.compile(r"(127(\.\d{1,3}){3}|localhost):")
 PLANS = ("dependency", "plan", "memory")  # the tables that saltcart.composition.plan reads
 DEFAULT = Path(__file__).resolve().parent.parent / "deploy" / "saltcart.toml"
 
 
 @dataclass(frozen=True, slots=True)
-class AjpFront:
+class AjpSettings:
     listen: str
     secret: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Admin:
+class AdminSettings:
     listen: str
     token: str
-    state: str | None = None  # the file in which changes outlive the process
+    state_file: str | None = None  # the file in which changes outlive the process
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,8 +71,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    ajp: AjpFront | None = None
-    admin: Admin | None = None
+    ajp: AjpSettings | None = None
+    admin: AdminSettings | None = None
     upstreams: tuple[UpstreamConf, ...] = ()
     tenants: tuple[TenantConf, ...] = ()
     plans: CompositionSpec | None = None  # how answers are composed of several dependencies' replies
@@ -84,7 +84,7 @@
 
 def name(f: FieldReader, key: str = "name") -> str:
     value: str = f.text(key)
-    if not NAME.match(value):
+    if not NAME_PATTERN.match(value):
         raise InvalidFieldError(f"{f.where}: field {key} is not a name")
     return value
 
@@ -113,7 +113,7 @@
         weight = m.number("weight", 1.0, low=0.001, high=1000)
         members.append(
             MemberConf(
-                place(m, "host"),
+                read_host_and_port(m, "host"),
                 weight,
                 m.text("secret", ""),
                 m.text("zone", ""),
@@ -134,7 +134,7 @@
     return TenantConf(name(f), f.number("share", 0.0, high=1), f.number("quota", 0.0), upstream)
 
 
-def check(upstreams: tuple[UpstreamConf, ...], tenants: tuple[TenantConf, ...]) -> None:
+def check_upstreams_and_tenants(upstreams: tuple[UpstreamConf, ...], tenants: tuple[TenantConf, ...]) -> None:
     """What must hold of all together; ``InvalidFieldError`` says what does not."""
     known = [u.name for u in upstreams]
     for what, names in (("upstream", known), ("tenant", [t.name for t in tenants])):
@@ -183,7 +183,7 @@
         raise InvalidFieldError(f"fleet.upstream: the work of {fleet.upstream} is spread over zones already")
 
 
-def read(raw: Any) -> Deployment:
+def read_deployment(raw: Any) -> Deployment:
     try:
         f = only(
             FieldReader(raw, "deployment"),
@@ -201,20 +201,20 @@
         if "ajp" in f.raw:
             a = only(f.section("ajp"), "enabled", "listen", "secret")
             if a.flag("enabled", True):
-                ajp = AjpFront(place(a, "listen"), a.text("secret", ""))
+                ajp = AjpSettings(read_host_and_port(a, "listen"), a.text("secret", ""))
                 if not ajp.secret and not LOOPBACK.match(ajp.listen):
                     raise InvalidFieldError("deployment.ajp: off the loopback addresses a secret is needed")
         if "admin" in f.raw:
             a = only(f.section("admin"), "enabled", "listen", "token", "state")
             if a.flag("enabled", True):
-                admin = Admin(place(a, "listen"), a.text("token"), a.text("state", None))
+                admin = AdminSettings(read_host_and_port(a, "listen"), a.text("token"), a.text("state", None))
                 if len(admin.token) < 16:
                     raise InvalidFieldError("deployment.admin: field token is shorter than 16 characters")
                 if not LOOPBACK.match(admin.listen):
                     raise InvalidFieldError("deployment.admin: field listen is not a loopback address")
         upstreams = tuple(read_upstream(u, f"upstream[{n}]") for n, u in enumerate(f.array("upstream", [])))
         tenants = tuple(read_tenant(t, f"tenant[{n}]") for n, t in enumerate(f.array("tenant", [])))
-        check(upstreams, tenants)
+        check_upstreams_and_tenants(upstreams, tenants)
         plans = None
         if any(key in f.raw for key in PLANS):  # only where it is needed: a service without plans stays lean
             from saltcart.composition.plan import read_plans
@@ -267,6 +267,6 @@
     if not named and not path.exists():
         return Deployment()
     try:
-        return read(tomllib.loads(path.read_text(encoding="utf-8")))
+        return read_deployment(tomllib.loads(path.read_text(encoding="utf-8")))
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, ConfigError) as error:
         raise ConfigError(f"{path}: {error}") from None
--- a/saltcart/importer/__init__.py
+++ b/saltcart/importer/__init__.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from saltcart.config import PLACE
-from saltcart.deployment import NAME, MemberConf, UpstreamConf
+from saltcart.config import HOST_AND_PORT
+from saltcart.deployment import NAME_PATTERN, MemberConf, UpstreamConf
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
 
 def member(host: str, port: str, weight: str, secret: str) -> MemberConf:
     """A member, or ``ValueError`` with what is wrong with it."""
-    found = PLACE.match(f"{host}:{port}")
+    found = HOST_AND_PORT.match(f"{host}:{port}")
     if not found or not 0 < int(found[2]) < 65536:
         raise ValueError(f"not a host and port: {host}:{port}")
     try:
@@ -43,7 +43,7 @@
 def upstream(name: str, members: Iterable[MemberConf]) -> UpstreamConf:
     """An upstream, or ``ValueError`` with what is wrong with it."""
     kept = tuple({m.host: m for m in members}.values())
-    if not NAME.match(name):
+    if not NAME_PATTERN.match(name):
         raise ValueError(f"not a name of ours: {name}")
     if not kept:
         raise ValueError(f"{name} has no member left")
--- a/saltcart/importer/__main__.py
+++ b/saltcart/importer/__main__.py
@@ -24,7 +24,7 @@
         except (OSError, UnicodeDecodeError) as error:
             print(f"{file}: {error}", file=sys.stderr)
             return 2
-        reader = modjk.read if file.endswith(".properties") else apache.read
+        reader = modjk.read_workers if file.endswith(".properties") else apache.read_balancers
         for upstream in reader(file, text, report):
             if upstream.name in upstreams:
                 report.add(file, 1, f"a second upstream of the name {upstream.name} was left out")
--- a/saltcart/importer/apache.py
+++ b/saltcart/importer/apache.py
@@ -59,7 +59,7 @@
         return None
 
 
-def read(file: str, text: str, report: Report) -> list[UpstreamConf]:
+def read_balancers(file: str, text: str, report: Report) -> list[UpstreamConf]:
     """The upstreams that the balancers stand for."""
     members: dict[str, list[MemberConf]] = {}
     lines: dict[str, int] = {}
--- a/saltcart/importer/modjk.py
+++ b/saltcart/importer/modjk.py
@@ -99,7 +99,7 @@
         return None
 
 
-def read(file: str, text: str, report: Report) -> list[UpstreamConf]:
+def read_workers(file: str, text: str, report: Report) -> list[UpstreamConf]:
     """The upstreams that the listed workers stand for."""
     workers, out = Workers(file, text, report), list[UpstreamConf]()
     if not workers.listed:
--- a/saltcart/locality/failover_plan.py
+++ b/saltcart/locality/failover_plan.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from saltcart.locality.zone_trust import WHOLE_SHARE, ZoneTrust
-from saltcart.schema import unpack
+from saltcart.schema import decode_message
 from saltcart.wire.errors import MalformedMessageError
 
 Rows = Mapping[int, Mapping[int, int]]  # thousandths of a zone's requests, by origin and target zone
@@ -66,7 +66,7 @@
         MalformedMessageError: The data is not a plan, or refers to a zone that does not exist, or a row has
             negative shares or more than the whole.
     """
-    plan = unpack(_decoder, data, "plan")
+    plan = decode_message(_decoder, data, "plan")
     for origin, row in plan.rows.items():
         has_valid_zones = 0 <= origin < zone_count and all(0 <= target < zone_count for target in row)
         has_valid_shares = all(share >= 0 for share in row.values()) and sum(row.values()) <= WHOLE_SHARE
--- a/saltcart/locality/load_reports.py
+++ b/saltcart/locality/load_reports.py
@@ -25,7 +25,7 @@
 from saltcart.locality.outlier_detection import EndpointOutcomes
 from saltcart.locality.settings import LocalitySettings
 from saltcart.membership.member_record import MemberRecord
-from saltcart.schema import unpack
+from saltcart.schema import decode_message
 
 MIN_EVIDENCE = 3.0  # decayed outcomes; a zone's grade that is based on fewer is left out of a summary
 MAX_MEMBERS_LISTED = 40  # in a summary, which has to fit into a register
@@ -96,7 +96,7 @@
     Raises:
         MalformedMessageError: The data is not a report.
     """
-    return unpack(_report_decoder, data, "report")
+    return decode_message(_report_decoder, data, "report")
 
 
 def read_summary(data: bytes) -> ZoneSummary:
@@ -105,7 +105,7 @@
     Raises:
         MalformedMessageError: The data is not a summary.
     """
-    return unpack(_summary_decoder, data, "summary")
+    return decode_message(_summary_decoder, data, "summary")
 
 
 def zone_leaders(present_members: Iterable[MemberRecord]) -> dict[str, str]:
--- a/saltcart/locality/settings.py
+++ b/saltcart/locality/settings.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from saltcart.field_reader import InvalidFieldError
-from saltcart.schema import convert
+from saltcart.schema import convert_table
 
 Seconds = Annotated[float, Meta(ge=0.05, le=3600.0)]
 Share = Annotated[float, Meta(gt=0.0, le=1.0)]
@@ -72,7 +72,7 @@
     Raises:
         InvalidFieldError: A field is invalid; the message names the field and the reason.
     """
-    conf = convert(raw, LocalitySettings, "locality")
+    conf = convert_table(raw, LocalitySettings, "locality")
     if conf.limit_pressed < conf.limit:
         raise InvalidFieldError("locality.limit_pressed: must not be less than limit")
     if conf.recover_most < conf.recover_for:
--- a/saltcart/membership/messages.py
+++ b/saltcart/membership/messages.py
@@ -12,7 +12,7 @@
 
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.shared_registers import MAX_VALUE_BYTES, RegisterValue
-from saltcart.schema import unpack
+from saltcart.schema import decode_message
 from saltcart.wire.errors import MalformedMessageError
 
 PROTOCOL_VERSION = 1
@@ -118,7 +118,7 @@
     Raises:
         MalformedMessageError: The bytes are not a valid datagram of this protocol version.
     """
-    datagram = unpack(_decoder, data, "membership datagram")
+    datagram = decode_message(_decoder, data, "membership datagram")
     if datagram.version != PROTOCOL_VERSION:
         raise MalformedMessageError(f"unsupported protocol version {datagram.version}")
     for record in (datagram.sender, *datagram.updates):
--- a/saltcart/membership/settings.py
+++ b/saltcart/membership/settings.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from saltcart.field_reader import InvalidFieldError
-from saltcart.schema import convert
+from saltcart.schema import convert_table
 
 ADDRESS_PATTERN = r"^[A-Za-z0-9.-]{1,253}:\d{1,5}$"
 LABEL_PATTERN = r"^[A-Za-z0-9._-]{0,32}$"
@@ -73,7 +73,7 @@
     Raises:
         InvalidFieldError: A field is invalid; the message names the field and the reason.
     """
-    settings = convert(raw, MemberSettings, "member")
+    settings = convert_table(raw, MemberSettings, "member")
     for key, address in (("listen", settings.listen), ("advertise", settings.advertise)):
         if address is not None and int(address.rpartition(":")[2]) > 65535:
             raise InvalidFieldError(f"member.{key}: port out of range: {address}")
--- a/saltcart/retry_storm/settings.py
+++ b/saltcart/retry_storm/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from saltcart.schema import convert
+from saltcart.schema import convert_table
 
 
 class StormSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -26,4 +26,4 @@
 
 def read_storm(raw: Mapping[str, Any]) -> StormSettings:
     """The table; ``InvalidFieldError`` names the field and the reason."""
-    return convert(raw, StormSettings, "storm")
+    return convert_table(raw, StormSettings, "storm")
--- a/saltcart/schema.py
+++ b/saltcart/schema.py
@@ -19,7 +19,7 @@
 T = TypeVar("T")
 
 
-def convert(raw: Mapping[str, Any], form: type[T], where: str) -> T:
+def convert_table(raw: Mapping[str, Any], form: type[T], where: str) -> T:
     """The table ``where`` as ``form``; ``InvalidFieldError`` names the field and the reason."""
     try:
         return msgspec.convert(dict(raw), form)
@@ -29,7 +29,7 @@
         raise InvalidFieldError(f"{field}: {reason}") from None
 
 
-def unpack(decoder: msgspec.msgpack.Decoder[T], data: bytes, what: str) -> T:
+def decode_message(decoder: msgspec.msgpack.Decoder[T], data: bytes, what: str) -> T:
     """A peer's message; ``MalformedMessageError`` says that it is no ``what``, and why."""
     try:
         return decoder.decode(data)
--- a/saltcart/subsetting/settings.py
+++ b/saltcart/subsetting/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from saltcart.schema import convert
+from saltcart.schema import convert_table
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -38,4 +38,4 @@
     Raises:
         InvalidFieldError: A field is invalid; the message names the field and the reason.
     """
-    return convert(raw, FleetSettings, "fleet")
+    return convert_table(raw, FleetSettings, "fleet")
--- a/saltcart/subsetting/subset_assignment.py
+++ b/saltcart/subsetting/subset_assignment.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from saltcart.schema import unpack
+from saltcart.schema import decode_message
 from saltcart.wire.errors import MalformedMessageError
 
 BUCKET_COUNT = 32  # registers that hold an assignment; a change rewrites only the affected ones
@@ -110,7 +110,7 @@
     Raises:
         MalformedMessageError: The data is not a bucket, or refers to a class that does not exist.
     """
-    bucket = unpack(_decoder, data, "bucket of an assignment")
+    bucket = decode_message(_decoder, data, "bucket of an assignment")
     if any(not 0 <= class_number < class_count for class_number in bucket.values()):
         raise MalformedMessageError("bucket of an assignment has an unknown class")
     return bucket
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -20,7 +20,7 @@
 
 from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, DemandEstimator
 from saltcart.membership.member_record import MemberRecord
-from saltcart.schema import unpack
+from saltcart.schema import decode_message
 from saltcart.subsetting.settings import FleetSettings
 from saltcart.subsetting.shared_rate_limit import SharedRateLimit
 from saltcart.subsetting.staggering import StaggeredBackoff, next_staggered_time, position_of
@@ -184,7 +184,7 @@
                 self._update_subset()
         class_number = _topic_number(topic, DEMAND_TOPIC)
         if class_number is not None:
-            self.subset_demands[class_number] = now, unpack(_demand_decoder, data, "subset demand")
+            self.subset_demands[class_number] = now, decode_message(_demand_decoder, data, "subset demand")
             self._apply_subset_demand(now)
 
     def _update_subset(self) -> None:
@@ -215,7 +215,7 @@
             MalformedMessageError: The data is not a load report.
         """
         if topic == REPORT_TOPIC:
-            self.reports[sender.name] = now, unpack(_report_decoder, data, "load report")
+            self.reports[sender.name] = now, decode_message(_report_decoder, data, "load report")
 
     def tick(self, now: float) -> None:
         """Send what is due at this instance's staggered time.
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -13,7 +13,7 @@
 from saltcart.app import App
 from saltcart.config import Config, read_config
 from saltcart.core.ports import Log
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.clock import Clock
 from saltcart.wire import ajp, http1
 from saltcart.wire.buffer import Buffer
@@ -159,7 +159,7 @@
     app = App(conf, deployment or Deployment(), log, clock)
     await app.start()
     try:
-        await until(lambda: app.service.is_healthy and app.ready())
+        await until(lambda: app.service.is_healthy and app.is_ready())
         yield app
     finally:
         await app.close()
@@ -283,7 +283,7 @@
 
 
 CLIENTS = {"http": HttpClient, "ajp": AjpClient}
-BOTH_FRONTS = Deployment(ajp=AjpFront("127.0.0.1:0"))
+BOTH_FRONTS = Deployment(ajp=AjpSettings("127.0.0.1:0"))
 
 
 class AjpServer(Server):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,7 +10,7 @@
 import pytest
 
 from saltcart.config import ConfigError
-from saltcart.deployment import Admin, AjpFront, Deployment, read
+from saltcart.deployment import AdminSettings, AjpSettings, Deployment, read_deployment
 from saltcart.wire import ajp
 from tests.standins import AjpServer, HttpClient, container_answer, running
 
@@ -19,7 +19,7 @@
 
 
 def deployment(state: Path | None = None) -> Deployment:
-    return Deployment(admin=Admin("127.0.0.1:0", TOKEN, None if state is None else str(state)))
+    return Deployment(admin=AdminSettings("127.0.0.1:0", TOKEN, None if state is None else str(state)))
 
 
 async def ask(
@@ -159,10 +159,10 @@
 )
 def test_a_deployment_file_with_faults_is_refused(raw: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named):
-        read(raw)
+        read_deployment(raw)
 
 
 def test_what_is_not_enabled_is_off() -> None:
     off = {"enabled": False, "listen": "127.0.0.1:1", "token": ""}
-    assert read({"ajp": {"enabled": False, "listen": "127.0.0.1:1"}, "admin": off}) == Deployment()
-    assert read({"ajp": {"listen": "127.0.0.1:1"}}).ajp == AjpFront("127.0.0.1:1")
+    assert read_deployment({"ajp": {"enabled": False, "listen": "127.0.0.1:1"}, "admin": off}) == Deployment()
+    assert read_deployment({"ajp": {"listen": "127.0.0.1:1"}}).ajp == AjpSettings("127.0.0.1:1")
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -7,13 +7,13 @@
 import pytest
 
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment, MemberConf, UpstreamConf
+from saltcart.deployment import AjpSettings, Deployment, MemberConf, UpstreamConf
 from saltcart.net import ajp as module
 from saltcart.net.ajp import AjpMember, AjpUpstream
 from saltcart.wire import ajp
 from tests.standins import AjpClient, AjpServer, HttpClient, Pool, container_answer, running, until
 
-FRONT = Deployment(ajp=AjpFront("127.0.0.1:0", "s3cret"))
+FRONT = Deployment(ajp=AjpSettings("127.0.0.1:0", "s3cret"))
 
 
 def upstream(*hosts: str) -> Deployment:
@@ -107,7 +107,7 @@
             early = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             early.send(1)
             await until(lambda: len(pool.spawned) == 1)
-            app.leave()
+            app.begin_drain()
             await asyncio.sleep(0.35)
             late = await AjpClient(app.addresses["ajp"], b"s3cret").open()  # still accepted
             assert (await late.ask(2)).status == 503
--- a/tests/test_composed_responses.py
+++ b/tests/test_composed_responses.py
@@ -17,7 +17,7 @@
 
 from saltcart.app import App
 from saltcart.config import ConfigError
-from saltcart.deployment import read
+from saltcart.deployment import read_deployment
 from saltcart.lab.standins import Act, AjpStandIn, Asked, IndexStandIn, Script, StandIn
 from tests.standins import AjpClient, HttpClient, raw_config, running, until
 
@@ -90,7 +90,7 @@
             await stack.enter_async_context(make)
             for make in (AjpStandIn(tariff), IndexStandIn(archive), AjpStandIn(ledger), AjpStandIn(ok))
         ]
-        deployment = read(tables(*(s.address for s in stand_ins), **more))
+        deployment = read_deployment(tables(*(s.address for s in stand_ins), **more))
         app = await stack.enter_async_context(running(deployment, control="127.0.0.1:0"))
         yield Site(app, *stand_ins)
 
@@ -274,9 +274,9 @@
             client.send(1)
             await until(lambda: len(s.archive.asked) == 1)
             s.app.conf = type(s.app.conf)(
-                **{**{f: getattr(s.app.conf, f) for f in s.app.conf.__slots__}, "stop_after": 0.5}
+                **{**{f: getattr(s.app.conf, f) for f in s.app.conf.__slots__}, "stop_timeout": 0.5}
             )
-            s.app.leave()
+            s.app.begin_drain()
             answer = await client.answer()
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
 
@@ -340,7 +340,7 @@
 
 def test_plans_cannot_be_combined_with_a_worker_pool() -> None:
     async def test() -> None:
-        deployment = read(tables("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
+        deployment = read_deployment(tables("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
         with pytest.raises(ConfigError, match="worker pool"):
             async with running(deployment, pool="127.0.0.1:9"):
                 pass
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -139,7 +139,7 @@
             late = await HttpClient(app.addresses["http"]).open()
             late.changed = {**client.changed, "Budget-Ms": None}
             late.send(50, klass, key="other" if has_key else None)
-            app.leave()
+            app.begin_drain()
             assert (await asyncio.wait_for(late.answer(), 5)).status in (500, 503)
             assert (await client.ask(51, klass, key="third" if has_key else None)).status in (500, 503)
             assert sum(word.startswith(b"spawn") for word in pool.told) == len(set(pool.spawned))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -397,7 +397,7 @@
                 served = asyncio.create_task(serve())
                 await app.start()
                 try:
-                    await until(app.ready)
+                    await until(app.is_ready)
                     await served
                     client = await HttpClient("{}:{}".format(*held.getsockname())).open()
                     assert (await client.ask(1)).status == 200
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -55,7 +55,7 @@
 
 def test_workers() -> None:
     report = Report()
-    found = modjk.read("w", WORKERS, report)
+    found = modjk.read_workers("w", WORKERS, report)
     members = [(m.host, m.weight, m.secret) for u in found for m in u.members]
     assert [u.name for u in found] == ["lb"]
     assert members == [("10.0.0.1:8010", 2.0, ""), ("two.example.org:8010", 0.5, 'a"b')]
@@ -75,7 +75,7 @@
 
 def test_balancers() -> None:
     report = Report()
-    found = apache.read("h", APACHE, report)
+    found = apache.read_balancers("h", APACHE, report)
     assert [(u.name, [(m.host, m.weight, m.secret) for m in u.members]) for u in found] == [
         ("declarations", [("10.0.0.1:8010", 2.0, ""), ("10.0.0.2:8009", 1.0, "s3cret")]),
         ("other", [("h:9", 1.0, "")]),
@@ -110,7 +110,7 @@
 )
 def test_what_is_wrong_in_workers_is_reported(text: str, said: str) -> None:
     report = Report()
-    modjk.read("w", text, report)
+    modjk.read_workers("w", text, report)
     assert said in str(report)
 
 
@@ -125,6 +125,6 @@
         check=False,
     )
     assert done.returncode == 1 and len(done.stderr.splitlines()) == 18
-    read = deployment.read(tomllib.loads(done.stdout))
+    read = deployment.read_deployment(tomllib.loads(done.stdout))
     assert [u.name for u in read.upstreams] == ["lb", "declarations", "other"]
-    assert deployment.read(tomllib.loads(to_toml(read.upstreams))) == read
+    assert deployment.read_deployment(tomllib.loads(to_toml(read.upstreams))) == read
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from saltcart.config import ConfigError
-from saltcart.deployment import read
+from saltcart.deployment import read_deployment
 from saltcart.field_reader import InvalidFieldError
 from saltcart.lab import zones as model
 from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, DemandEstimator, credible_demand
@@ -950,9 +950,9 @@
 
 
 def test_zone_aware_routing_is_off_without_its_table() -> None:
-    assert read({"member": MEMBER, "upstream": [UPSTREAM]}).locality is None
-    assert read(deployment(locality={"upstream": "work", "enabled": False})).locality is None
-    assert read(deployment()).locality == SETTINGS
+    assert read_deployment({"member": MEMBER, "upstream": [UPSTREAM]}).locality is None
+    assert read_deployment(deployment(locality={"upstream": "work", "enabled": False})).locality is None
+    assert read_deployment(deployment()).locality == SETTINGS
 
 
 @pytest.mark.parametrize(
@@ -991,7 +991,7 @@
     changes: dict[str, object], message: str
 ) -> None:
     with pytest.raises(ConfigError, match=message):
-        read(deployment(**changes))
+        read_deployment(deployment(**changes))
 
 
 def test_an_error_in_the_table_names_the_field() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from saltcart.config import ConfigError
-from saltcart.deployment import read
+from saltcart.deployment import read_deployment
 from saltcart.field_reader import InvalidFieldError
 from saltcart.membership import messages
 from saltcart.membership.dissemination import UpdateQueue, retransmit_limit
@@ -499,13 +499,16 @@
     with pytest.raises(InvalidFieldError, match=reason):
         read_member(raw_table)
     with pytest.raises(ConfigError):
-        read({"member": raw_table})
+        read_deployment({"member": raw_table})
 
 
 def test_membership_is_off_without_its_table_or_when_disabled() -> None:
     enabled_table = {"listen": "127.0.0.1:0", "cluster": "c"}
-    assert read({}).member is None and read({"member": {**enabled_table, "enabled": False}}).member is None
-    assert read({"member": enabled_table}).member is not None
+    assert (
+        read_deployment({}).member is None
+        and read_deployment({"member": {**enabled_table, "enabled": False}}).member is None
+    )
+    assert read_deployment({"member": enabled_table}).member is not None
 
 
 def test_a_suspicion_lasts_longer_in_a_larger_fleet() -> None:
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -13,7 +13,7 @@
 from saltcart.config import read_config
 from saltcart.core.messages import InboundRequest, ResponseCallback
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.clock import Clock
 from tests.standins import AjpClient, HttpClient, raw_config, until
 
@@ -53,11 +53,11 @@
     now = 5_000.0
     app = App(
         read_config(raw_config()),
-        Deployment(ajp=AjpFront("127.0.0.1:0")),
+        Deployment(ajp=AjpSettings("127.0.0.1:0")),
         lambda *_, **__: None,
         clock=Clock(lambda: now, lambda: now),
     )
-    app.runs = Work(app)
+    app.worker_pool_override = Work(app)
     await app.start()
     taken = list[bytes]()
     arrive = app.service.submit
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -31,7 +31,7 @@
             clock, heard = app.service.clock.read_seconds, asyncio.Event()
 
             def leave(ago: float) -> None:
-                app.leave(heard.set, ago)
+                app.begin_drain(heard.set, ago)
                 heard.set()
 
             on_notice((signal.SIGTERM, signal.SIGINT), clock, leave)
@@ -43,7 +43,7 @@
             await heard.wait()
             drain_at, stop_at = app.service.drain.notified_at, app.service.drain.stop_at
             assert drain_at is not None and drain_at < came[1]
-            assert stop_at - drain_at == pytest.approx(app.conf.stop_after, abs=0.1)
+            assert stop_at - drain_at == pytest.approx(app.conf.stop_timeout, abs=0.1)
 
     before = [signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)]
     try:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.listener import Listener
 from tests.standins import CLIENTS, HttpClient, Pool, Server, ident, raw_config, running, until
 
@@ -175,7 +175,10 @@
     """What no request can say never reaches the core, on either front."""
 
     async def play() -> None:
-        async with Pool() as pool, running(Deployment(ajp=AjpFront("127.0.0.1:0")), pool=pool.address) as app:
+        async with (
+            Pool() as pool,
+            running(Deployment(ajp=AjpSettings("127.0.0.1:0")), pool=pool.address) as app,
+        ):
             for name, value in BAD:
                 client = await CLIENTS[front](app.addresses[front]).open()
                 client.changed = {name: value}
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from saltcart.admin.api import Api
+from saltcart.admin.api import AdminApi
 from saltcart.app import App
 from saltcart.cli import cli
 from saltcart.config import ConfigError
@@ -19,7 +19,7 @@
 from saltcart.decision.actions import Action
 from saltcart.decision.events import Event, RequestArrived
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment, read
+from saltcart.deployment import AjpSettings, Deployment, read_deployment
 from saltcart.lab import storm as lab
 from saltcart.retry_storm.controller import RetryStormController
 from saltcart.retry_storm.settings import StormSettings
@@ -27,7 +27,7 @@
 from tests.fakes import SETTINGS, ServiceHarness
 from tests.standins import AjpClient, HttpClient, Pool, running, until
 
-STORM = Deployment(ajp=AjpFront("127.0.0.1:0"), storm=StormSettings())
+STORM = Deployment(ajp=AjpSettings("127.0.0.1:0"), storm=StormSettings())
 
 
 def world(**more: Any) -> tuple[ServiceHarness, RetryStormController]:
@@ -252,7 +252,7 @@
 
 
 def test_the_administration_shows_who_repeats() -> None:
-    api = Api(ServiceHarness().service, None, "sixteen-characters-of-it", None, lambda: damper)  # type: ignore[arg-type]
+    api = AdminApi(ServiceHarness().service, None, "sixteen-characters-of-it", None, lambda: damper)  # type: ignore[arg-type]
     w, damper = world()
     storm_on(damper)
     head = {b"authorization": b"Bearer sixteen-characters-of-it"}
@@ -265,9 +265,9 @@
 
 @pytest.mark.parametrize(("table", "on"), [({}, True), ({"enabled": False}, False)])
 def test_the_table_turns_it_on_and_off(table: dict[str, Any], on: bool) -> None:
-    assert (read({"storm": table}).storm is not None) == on
+    assert (read_deployment({"storm": table}).storm is not None) == on
     with pytest.raises(ConfigError, match=r"storm\.least"):
-        read({"storm": {**table, "least": -1}})
+        read_deployment({"storm": {**table, "least": -1}})
 
 
 def test_storms_are_seen_by_operators() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -16,7 +16,7 @@
 from saltcart.core.idempotency_keys import KeyRecord
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import handover as wire
 from saltcart.wire.errors import MalformedMessageError
@@ -196,7 +196,7 @@
                 assert (await keyed.ask(6, "oddaja", key="k")).body == b"done x"  # its connection has moved
                 assert other.spawned == [ident(3), ident(4)] and len(pool.spawned) == 2
                 done = asyncio.Event()
-                old.leave(done.set)
+                old.begin_drain(done.set)
                 assert not done.is_set() and not new.service.drain.notified_at
                 pool.finish(ident(1))
                 assert (await busy.answer()).body == b"done x"
@@ -261,7 +261,7 @@
             async with running(None, platform, pool=other.address):
                 pool.auto = False
                 await until(lambda: old.service.lifecycle.attempts.notify_successor is not None)
-                old.leave(done.set)
+                old.begin_drain(done.set)
             await until(lambda: old.service.lifecycle.attempts.notify_successor is None)
             assert old.service.drain.notified_at is not None and not done.is_set()
             pool.auto = True
@@ -326,7 +326,7 @@
         ajp = "{}:{}".format(*free.getsockname())
 
     async def play() -> None:
-        extra = Deployment(ajp=AjpFront(ajp))
+        extra = Deployment(ajp=AjpSettings(ajp))
         async with Pool() as pool, Pool() as other, running(extra, platform, pool=pool.address):
             client = await AjpClient(ajp).open()
             assert (await client.ask(1)).status == 200
