--- a/saltcart/__init__.py
+++ b/saltcart/__init__.py
@@ -1,1 +1,1 @@
-"""saltcart: an overload controller that lives inside each server of a fleet."""
+"""An overload controller that runs inside each server of a fleet."""
--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -1,12 +1,16 @@
-"""Start the service: ``python -m saltcart``."""
+"""Starts the service: ``python -m saltcart``.
+
+With arguments it runs the command line of ``saltcart.cli`` instead.
+"""
 
 from __future__ import annotations
 
 import signal
 
-# A SIGHUP that comes while the program still starts must not end it: it is kept, and followed once it runs.
-HANGUPS: list[int] = []
-signal.signal(signal.SIGHUP, lambda number, _: HANGUPS.append(number))
+# A SIGHUP that arrives during start-up must not end the process: it is recorded, and the configuration is
+# reloaded as soon as the service runs.
+PENDING_HANGUPS: list[int] = []
+signal.signal(signal.SIGHUP, lambda number, _: PENDING_HANGUPS.append(number))
 
 import asyncio  # noqa: E402
 import gc  # noqa: E402
@@ -17,45 +21,60 @@
 from saltcart.log import JsonLog  # noqa: E402
 from saltcart.net.signals import on_notice  # noqa: E402
 
-LINGER = 1.0  # the process ends by itself this long after it should have been stopped
+EXIT_DELAY_SECONDS = 1.0  # after the stop timeout: the process exits then if nothing has killed it
 
 
 async def serve(conf: config.Config, extra: deployment.Deployment, log: JsonLog) -> None:
+    """Run the service until it is stopped and drained.
+
+    Args:
+        conf: The platform's configuration.
+        extra: The deployment file's settings.
+        log: Receives the service's events.
+
+    Raises:
+        ConfigError: If settings conflict, or the file of saved tenants can't be read.
+        OSError: If an address can't be listened on.
+    """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _, context: log("error", text=context.get("message"), error=repr(context.get("exception")))
     )
-    app, ended = App(conf, extra, log), asyncio.Event()
+    app, stopped = App(conf, extra, log), asyncio.Event()
 
-    def leave(ago: float) -> None:
-        app.begin_drain(ended.set, ago)
-        loop.call_later(conf.stop_timeout + LINGER - ago, ended.set)
+    def begin_drain(seconds_ago: float) -> None:
+        app.begin_drain(stopped.set, seconds_ago)
+        loop.call_later(conf.stop_timeout + EXIT_DELAY_SECONDS - seconds_ago, stopped.set)
 
     def reload() -> None:
         try:
             app.reload(config.load())
-        except Exception as error:  # whatever a file may hold, a running service outlives it
+        except Exception as error:  # a running service survives any content of the file
             log("reload-failed", error=str(error))
 
-    on_notice((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, leave)
+    on_notice((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, begin_drain)
     await app.start()
     gc.collect()
-    gc.freeze()  # what lives as long as the process need not be looked at again
+    gc.freeze()  # later collections skip the objects that live as long as the process
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if HANGUPS:
+    if PENDING_HANGUPS:
         reload()
-    end = loop.create_task(ended.wait())
-    if app.takeover_task is not None:  # the fronts open later: what keeps them from that ends the program
-        await asyncio.wait((app.takeover_task, end), return_when=asyncio.FIRST_COMPLETED)
+    stop_task = loop.create_task(stopped.wait())
+    if app.takeover_task is not None:  # it opens the fronts later; if that fails, the program ends
+        await asyncio.wait((app.takeover_task, stop_task), return_when=asyncio.FIRST_COMPLETED)
         if app.takeover_task.done():
             app.takeover_task.result()
-    await end
+    await stop_task
     log("stopped", counts={" ".join(key): count for key, count in app.service.counts.items()})
     await app.close()
 
 
 def main() -> int:
-    """The service; with words after it, the command line beside it."""
+    """Run the service, or the command line if there are arguments.
+
+    Returns:
+        The exit status.
+    """
     if len(sys.argv) < 2:
         return run_service()
     from saltcart.cli import cli  # never loaded by the service
@@ -65,6 +84,11 @@
 
 
 def run_service() -> int:
+    """Read the configuration and run the service.
+
+    Returns:
+        The exit status: 0 after a graceful shutdown, 2 if the service can't start.
+    """
     try:
         conf, extra = config.load(), deployment.load()
     except config.ConfigError as error:
@@ -73,7 +97,7 @@
     log = JsonLog()
     try:
         asyncio.run(serve(conf, extra, log))
-    except (config.ConfigError, OSError) as error:  # a state file that can't be read, an address in use
+    except (config.ConfigError, OSError) as error:  # such as an unreadable state file or an address in use
         print(f"saltcart: {error}", file=sys.stderr)
         return 2
     finally:
--- a/saltcart/field_reader.py
+++ b/saltcart/field_reader.py
@@ -1,7 +1,6 @@
-"""Checked reading of one JSON or TOML object.
+"""Validated reading of one JSON or TOML object.
 
-Nothing here knows where a value came from beyond the name that it is told; every error names that place, the
-field and the reason.
+Every error names the object (by the path that the caller gave it), the field and the reason.
 """
 
 from __future__ import annotations
@@ -9,25 +8,32 @@
 import math
 from typing import Any
 
-MAX_VALUE = (
-    1e15  # in whatever unit: beyond it sums of times and sizes lose their meaning, and end in infinity
-)
+MAX_VALUE = 1e15  # in any unit; sums of larger times and sizes lose precision and may become infinite
 _REQUIRED: Any = object()
 
 
 class InvalidFieldError(Exception):
-    """Input that breaks its contract; the text names the place, the field and the reason."""
+    """Input that breaks its contract; the text names the object, the field and the reason."""
 
 
 class FieldReader:
-    """Checked access to the fields of one object.
+    """Validated access to the fields of one object.
 
-    Each method returns the field's value, or the default where the field is absent or null.  It raises
-    ``InvalidFieldError`` for a value out of its form or range, and for an absent field without a default.
+    Each method returns the field's value, or the default if the field is absent or null.  It raises
+    ``InvalidFieldError`` for a value of the wrong type or out of range, and for an absent field that has no
+    default.
     """
 
     def __init__(self, raw: Any, where: str) -> None:
-        """``where`` names the object in errors."""
+        """Start reading an object.
+
+        Args:
+            raw: The decoded object.
+            where: Path of the object in its document, for errors.
+
+        Raises:
+            InvalidFieldError: If ``raw`` is not an object.
+        """
         if not isinstance(raw, dict):
             raise InvalidFieldError(f"{where}: not an object")
         self.raw: dict[str, Any] = raw
@@ -46,7 +52,7 @@
         value = self._get(key, default)
         if value is default:
             return value
-        is_nan = value != value  # math.isnan() fails on whole numbers that no float holds
+        is_nan = value != value  # math.isnan() raises OverflowError for integers beyond a float's range
         if isinstance(value, bool) or not isinstance(value, (int, float)) or is_nan:
             raise InvalidFieldError(f"{self.where}: field {key} is not a number")
         if not low <= value <= min(high, MAX_VALUE):
@@ -59,7 +65,7 @@
         if value is default:
             return value
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
-            raise InvalidFieldError(f"{self.where}: field {key} is not a whole number from {low} up")
+            raise InvalidFieldError(f"{self.where}: field {key} is not a whole number of at least {low}")
         return value
 
     def text(self, key: str, default: Any = _REQUIRED) -> Any:
@@ -88,14 +94,14 @@
         return FieldReader(self._get(key, _REQUIRED), f"{self.where}.{key}")
 
     def optional_section(self, key: str) -> FieldReader:
-        """Return a reader of the object in a field, or of an empty one where it is absent."""
+        """Return a reader of the object in a field, or of an empty object if the field is absent."""
         return FieldReader(self.raw.get(key) or {}, f"{self.where}.{key}")
 
     def choice(self, key: str, table: dict[str, Any], default: Any = _REQUIRED) -> Any:
-        """Return what a table has under the field's text."""
+        """Return the value that ``table`` has for the field's text."""
         value = self.text(key, default)
         if value is default:
             return value
         if value not in table:
-            raise InvalidFieldError(f"{self.where}: field {key} has no such value: {value}")
+            raise InvalidFieldError(f"{self.where}: field {key} has an unknown value: {value}")
         return table[value]
--- a/saltcart/log.py
+++ b/saltcart/log.py
@@ -1,4 +1,7 @@
-"""Logs: one JSON line an event.  Standard output may block, so a thread of its own writes it."""
+"""Structured log: one JSON line for each event.
+
+Writing to standard output may block, so a thread of its own does it.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,16 @@
 
 import orjson
 
-ROOM = 2000  # lines that may wait; what finds no room is counted and said later
+MAX_QUEUED_LINES = 2000  # further lines are dropped; the next line that is queued has their number
 
 
 class JsonLog:
+    """Writes events as JSON lines to a file descriptor, without ever blocking the caller."""
+
     def __init__(self, fd: int = 1) -> None:
+        """Start the thread that writes to ``fd``."""
         self.fd, self.dropped = fd, 0
-        self.lines: queue.Queue[bytes | None] = queue.Queue(ROOM)
+        self.lines: queue.Queue[bytes | None] = queue.Queue(MAX_QUEUED_LINES)
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
@@ -34,11 +40,15 @@
             try:
                 while line:
                     line = line[os.write(self.fd, line) :]
-            except OSError:  # a full disk, a reader that is slow or gone: one line is lost, not all to come
+            except OSError:  # disk full, or reader slow or gone: only this line is lost, not the later ones
                 self.dropped += 1
 
     def close(self, wait: float = 1.0) -> None:
-        """Write what waits, as far as the reader takes it in time."""
+        """Write the queued lines, unless the queue is full, and stop the thread.
+
+        Args:
+            wait: Seconds to wait for a slow reader at most.
+        """
         try:
             self.lines.put_nowait(None)
         except queue.Full:
--- a/saltcart/platform_settings.py
+++ b/saltcart/platform_settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings object into the decision module's ``Settings``."""
+"""Conversion of the platform's settings object to the decision module's ``Settings``."""
 
 from __future__ import annotations
 
@@ -21,19 +21,23 @@
     "idempotency_key": Effect.IDEMPOTENT_BY_KEY,
     "non_idempotent": Effect.NON_IDEMPOTENT,
 }
-PREEMPTION = {"none": Preemption.NONE, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
+PREEMPTIONS = {"none": Preemption.NONE, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
 SIGNALS = {
     "none": LoadSignal.NONE,
     "level": LoadSignal.LEVEL,
     "credit": LoadSignal.CREDIT,
     "weight": LoadSignal.WEIGHT,
 }
-DEPENDENCIES = {"none": DependencyKind.NONE, "shared": DependencyKind.SHARED, "tier": DependencyKind.TIER}
-SMALLEST = 1e-6  # of a time or size that must not be 0
+DEPENDENCY_KINDS = {"none": DependencyKind.NONE, "shared": DependencyKind.SHARED, "tier": DependencyKind.TIER}
+MIN_POSITIVE = 1e-6  # lower bound, in any unit, for times and sizes that must not be 0
 
 
 def read_settings(fields: FieldReader) -> Settings:
-    """Read the settings; ``InvalidFieldError`` names what is wrong with them."""
+    """Read the settings.
+
+    Raises:
+        InvalidFieldError: If a value is missing or invalid.
+    """
     extra = fields.section("extra")
     contract = fields.section("contract")
     limits = fields.optional_section("limits")
@@ -42,7 +46,7 @@
         classes=_read_classes(fields, extra),
         tenants=_read_tenants(fields),
         cores=extra.integer("cores", low=1, high=MAX_VALUE),
-        memory_kb=extra.number("memLimitKb", low=SMALLEST),
+        memory_kb=extra.number("memLimitKb", low=MIN_POSITIVE),
         answer_slack=contract.number("answerSlack"),
         drain_grace=contract.number("drainGrace"),
         max_running_per_core=contract.number("fallMultiple", low=1),
@@ -52,9 +56,9 @@
         starts_cold=extra.flag("cold", False),
         over_quota_weight_share=fields.number("overShareWorth", 1.0),
         objective=_read_objective(fields.optional_section("objectiveMix")),
-        preemption=extra.choice("preemption", PREEMPTION, Preemption.NONE),
+        preemption=extra.choice("preemption", PREEMPTIONS, Preemption.NONE),
         signal=extra.choice("signal", SIGNALS, LoadSignal.NONE),
-        dependency=extra.choice("below", DEPENDENCIES, DependencyKind.NONE),
+        dependency=extra.choice("below", DEPENDENCY_KINDS, DependencyKind.NONE),
         dependency_call_share=extra.number("depShare", None),
         dependency_call_window=extra.number("shareSpan", 0.0),
         abandoned_call_seconds=extra.number("linger", 0.0),
@@ -66,7 +70,7 @@
         max_retry_after=limits.number("maxRetryAfter", 0.0) if has_retry_after else 0.0,
         replica_count=fields.integer("replicasOfMe", 1, high=MAX_VALUE),
         client_count=extra.integer("clientsTotal", 1, high=MAX_VALUE),
-        batch_interval=fields.number("quantum", 0.001, low=SMALLEST),
+        batch_interval=fields.number("quantum", 0.001, low=MIN_POSITIVE),
         tier=fields.integer("tier", 0),
     )
 
@@ -82,13 +86,15 @@
         service = FieldReader(raw, f"{fields.where}.services[{index}]")
         skipped_share = skips[index] if index < len(skips) else 0.0
         if not _is_share(skipped_share):
-            raise InvalidFieldError(f"{extra.where}: field classSkipWorth[{index}] is not a share")
+            raise InvalidFieldError(
+                f"{extra.where}: field classSkipWorth[{index}] is not a number from 0 to 1"
+            )
         calls_dependency = calls[index] if index < len(calls) else False
         if not isinstance(calls_dependency, bool):
             raise InvalidFieldError(f"{extra.where}: field callsByClass[{index}] is not true or false")
         name = _read_class_name(service)
         if any(name == known.name for known in classes):
-            raise InvalidFieldError(f"{service.where}: field name stands for two classes: {name}")
+            raise InvalidFieldError(f"{service.where}: field name is used by two classes: {name}")
         classes.append(_read_class(service, name, calls_dependency, float(skipped_share)))
     return tuple(classes)
 
@@ -100,8 +106,10 @@
 def _read_class_name(service: FieldReader) -> str:
     name: str = service.text("name")
     if not name or any(c.isspace() or not c.isprintable() for c in name):
-        # It is a word of the pool's lines: what has a space there would be read as two.
-        raise InvalidFieldError(f"{service.where}: field name is not a word")
+        # The name is sent as one word of the worker pool's line protocol, where a space would end it.
+        raise InvalidFieldError(
+            f"{service.where}: field name is empty or has spaces or unprintable characters"
+        )
     return name
 
 
@@ -109,8 +117,8 @@
     return ClassSpec(
         name=name,
         effect=service.choice("effect", EFFECTS),
-        latency_objective=service.number("onTime", low=SMALLEST),
-        deadline=service.number("deadline", low=SMALLEST),
+        latency_objective=service.number("onTime", low=MIN_POSITIVE),
+        deadline=service.number("deadline", low=MIN_POSITIVE),
         priority_weight=service.number("worth"),
         late_weight_share=service.number("lateValue", 0.0),
         key_window=service.number("memorySpan", 0.0),
@@ -125,17 +133,17 @@
         tenant = FieldReader(raw, f"{fields.where}.orgs[{index}]")
         name = tenant.text("name")
         if not name or name != name.strip() or not name.isprintable():
-            raise InvalidFieldError(f"{tenant.where}: field name is not one that a header can carry")
+            raise InvalidFieldError(f"{tenant.where}: field name can't be sent in a header")
         if any(name == known.name for known in tenants):
-            raise InvalidFieldError(f"{tenant.where}: field name stands for two tenants: {name}")
+            raise InvalidFieldError(f"{tenant.where}: field name is used by two tenants: {name}")
         tenants.append(TenantSpec(name, tenant.number("quotaPerS", 0.0), tenant.number("share", 0.0)))
     return tuple(tenants)
 
 
-def _read_objective(mix: FieldReader) -> ObjectiveWeights:
+def _read_objective(weights: FieldReader) -> ObjectiveWeights:
     return ObjectiveWeights(
-        overall=mix.number("whole", 1.0),
-        worst_window=mix.number("worstWindow", 0.0),
-        worst_class=mix.number("worstClass", 0.0),
-        worst_tenant=mix.number("worstTenant", 0.0),
+        overall=weights.number("whole", 1.0),
+        worst_window=weights.number("worstWindow", 0.0),
+        worst_class=weights.number("worstClass", 0.0),
+        worst_tenant=weights.number("worstTenant", 0.0),
     )
--- a/saltcart/schema.py
+++ b/saltcart/schema.py
@@ -1,8 +1,8 @@
-"""Tables and messages checked against a msgspec schema.
+"""Decoding of tables and messages against msgspec schemas.
 
-A table's errors are worded as in field_reader.py: place, field, reason.
+Errors in a table are worded as in field_reader.py: location, field, reason.
 
-Imported only by the parts that are on: a service without them has no msgspec.
+Only optional features import this module: a service that uses none of them doesn't load msgspec.
 """
 
 from __future__ import annotations
@@ -19,19 +19,37 @@
 T = TypeVar("T")
 
 
-def convert_table(raw: Mapping[str, Any], form: type[T], where: str) -> T:
-    """The table ``where`` as ``form``; ``InvalidFieldError`` names the field and the reason."""
+def convert_table(raw: Mapping[str, Any], schema: type[T], where: str) -> T:
+    """Convert a table of the deployment file to a typed object.
+
+    Args:
+        raw: The table.
+        schema: The type to convert to.
+        where: Name of the table, for errors.
+
+    Raises:
+        InvalidFieldError: If the table doesn't match the schema; the text has the field and the reason.
+    """
     try:
-        return msgspec.convert(dict(raw), form)
+        return msgspec.convert(dict(raw), schema)
     except msgspec.ValidationError as error:
         reason, _, path = str(error).partition(" - at `$")
         field = re.sub(r"^\.?", f"{where}.", path.rstrip("`")) if path else where
         raise InvalidFieldError(f"{field}: {reason}") from None
 
 
-def decode_message(decoder: msgspec.msgpack.Decoder[T], data: bytes, what: str) -> T:
-    """A peer's message; ``MalformedMessageError`` says that it is no ``what``, and why."""
+def decode_message(decoder: msgspec.msgpack.Decoder[T], data: bytes, message_name: str) -> T:
+    """Decode a peer's message.
+
+    Args:
+        decoder: Decoder of the expected type.
+        data: The encoded message.
+        message_name: What the message should be, for errors.
+
+    Raises:
+        MalformedMessageError: If the data is not such a message.
+    """
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise MalformedMessageError(f"not a {what}: {error}") from None
+        raise MalformedMessageError(f"not a {message_name}: {error}") from None
