--- a/saltcart/admin/__init__.py
+++ b/saltcart/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API: tenants, shares and upstreams, and a look at state and counts."""
+"""The administration API: tenants, shares, upstreams, and the state and counters of the service."""
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -1,17 +1,17 @@
-"""The API's resources as plain functions of a request; no socket here.
+"""Request handlers of the administration API, independent of the transport.
 
-GET /v1/state                           what the service is doing
-GET /v1/counts                          answers by tenant, class and verdict
+GET /v1/state                           state of the service
+GET /v1/counts                          responses by tenant, class and status
 GET, POST /v1/tenants                   list, create
-GET, PUT, PATCH, DELETE /v1/tenants/N   show, replace, change, remove
-GET, PUT /v1/shares                     all shares at once
+GET, PUT, PATCH, DELETE /v1/tenants/N   show, replace, update, delete
+GET, PUT /v1/shares                     all tenants' shares at once
 GET, POST /v1/upstreams                 list, create
-GET, PUT, DELETE /v1/upstreams/N        show, replace, remove
-GET /v1/dependencies                    what composed runs know of theirs
-GET /v1/storm                           retries, who amplifies, what callers are told
-GET /v1/members                         the fleet as this process sees it
-GET /v1/locality                        zones, their trust, and where work goes
-GET /v1/fleet                           this process's subset of members, and its share of their limit
+GET, PUT, DELETE /v1/upstreams/N        show, replace, delete
+GET /v1/dependencies                    state of the dependencies of composed responses
+GET /v1/storm                           retries, clients that amplify them, and Retry-After values sent
+GET /v1/members                         this instance's view of the fleet
+GET /v1/locality                        zones, their health and the routing between them
+GET /v1/fleet                           this instance's subset of members, and its share of their limits
 """
 
 from __future__ import annotations
@@ -36,18 +36,24 @@
     from saltcart.net.subset_driver import SubsetDriver
     from saltcart.retry_storm.controller import RetryStormController
 
-Reply = tuple[int, Any]
+Reply = tuple[int, Any]  # status, body
 
 
 class ApiError(Exception):
-    """What is wrong with the request, and the status that says so."""
+    """A request that can't be served, with the status of its error response."""
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
+        """Create an error with the headers that its response has."""
         super().__init__(text)
         self.status, self.headers = status, headers
 
 
 class AdminApi:
+    """Authenticates requests and routes them to their handlers.
+
+    A handler returns the status and the body, which is then encoded as JSON.
+    """
+
     def __init__(
         self,
         service: Service,
@@ -59,6 +65,19 @@
         locality: LocalityDriver | None = None,
         subsets: SubsetDriver | None = None,
     ) -> None:
+        """Create the API.
+
+        Args:
+            service: The service to show.
+            registry: The tenants and upstreams to show and change.
+            token: The bearer token that each request must carry.
+            composer: Composes responses; ``None`` without plans.
+            storm_control: Returns the control of retry storms; ``None`` if it is off or the worker pool
+                is not up yet.
+            membership: The view of the fleet; ``None`` if membership is off.
+            locality: The zone-aware routing; ``None`` if it is off.
+            subsets: The subsetting; ``None`` if it is off.
+        """
         self.service, self.registry, self.token = service, registry, token.encode()
         self.composer, self.storm_control, self.membership = composer, storm_control, membership
         self.locality, self.subsets = locality, subsets
@@ -89,20 +108,24 @@
     def handle(
         self, method: str, target: str, headers: Mapping[bytes, bytes], body: bytes
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Status, JSON and further fields of the answer."""
+        """Serve one request.
+
+        Returns:
+            Status, JSON body and extra headers of the response.
+        """
         try:
             self._authorise(headers)
             status, value = self._dispatch(method, target.partition("?")[0], headers, body)
             return status, b"" if status == 204 else orjson.dumps(value), {}
-        except ApiError as problem:
-            return problem.status, orjson.dumps({"error": str(problem)}), problem.headers
-        except InvalidFieldError as error:  # a field of the wrong kind, or a whole that can't stand
+        except ApiError as error:
+            return error.status, orjson.dumps({"error": str(error)}), error.headers
+        except InvalidFieldError as error:  # an invalid field, or a change that is invalid as a whole
             return 422, orjson.dumps({"error": str(error)}), {}
 
     def _authorise(self, headers: Mapping[bytes, bytes]) -> None:
         scheme, _, token = headers.get(b"authorization", b"").partition(b" ")
         if scheme.lower() != b"bearer" or not hmac.compare_digest(token.strip(), self.token):
-            raise ApiError(401, "a bearer token is needed", **{"WWW-Authenticate": "Bearer"})
+            raise ApiError(401, "a valid bearer token is required", **{"WWW-Authenticate": "Bearer"})
 
     def _dispatch(self, method: str, path: str, headers: Mapping[bytes, bytes], body: bytes) -> Reply:
         if not path.startswith("/v1/"):
@@ -112,82 +135,96 @@
         if route is None or "/" in name or (slash and not name):
             raise ApiError(404, "no such resource")
         if method not in route:
-            raise ApiError(405, f"{method} is not for this resource", Allow=", ".join(route))
+            raise ApiError(405, f"method not allowed for this resource: {method}", Allow=", ".join(route))
         arguments: list[Any] = [name] if slash else []
         if method in ("POST", "PUT", "PATCH"):
-            form = headers.get(b"content-type", b"application/json").partition(b";")[0].strip().lower()
-            if form != b"application/json":
+            content_type = (
+                headers.get(b"content-type", b"application/json").partition(b";")[0].strip().lower()
+            )
+            if content_type != b"application/json":
                 raise ApiError(415, "the body is not application/json")
             try:
                 value = orjson.loads(body)
             except orjson.JSONDecodeError as error:
                 raise ApiError(400, f"the body is not JSON: {error}") from None
             if not isinstance(value, dict):
-                raise ApiError(400, "the body is not an object")
+                raise ApiError(400, "the body is not a JSON object")
             arguments.append(value)
         return route[method](*arguments)
 
-    # ---- a look at it -------------------------------------------------------------------------
+    # ---- State and counters ---------------------------------------------------------------------
 
     def get_state(self) -> Reply:
-        s = self.service
+        """Return the state of the service."""
+        service = self.service
         return 200, {
-            "healthy": s.is_healthy,
-            "draining": s.drain.notified_at is not None,
-            "hint": s.load_level,
-            "keys": len(s.keys),
-            "requests": Counter(r.phase.value for r in s.requests.values()),
-            "gauges": s.loop.gauges,
+            "healthy": service.is_healthy,
+            "draining": service.drain.notified_at is not None,
+            "hint": service.load_level,
+            "keys": len(service.keys),
+            "requests": Counter(request.phase.value for request in service.requests.values()),
+            "gauges": service.loop.gauges,
             "tenants": len(self.registry.tenants),
             "upstreams": len(self.registry.upstreams),
         }
 
     def get_counts(self) -> Reply:
-        out: dict[str, dict[str, dict[str, int]]] = {}
-        for (tenant, klass, verdict), count in self.service.counts.items():
-            out.setdefault(tenant, {}).setdefault(klass, {})[verdict] = count
-        return 200, out
+        """Return the number of responses by tenant, class and status."""
+        counts: dict[str, dict[str, dict[str, int]]] = {}
+        for (tenant, class_name, status), count in self.service.counts.items():
+            counts.setdefault(tenant, {}).setdefault(class_name, {})[status] = count
+        return 200, counts
 
     def get_dependencies(self) -> Reply:
+        """Return the state of the dependencies of composed responses."""
         return 200, {} if self.composer is None else self.composer.engine.state(
             self.service.clock.read_seconds()
         )
 
     def get_storm(self) -> Reply:
+        """Return the state of the control of retry storms."""
         storm_control = self.storm_control()
         return 200, {} if storm_control is None else storm_control.state(self.service.clock.read_seconds())
 
     def get_members(self) -> Reply:
+        """Return this instance's view of the fleet."""
         return 200, {} if self.membership is None else self.membership.state()
 
     def get_locality(self) -> Reply:
+        """Return the state of zone-aware routing."""
         return 200, {} if self.locality is None else self.locality.state()
 
     def get_fleet(self) -> Reply:
+        """Return the state of subsetting."""
         return 200, {} if self.subsets is None else self.subsets.state()
 
-    # ---- tenants and shares -------------------------------------------------------------------
+    # ---- Tenants and shares ---------------------------------------------------------------------
 
-    def _tenant(self, name: str) -> dict[str, Any]:
+    def _describe_tenant(self, name: str) -> dict[str, Any]:
+        """Return a tenant's representation; respond with 404 if there is none of this name."""
         if name not in self.registry.tenants:
             raise ApiError(404, f"no such tenant: {name}")
         return asdict(self.registry.tenants[name])
 
     def list_tenants(self) -> Reply:
-        return 200, [asdict(t) for t in self.registry.tenants.values()]
+        """Return all tenants."""
+        return 200, [asdict(tenant) for tenant in self.registry.tenants.values()]
 
     def get_tenant(self, name: str) -> Reply:
-        return 200, self._tenant(name)
+        """Return one tenant."""
+        return 200, self._describe_tenant(name)
 
     def create_tenant(self, raw: dict[str, Any]) -> Reply:
+        """Add a tenant."""
         tenant = read_tenant(raw, "tenant")
         if tenant.name in self.registry.tenants:
-            raise ApiError(409, f"this tenant is there already: {tenant.name}")
+            raise ApiError(409, f"tenant already exists: {tenant.name}")
         self.registry.put_tenant(tenant)
         return 201, asdict(tenant)
 
     def replace_tenant(self, name: str, raw: dict[str, Any]) -> Reply:
-        self._tenant(name)
+        """Replace a tenant."""
+        self._describe_tenant(name)
         tenant = read_tenant({"name": name, **raw}, "tenant")
         if tenant.name != name:
             raise ApiError(422, "a tenant's name can't be changed")
@@ -195,68 +232,78 @@
         return 200, asdict(tenant)
 
     def update_tenant(self, name: str, raw: dict[str, Any]) -> Reply:
-        return self.replace_tenant(name, {**self._tenant(name), **raw})
+        """Change the given fields of a tenant."""
+        return self.replace_tenant(name, {**self._describe_tenant(name), **raw})
 
     def delete_tenant(self, name: str) -> Reply:
-        self._tenant(name)
+        """Remove a tenant."""
+        self._describe_tenant(name)
         self.registry.remove_tenant(name)
         return 204, None
 
     def get_shares(self) -> Reply:
-        return 200, {t.name: t.share for t in self.registry.tenants.values()}
+        """Return every tenant's share."""
+        return 200, {tenant.name: tenant.share for tenant in self.registry.tenants.values()}
 
     def replace_shares(self, raw: dict[str, Any]) -> Reply:
+        """Change the given tenants' shares at once."""
         for name in raw:
-            self._tenant(name)
-        f = FieldReader(raw, "shares")
-        self.registry.set_shares({name: f.number(name, high=1) for name in raw})
+            self._describe_tenant(name)
+        reader = FieldReader(raw, "shares")
+        self.registry.set_shares({name: reader.number(name, high=1) for name in raw})
         return self.get_shares()
 
-    # ---- upstreams ----------------------------------------------------------------------------
+    # ---- Upstreams ------------------------------------------------------------------------------
 
-    def _upstream(self, name: str) -> dict[str, Any]:
+    def _describe_upstream(self, name: str) -> dict[str, Any]:
+        """Return an upstream's representation; respond with 404 if there is none of this name."""
         if name not in self.registry.upstreams:
             raise ApiError(404, f"no such upstream: {name}")
-        u, runs = self.registry.upstreams[name], self.registry.live_upstreams
-        under_way = {} if runs is None else runs.open_runs(name)
+        upstream, live_upstreams = self.registry.upstreams[name], self.registry.live_upstreams
+        open_runs = {} if live_upstreams is None else live_upstreams.open_runs(name)
         return {
-            "name": u.name,
-            "members": [  # secrets only go in
+            "name": upstream.name,
+            "members": [  # secrets are never shown
                 {
-                    "host": m.host,
-                    "weight": m.weight,
-                    "has_secret": bool(m.secret),
-                    "open": under_way.get(m.host, 0),
+                    "host": member.host,
+                    "weight": member.weight,
+                    "has_secret": bool(member.secret),
+                    "open": open_runs.get(member.host, 0),
                 }
-                for m in u.members
+                for member in upstream.members
             ],
         }
 
     def list_upstreams(self) -> Reply:
-        return 200, [self._upstream(name) for name in self.registry.upstreams]
+        """Return all upstreams."""
+        return 200, [self._describe_upstream(name) for name in self.registry.upstreams]
 
     def get_upstream(self, name: str) -> Reply:
-        return 200, self._upstream(name)
+        """Return one upstream."""
+        return 200, self._describe_upstream(name)
 
     def create_upstream(self, raw: dict[str, Any]) -> Reply:
+        """Add an upstream."""
         upstream = read_upstream(raw, "upstream")
         if upstream.name in self.registry.upstreams:
-            raise ApiError(409, f"this upstream is there already: {upstream.name}")
+            raise ApiError(409, f"upstream already exists: {upstream.name}")
         self.registry.put_upstream(upstream)
-        return 201, self._upstream(upstream.name)
+        return 201, self._describe_upstream(upstream.name)
 
     def replace_upstream(self, name: str, raw: dict[str, Any]) -> Reply:
-        self._upstream(name)
+        """Replace an upstream."""
+        self._describe_upstream(name)
         upstream = read_upstream({"name": name, **raw}, "upstream")
         if upstream.name != name:
             raise ApiError(422, "an upstream's name can't be changed")
         self.registry.put_upstream(upstream)
-        return 200, self._upstream(name)
+        return 200, self._describe_upstream(name)
 
     def delete_upstream(self, name: str) -> Reply:
-        self._upstream(name)
-        users = [t.name for t in self.registry.tenants.values() if t.upstream == name]
+        """Remove an upstream that no tenant uses."""
+        self._describe_upstream(name)
+        users = [tenant.name for tenant in self.registry.tenants.values() if tenant.upstream == name]
         if users:
-            raise ApiError(409, f"this upstream is in use by {', '.join(users)}")
+            raise ApiError(409, f"upstream is in use by tenants: {', '.join(users)}")
         self.registry.remove_upstream(name)
         return 204, None
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -1,4 +1,4 @@
-"""The tenants and upstreams in force: changed here, checked as a whole, then applied."""
+"""The current tenants and upstreams: every change is checked as a whole before it is applied."""
 
 from __future__ import annotations
 
@@ -28,98 +28,151 @@
 
 
 def tenant_specs(tenants: Iterable[TenantConf]) -> tuple[TenantSpec, ...]:
-    """The tenants in the module's words."""
-    return tuple(TenantSpec(t.name, t.quota, t.share) for t in tenants)
+    """Convert tenants to the decision module's type."""
+    return tuple(TenantSpec(tenant.name, tenant.quota, tenant.share) for tenant in tenants)
 
 
 class Registry:
-    """Owns the tenants and upstreams; with ``path`` changes outlive the process."""
+    """Owns the tenants and upstreams.
+
+    Attributes:
+        tenants: The current tenants by name.
+        upstreams: The current upstreams by name.
+        on_tenant_removed: Called with the name of each tenant that has been removed.
+    """
 
     def __init__(
-        self, deployment: Deployment, service: Service, runs: Upstreams | None, path: Path | None
+        self,
+        deployment: Deployment,
+        service: Service,
+        live_upstreams: Upstreams | None,
+        state_file: Path | None,
     ) -> None:
-        self.service, self.live_upstreams, self.path = service, runs, path
+        """Start with the deployment's tenants and upstreams, or with the saved ones.
+
+        Args:
+            deployment: The deployment file's settings.
+            service: Is given the tenants after each change.
+            live_upstreams: The connections to upstreams, updated on each change; ``None`` with a worker pool.
+            state_file: File that keeps changes over a restart; ``None`` to keep them in memory only.
+
+        Raises:
+            ConfigError: If the file exists and can't be read or its content is invalid.
+        """
+        self.service, self.live_upstreams, self.state_file = service, live_upstreams, state_file
         tenants = deployment.tenants or tuple(
-            TenantConf(t.name, t.share, t.quota) for t in service.settings.tenants
+            TenantConf(spec.name, spec.share, spec.quota) for spec in service.settings.tenants
         )
-        self.tenants = {t.name: t for t in tenants}
-        self.upstreams = {u.name: u for u in deployment.upstreams}
-        self.on_tenant_removed: Callable[[str], None] = lambda tenant: None  # told of a tenant that is gone
+        self.tenants = {tenant.name: tenant for tenant in tenants}
+        self.upstreams = {upstream.name: upstream for upstream in deployment.upstreams}
+        self.on_tenant_removed: Callable[[str], None] = lambda tenant: None
         plans = deployment.plans
-        # An upstream whose work is spread over zones: those are agreed on by all instances, from the start.
-        self.fixed_upstreams = {t.upstream for t in (deployment.locality, deployment.fleet) if t is not None}
+        # Upstreams with zone-aware routing or subsetting: all instances agree on their members at the start.
+        self.fixed_upstreams = {
+            settings.upstream for settings in (deployment.locality, deployment.fleet) if settings is not None
+        }
+        # Upstreams that plans use: they must not be removed.
         self.plan_upstreams = (
-            set() if plans is None else {d.upstream for d in plans.dependency}
-        )  # not to be removed
-        if path is not None and path.exists():
-            self._restore(path)
+            set() if plans is None else {dependency.upstream for dependency in plans.dependency}
+        )
+        if state_file is not None and state_file.exists():
+            self._restore(state_file)
 
     def _restore(self, path: Path) -> None:
         try:
             raw = orjson.loads(path.read_bytes())
-            tenants = [read_tenant(t, f"tenant[{n}]") for n, t in enumerate(raw["tenants"])]
-            upstreams = [read_upstream(u, f"upstream[{n}]") for n, u in enumerate(raw["upstreams"])]
+            tenants = [read_tenant(item, f"tenant[{n}]") for n, item in enumerate(raw["tenants"])]
+            upstreams = [read_upstream(item, f"upstream[{n}]") for n, item in enumerate(raw["upstreams"])]
             self._change(tenants, upstreams)
         except (OSError, ValueError, KeyError, TypeError, InvalidFieldError) as error:
             raise ConfigError(f"{path}: {error}") from None
 
     def put_tenant(self, tenant: TenantConf) -> None:
+        """Add a tenant, or replace the one with its name.
+
+        Raises:
+            InvalidFieldError: If the change is invalid; then nothing is changed.
+        """
         self._change([*self._others(self.tenants, tenant.name), tenant], [*self.upstreams.values()])
 
     def remove_tenant(self, name: str) -> None:
+        """Remove a tenant."""
         self._change(self._others(self.tenants, name), [*self.upstreams.values()])
 
     def put_upstream(self, upstream: UpstreamConf) -> None:
+        """Add an upstream, or replace the one with its name.
+
+        Raises:
+            InvalidFieldError: If the change is invalid; then nothing is changed.
+        """
         self._change([*self.tenants.values()], [*self._others(self.upstreams, upstream.name), upstream])
 
     def remove_upstream(self, name: str) -> None:
+        """Remove an upstream.
+
+        Raises:
+            InvalidFieldError: If it is still needed; then nothing is changed.
+        """
         self._change([*self.tenants.values()], self._others(self.upstreams, name))
 
     def set_shares(self, shares: dict[str, float]) -> None:
-        """Several shares at once, as they must add up to no more than 1 at every moment."""
+        """Change several tenants' shares at once, as their sum must never exceed 1.
+
+        Args:
+            shares: The new shares by tenant; tenants not named here keep theirs.
+
+        Raises:
+            InvalidFieldError: If the sum of all shares exceeds 1; then nothing is changed.
+        """
         self._change(
-            [replace(t, share=shares.get(t.name, t.share)) for t in self.tenants.values()],
+            [
+                replace(tenant, share=shares.get(tenant.name, tenant.share))
+                for tenant in self.tenants.values()
+            ],
             [*self.upstreams.values()],
         )
 
     @staticmethod
     def _others(known: dict[str, Named], name: str) -> list[Named]:
-        return [x for x in known.values() if x.name != name]
+        return [item for item in known.values() if item.name != name]
 
     def _change(self, tenants: list[TenantConf], upstreams: list[UpstreamConf]) -> None:
-        if gone := self.plan_upstreams - {None} - {u.name for u in upstreams}:
-            raise InvalidFieldError(f"upstream {min(map(str, gone))}: plans need it")
+        # All checks come first, so that an invalid change leaves everything as it was.
+        if missing := self.plan_upstreams - {None} - {upstream.name for upstream in upstreams}:
+            raise InvalidFieldError(f"upstream {min(map(str, missing))}: plans need it")
         for name in self.fixed_upstreams & self.upstreams.keys():
             if self.upstreams[name] not in upstreams:
                 raise InvalidFieldError(
-                    f"upstream {name}: all instances agree on its members, from their start"
+                    f"upstream {name}: can't be changed: instances agree on its members at their start"
                 )
-        check_upstreams_and_tenants(
-            tuple(upstreams), tuple(tenants)
-        )  # a change that can't stand leaves all as it was
-        before, self.upstreams = self.upstreams, {u.name: u for u in upstreams}
-        left, self.tenants = self.tenants.keys() - {t.name for t in tenants}, {t.name: t for t in tenants}
+        check_upstreams_and_tenants(tuple(upstreams), tuple(tenants))
+        previous, self.upstreams = self.upstreams, {upstream.name: upstream for upstream in upstreams}
+        removed, self.tenants = (
+            self.tenants.keys() - {tenant.name for tenant in tenants},
+            {tenant.name: tenant for tenant in tenants},
+        )
         if self.live_upstreams is not None:
             for upstream in upstreams:
-                if before.get(upstream.name) != upstream:
+                if previous.get(upstream.name) != upstream:
                     self.live_upstreams.put(upstream)
-            for name in before.keys() - self.upstreams.keys():
+            for name in previous.keys() - self.upstreams.keys():
                 self.live_upstreams.remove(name)
             for tenant in tenants:
                 self.live_upstreams.assign(tenant.name, tenant.upstream)
-            for name in left:
+            for name in removed:
                 self.live_upstreams.assign(name, None)
                 self.on_tenant_removed(name)
         self.service.set_tenants(tenant_specs(tenants))
-        if self.path is not None:
-            self._save(self.path)
+        if self.state_file is not None:
+            self._save(self.state_file)
 
     def _save(self, path: Path) -> None:
+        """Replace the state file in one step; only its owner may read it, as it has secrets."""
         state: dict[str, Any] = {
-            "tenants": [asdict(t) for t in self.tenants.values()],
-            "upstreams": [asdict(u) for u in self.upstreams.values()],
+            "tenants": [asdict(tenant) for tenant in self.tenants.values()],
+            "upstreams": [asdict(upstream) for upstream in self.upstreams.values()],
         }
         draft = path.with_name(path.name + ".new")
-        with open(os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:  # has secrets
+        with open(os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
             file.write(orjson.dumps(state, option=orjson.OPT_INDENT_2))
         os.replace(draft, path)
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -1,4 +1,4 @@
-"""The API on a socket: HTTP/1.1 on a loopback listener of its own."""
+"""HTTP/1.1 server of the administration API, on a loopback listener of its own."""
 
 from __future__ import annotations
 
@@ -7,15 +7,19 @@
 from saltcart.wire import http1
 from saltcart.wire.errors import MalformedMessageError
 
-MAX_BODY = 65536
+MAX_BODY_BYTES = 65536
 
 
 class AdminConnection(ServerConnection):
+    """One HTTP connection to the administration API."""
+
     def __init__(self, listener: Listener, api: AdminApi) -> None:
-        super().__init__(listener, limit=2 * MAX_BODY)
-        self.api, self.parser = api, http1.RequestParser(MAX_BODY)
+        """Serve requests with ``api``."""
+        super().__init__(listener, limit=2 * MAX_BODY_BYTES)
+        self.api, self.parser = api, http1.RequestParser(MAX_BODY_BYTES)
 
     def received(self) -> None:
+        """Respond to every request that has arrived whole."""
         self.awaits()
         try:
             while not self.ending and self.transport is not None and not self.transport.is_closing():
@@ -23,18 +27,18 @@
                 if request is None:
                     return
                 self.rests()
-                status, body, fields = self.api.handle(
+                status, body, headers = self.api.handle(
                     request.method.decode("latin-1"),
                     request.target.decode("latin-1"),
                     request.headers,
                     request.body,
                 )
-                self._write(status, body, fields, request.keep_alive)
+                self._write(status, body, headers, request.keep_alive)
         except MalformedMessageError as error:
             self._write(error.status, b'{"error":"malformed request"}', {}, False)
 
-    def _write(self, status: int, body: bytes, fields: dict[str, str], keep_alive: bool) -> None:
-        kind = {"Content-Type": "application/json"} if body else {}
-        self.send(http1.response(status, body, tuple({**kind, **fields}.items()), not keep_alive))
+    def _write(self, status: int, body: bytes, headers: dict[str, str], keep_alive: bool) -> None:
+        content_type = {"Content-Type": "application/json"} if body else {}
+        self.send(http1.response(status, body, tuple({**content_type, **headers}.items()), not keep_alive))
         if not keep_alive:
             self.end()
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -54,9 +54,7 @@
     max_sockets: int
     memory_mb: float  # the process's memory limit
     settings: Settings
-    gauges: tuple[
-        str | None, ...
-    ]  # the pool's gauges in its order; None for one that this version doesn't know
+    gauges: tuple[str | None, ...]  # the pool's gauges in its order; None for an unknown one
 
 
 def read_config(raw: Any, environment: Mapping[str, str] = MappingProxyType({})) -> Config:
