--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -1,4 +1,4 @@
-"""Puts the parts together: one core, its fronts, and what stands behind its ports."""
+"""Assembly of the service: the core, its fronts, and the adapters behind its ports."""
 
 from __future__ import annotations
 
@@ -40,22 +40,29 @@
     from saltcart.retry_storm.controller import RetryStormController
     from saltcart.retry_storm.settings import StormSettings
 
-KEYS_SHARE = 0.25  # of the memory that keys with their results may take
-ADMIN_IDLE, ADMIN_CONNECTIONS = 30.0, 16
-# Descriptors for the pool, announce service, listeners, logs, the loop, and closes under way; and for a new
-# process that starts beside this one, before it takes over.
-RESERVE, BESIDE = 56, 24
-CALLS = 64  # connections to the index, at most and as far as a sixth of the descriptors goes
-# Where there are few descriptors, less is kept of them: balancers may hold half.
-RESERVE_PART, LEAST_RESERVE, SIDE_PART = 5, 16, 16
+KEY_MEMORY_SHARE = 0.25  # of the memory limit, for idempotency keys with their stored results
+OPERATOR_IDLE_SECONDS, MAX_ADMIN_CONNECTIONS = 30.0, 16
+# File descriptors for the pool, the announce service, listeners, logs, the event loop and connections being
+# closed; and for a successor that starts while this process still serves, before its takeover.
+RESERVED_DESCRIPTORS, SUCCESSOR_DESCRIPTORS = 56, 24
+# Connections to the index: the limit of descriptors divided by the divisor, within these bounds.
+MIN_INDEX_CONNECTIONS, MAX_INDEX_CONNECTIONS, INDEX_DIVISOR = 4, 64, 6
+# Under a low limit less is reserved, and operators get fewer connections: at most the limit divided by these
+# divisors.  Balancers may hold half of the descriptors.
+RESERVED_DIVISOR, MIN_RESERVED_DESCRIPTORS, OPERATOR_DIVISOR = 5, 16, 16
+AJP_DIVISOR = 3  # the AJP front may have the limit of client connections divided by this
 
 
 def check_plans(plans: CompositionSpec, conf: Config) -> None:
-    """What has to hold of plans and the platform's object together; ``ConfigError`` says what does not."""
+    """Check the plans of composed responses against the platform's configuration.
+
+    Raises:
+        ConfigError: If there is a worker pool, or plans and classes don't fit together.
+    """
     from saltcart.composition.plan import check_classes
 
     if conf.pool is not None:
-        raise ConfigError("plan: the worker pool does the work here, plans are for where there is none")
+        raise ConfigError("plan: plans can't be used with a worker pool, which runs all requests itself")
     try:
         check_classes(plans, conf.settings.classes)
     except InvalidFieldError as error:
@@ -63,26 +70,51 @@
 
 
 class App:
-    """Owns the listeners, links and tasks; ``close`` gives all of them back."""
+    """Owns the listeners, connections and tasks; ``close`` releases all of them.
+
+    Attributes:
+        service: The core.
+        listeners: All listeners.
+        fronts: The listeners for clients, by front; empty until this process may serve.
+        addresses: The address of each listener, by front.
+        worker_pool_override: If set before the start, used in place of a pool or upstreams.
+    """
 
     def __init__(self, conf: Config, deployment: Deployment, log: Log, clock: Clock | None = None) -> None:
+        """Create the core; nothing is opened before ``start``.
+
+        Args:
+            conf: The platform's configuration.
+            deployment: The deployment file's settings.
+            log: Receives the service's events.
+            clock: Source of time; the system's clocks by default.
+
+        Raises:
+            ConfigError: If the two configurations don't fit together.
+        """
         self.conf, self.deployment, self.log = conf, deployment, log
         if deployment.plans is not None:
             check_plans(deployment.plans, conf)
         settings = conf.settings
-        hosted = bool(deployment.tenants or deployment.admin)
+        requires_tenant = bool(deployment.tenants or deployment.admin)
         if deployment.tenants:
             settings = replace(settings, tenants=tenant_specs(deployment.tenants))
-        if hosted:  # no tenant spends another's share: what is past its quota is worth nothing
+        if requires_tenant:  # no weight over quota, so that no tenant uses another's share
             settings = replace(settings, over_quota_weight_share=0.0)
-        key_room = int(conf.memory_mb * KEYS_SHARE * 1024 * 1024)
+        max_key_bytes = int(conf.memory_mb * KEY_MEMORY_SHARE * 1024 * 1024)
         clock = clock or Clock()
         self.service = Service(
-            settings, conf.gauges, conf.seed, clock, log, max_key_bytes=key_room, seconds_ahead=clock.ahead
+            settings,
+            conf.gauges,
+            conf.seed,
+            clock,
+            log,
+            max_key_bytes=max_key_bytes,
+            seconds_ahead=clock.ahead,
         )
-        self.service.intake.requires_tenant = hosted
+        self.service.intake.requires_tenant = requires_tenant
         self.listeners: list[Listener] = []
-        self.fronts: dict[str, Listener] = {}  # those of the clients
+        self.fronts: dict[str, Listener] = {}
         self.takeover: Takeover | None = None
         self.takeover_task: asyncio.Task[None] | None = None
         self.addresses: dict[str, str] = {}
@@ -95,29 +127,47 @@
         self.membership: MembershipDriver | None = None
         self.locality: LocalityDriver | None = None
         self.subsets: SubsetDriver | None = None
-        self.worker_pool_override: WorkerPool | None = (
-            None  # set before the start: in the place of a pool or upstreams
-        )
+        self.worker_pool_override: WorkerPool | None = None
         self.ticker: Ticker | None = None
 
     async def start(self) -> None:
+        """Open the listeners and connections.
+
+        If a predecessor may have to hand over first, the fronts open later, in ``takeover_task``.
+
+        Raises:
+            ConfigError: If the file of saved tenants is invalid.
+            OSError: If an address can't be listened on.
+        """
         conf, service, loop = self.conf, self.service, asyncio.get_running_loop()
-        calls, side = max(4, min(CALLS, conf.max_sockets // 6)), conf.max_sockets // SIDE_PART
-        operators, administration = min(CONTROL_CONNECTIONS, side), min(ADMIN_CONNECTIONS, side)
-        most = conf.max_sockets - calls - min(RESERVE, max(LEAST_RESERVE, conf.max_sockets // RESERVE_PART))
+        index_connections, operator_limit = (
+            max(MIN_INDEX_CONNECTIONS, min(MAX_INDEX_CONNECTIONS, conf.max_sockets // INDEX_DIVISOR)),
+            conf.max_sockets // OPERATOR_DIVISOR,
+        )
+        control_connections, admin_connections = (
+            min(CONTROL_CONNECTIONS, operator_limit),
+            min(MAX_ADMIN_CONNECTIONS, operator_limit),
+        )
+        client_connections = (
+            conf.max_sockets
+            - index_connections
+            - min(RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, conf.max_sockets // RESERVED_DIVISOR))
+        )
         if self.deployment.admin is not None:
-            most -= administration
+            client_connections -= admin_connections
         if conf.listen_fd is not None:
-            most -= min(BESIDE, side)
+            client_connections -= min(SUCCESSOR_DESCRIPTORS, operator_limit)
         if conf.control:
-            most -= operators
+            client_connections -= control_connections
         if self.deployment.storm is not None:
-            self._watch_storms(self.deployment.storm)
+            self._enable_storm_control(self.deployment.storm)
         if conf.announce:
             service.ports.registration = self.announcer = Announcer(conf.announce, conf.name, self.log)
             self.announcer.start()
         if conf.index:
-            service.ports.dependency_calls = self.index = IndexClient(conf.index, service, self.log, calls)
+            service.ports.dependency_calls = self.index = IndexClient(
+                conf.index, service, self.log, index_connections
+            )
         if self.worker_pool_override is not None:
             service.ports.workers = self.worker_pool_override
             service.pool_started(False, 0.0)
@@ -138,25 +188,25 @@
                 service,
                 self.log,
                 self.fronts,
-                lambda: self._open_fronts(most),
+                lambda: self._open_fronts(client_connections),
                 self.announcer,
                 self.index,
             )
             self.takeover_task = loop.create_task(self.takeover.begin())
         else:
-            await self._open_fronts(most)
+            await self._open_fronts(client_connections)
         if conf.control:
             await self._listen(
                 "control",
                 Listener(
                     conf.control,
                     lambda owner: ControlConnection(owner, service, self.is_ready),
-                    lambda: ADMIN_IDLE,
-                    operators,
+                    lambda: OPERATOR_IDLE_SECONDS,
+                    control_connections,
                 ),
             )
         if self.deployment.member is not None:
-            await self._join(self.deployment.member)
+            await self._join_fleet(self.deployment.member)
         if (admin := self.deployment.admin) is not None:
             registry = Registry(
                 self.deployment, service, self.upstreams, Path(admin.state_file) if admin.state_file else None
@@ -178,28 +228,31 @@
                 Listener(
                     admin.listen,
                     lambda owner: AdminConnection(owner, api),
-                    lambda: ADMIN_IDLE,
-                    administration,
+                    lambda: OPERATOR_IDLE_SECONDS,
+                    admin_connections,
                     shared=self.takeover is not None,
                 ),
             )
 
-    def _watch_storms(self, conf: StormSettings) -> None:
-        """Tries that come again are told from new work, and who is refused is told when to come back."""
+    def _enable_storm_control(self, conf: StormSettings) -> None:
+        """Have the core create the control of retry storms once its pool is up.
+
+        It distinguishes retries from new requests, and gives rejected callers a Retry-After.
+        """
         from saltcart.retry_storm.controller import RetryStormController
 
         service = self.service
 
-        def make(settings: Settings, started: float) -> RetryStormController:
-            controller = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started)
+        def make_storm_control(settings: Settings, started_at: float) -> RetryStormController:
+            controller = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started_at)
             service.metric_sources.append(lambda: controller.figures(service.clock.read_seconds()))
             self.storm_controller = controller
             return controller
 
-        service.make_storm_control = make
+        service.make_storm_control = make_storm_control
 
-    async def _join(self, conf: MemberSettings) -> None:
-        """Keep a view of the fleet together with its other processes."""
+    async def _join_fleet(self, conf: MemberSettings) -> None:
+        """Start membership, and the routing features that need it."""
         from saltcart.net.membership_driver import MembershipDriver
 
         self.membership = MembershipDriver(conf, self.conf.name, self.conf.seed, self.log)
@@ -209,18 +262,21 @@
         locality, fleet, upstreams = self.deployment.locality, self.deployment.fleet, self.upstreams
         if upstreams is None:
             return
-        known, seed = {u.name: u for u in self.deployment.upstreams}, self.conf.seed
+        configured, seed = (
+            {upstream.name: upstream for upstream in self.deployment.upstreams},
+            self.conf.seed,
+        )
         if locality is not None:
             from saltcart.net.locality_driver import LocalityDriver
 
             self.locality = LocalityDriver(
                 locality,
-                known[locality.upstream],
+                configured[locality.upstream],
                 self.membership,
                 upstreams.by_name[locality.upstream],
                 seed + 1,
                 self.log,
-                {c.name: c.priority_weight for c in self.service.settings.classes},
+                {spec.name: spec.priority_weight for spec in self.service.settings.classes},
             )
             self.service.metric_sources.append(self.locality.router.figures)
         if fleet is not None:
@@ -228,7 +284,7 @@
 
             self.subsets = SubsetDriver(
                 fleet,
-                known[fleet.upstream],
+                configured[fleet.upstream],
                 self.membership,
                 upstreams.by_name[fleet.upstream],
                 seed + 2,
@@ -237,7 +293,7 @@
             self.service.metric_sources.append(self.subsets.balancer.figures)
 
     def _compose(self, plans: CompositionSpec, upstreams: Upstreams) -> None:
-        """Answers of the plans' classes are made of several dependencies' replies."""
+        """Compose the responses of the plans' classes from several dependencies' replies."""
         from saltcart.net.composer import Composer
 
         service = self.service
@@ -255,15 +311,19 @@
         service.composed_classes = frozenset(self.composer.engine.plans)
         service.metric_sources.append(self.composer.figures)
 
-    async def _open_fronts(self, most: int) -> None:
-        """Where clients connect; ``most`` connections in all."""
+    async def _open_fronts(self, max_connections: int) -> None:
+        """Open the listeners for clients.
+
+        Args:
+            max_connections: Limit of the connections of all fronts together.
+        """
         service, shared = self.service, self.takeover is not None
-        ajp_most = most // 3 if self.deployment.ajp is not None else 0
+        max_ajp_connections = max_connections // AJP_DIVISOR if self.deployment.ajp is not None else 0
         http = Listener(
             self.conf.listen,
             lambda owner: HttpConnection(owner, service),
             lambda: service.idle_timeout,
-            most - ajp_most,
+            max_connections - max_ajp_connections,
             self.conf.listen_fd,
         )
         await self._listen("http", http)
@@ -273,57 +333,66 @@
                 ajp.listen,
                 lambda owner: AjpConnection(owner, service, secret),
                 lambda: service.idle_timeout,
-                ajp_most,
+                max_ajp_connections,
                 shared=shared,
             )
             await self._listen("ajp", front)
             self.fronts["ajp"] = front
         self.fronts["http"] = http
 
-    async def _listen(self, name: str, listener: Listener) -> None:
-        self.addresses[name] = await listener.open()
+    async def _listen(self, front: str, listener: Listener) -> None:
+        self.addresses[front] = await listener.open()
         self.listeners.append(listener)
-        self.log("listening", name=self.conf.name, front=name, address=self.addresses[name])
+        self.log("listening", name=self.conf.name, front=front, address=self.addresses[front])
 
     def is_ready(self) -> bool:
-        """Whether this process can serve."""
+        """Whether this process can serve requests."""
         return self.service.controller is not None and bool(self.fronts)
 
-    def begin_drain(self, done: Callable[[], None] = lambda: None, ago: float = 0.0) -> None:
-        """The notice to drain, which came ``ago`` seconds ago.
+    def begin_drain(self, on_done: Callable[[], None] = lambda: None, seconds_ago: float = 0.0) -> None:
+        """Drain, before the process is stopped.
 
-        The listeners stay open, for what reaches them is still answered.
+        The listeners stay open, as requests that arrive are still answered.  A process that has handed over
+        to its successor doesn't drain: it ends the work that it still has.
 
-        To a process that has handed over it only tells that it is stopped soon; ``done`` is told when it has
-        nothing left to do.
+        Args:
+            on_done: Called when a process that has handed over has no work left.
+            seconds_ago: Age of the drain notice.
         """
         if self.membership is not None:
             self.membership.leave()
-        within = max(0.0, self.conf.stop_timeout - ago)
+        seconds_left = max(0.0, self.conf.stop_timeout - seconds_ago)
         if self.composer is not None:
-            self.composer.shorten_deadlines(within - STOP_MARGIN_SECONDS)
-        if self.takeover is None or not self.takeover.retire(within, done):
-            self.service.start_drain(within, ago)
+            self.composer.shorten_deadlines(seconds_left - STOP_MARGIN_SECONDS)
+        if self.takeover is None or not self.takeover.retire(seconds_left, on_done):
+            self.service.start_drain(seconds_left, seconds_ago)
 
     def reload(self, conf: Config) -> None:
-        """Move to the addresses of a new configuration; requests, runs and notice numbers go on.
+        """Move to the addresses of a new configuration; requests, runs and notice numbers are kept.
+
+        Other changes need a restart.
+
+        Args:
+            conf: The new configuration.
 
-        What else differs needs a restart.  Checked as a whole first: what can't be followed changes nothing.
+        Raises:
+            ConfigError: If a peer would be added or removed; then nothing is changed.
         """
-        parts = (
+        links = (
             ("pool", self.pool, conf.pool),
             ("index", self.index, conf.index),
             ("announce", self.announcer, conf.announce),
         )
-        for name, part, peer in parts:
-            if (part is None) != (peer is None):
-                raise ConfigError(f"config: field {name} can't come or go while the program runs")
-        for _, part, peer in parts:
-            if part is not None and peer is not None:
-                part.move(peer)
+        for name, link, peer in links:
+            if (link is None) != (peer is None):
+                raise ConfigError(f"config: field {name} can't be added or removed without a restart")
+        for _, link, peer in links:
+            if link is not None and peer is not None:
+                link.move(peer)
         self.log("reloaded", pool=conf.pool, index=conf.index, announce=conf.announce)
 
     async def close(self) -> None:
+        """Stop all tasks and close all listeners and connections."""
         if self.takeover_task is not None:
             self.takeover_task.cancel()
         if self.takeover is not None:
