--- a/saltcart/cli.py
+++ b/saltcart/cli.py
@@ -1,6 +1,6 @@
-"""The command line beside the service: checks, the importer, the laboratory.
+"""The command line: checks of deployment files, the importer and the experiments of the lab.
 
-``python -m saltcart`` alone is the service and never comes here.
+``python -m saltcart`` without arguments runs the service and doesn't load this module.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 @click.group()
 def cli() -> None:
-    """saltcart: a service that keeps its promises under overload."""
+    """Overload controller for the servers of a fleet."""
 
 
 @cli.command()
 def serve() -> None:
-    """Run the service, as `python -m saltcart` alone does."""
+    """Run the service, as `python -m saltcart` without arguments does."""
     from saltcart.__main__ import run_service
 
     sys.exit(run_service())
@@ -30,16 +30,16 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option(
     "--config",
-    "platform",
+    "platform_file",
     type=click.Path(path_type=Path),
-    help="The platform's JSON object: plans are held against its classes.",
+    help="The platform's configuration file: plans are checked against its classes.",
 )
-def check(file: Path, platform: Path | None) -> None:
-    """Check a deployment FILE; ends with 2 and one line where something is wrong with it."""
+def check(file: Path, platform_file: Path | None) -> None:
+    """Check a deployment FILE; if it is invalid, print one line and exit with status 2."""
     try:
         extra = deployment.load({"SALTCART_DEPLOYMENT": str(file)})
-        if platform is not None:
-            conf = config.load({"BALANCER_CONFIG": str(platform)})
+        if platform_file is not None:
+            conf = config.load({"BALANCER_CONFIG": str(platform_file)})
             if extra.plans is not None:
                 from saltcart.app import check_plans
 
@@ -56,7 +56,7 @@
 @cli.command("import", context_settings={"ignore_unknown_options": True})
 @click.argument("files", nargs=-1, required=True)
 def import_files(files: tuple[str, ...]) -> None:
-    """Read Apache and mod_jk FILES: our configuration on standard output, the report on standard error."""
+    """Convert Apache and mod_jk FILES to a deployment file; the report goes to standard error."""
     from saltcart.importer.__main__ import main
 
     sys.exit(main(list(files)))
@@ -64,12 +64,12 @@
 
 @cli.group()
 def lab() -> None:
-    """Experiments with the deciding code."""
+    """Experiments with the decision code."""
 
 
 @lab.command("list")
 def list_experiments() -> None:
-    """Name the experiments."""
+    """List the experiments."""
     from saltcart.lab.experiments import EXPERIMENTS
 
     for name, experiment in EXPERIMENTS.items():
@@ -80,13 +80,13 @@
 @click.argument("name")
 @click.option("--quick", is_flag=True, help="A shorter run: under 40 s on eight cores.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--sockets", is_flag=True, help="Through the real program, on loopback and in real time.")
-@click.option("--nodes", type=click.IntRange(6, 5000), help="One size of the fleet alone.")
+@click.option("--sockets", is_flag=True, help="Run the real program, on loopback and in real time.")
+@click.option("--nodes", type=click.IntRange(6, 5000), help="Simulate this fleet size only.")
 @click.option("--plot", type=click.Path(path_type=Path, dir_okay=False), help="Write a plot to this file.")
 def run_experiment(
     name: str, quick: bool, seed: int, sockets: bool, nodes: int | None, plot: Path | None
 ) -> None:
-    """Run the experiment NAME; its last line is one JSON object."""
+    """Run the experiment NAME; the last line of its output is one JSON object."""
     from saltcart.lab import report
     from saltcart.lab.experiments import EXPERIMENTS, Choice
 
--- a/saltcart/importer/__init__.py
+++ b/saltcart/importer/__init__.py
@@ -1,6 +1,6 @@
-"""Turns mod_jk worker files and Apache balancer lines into our deployment file.
+"""Conversion of mod_jk and Apache balancer configurations to a deployment file.
 
-What can't be carried over is reported with file and line, and nothing is dropped in silence.
+Everything that can't be converted is reported with its file and line; nothing is dropped silently.
 """
 
 from __future__ import annotations
@@ -15,48 +15,57 @@
 
 @dataclass(slots=True)
 class Report:
-    """What was not carried over, in the order of the lines."""
+    """Messages about what was not converted; its text has each once, in the order of files and lines."""
 
     lines: list[tuple[str, int, str]] = field(default_factory=list)
 
     def add(self, file: str, line: int, text: str) -> None:
+        """Add a message about a line of a file."""
         self.lines.append((file, line, text))
 
     def __str__(self) -> str:
         return "".join(f"{file}:{line}: {text}\n" for file, line, text in sorted(set(self.lines)))
 
 
-def member(host: str, port: str, weight: str, secret: str) -> MemberConf:
-    """A member, or ``ValueError`` with what is wrong with it."""
-    found = HOST_AND_PORT.match(f"{host}:{port}")
-    if not found or not 0 < int(found[2]) < 65536:
+def make_member(host: str, port: str, weight: str, secret: str) -> MemberConf:
+    """Create a member.
+
+    Raises:
+        ValueError: If the address or the load factor is invalid.
+    """
+    match = HOST_AND_PORT.match(f"{host}:{port}")
+    if not match or not 0 < int(match[2]) < 65536:
         raise ValueError(f"not a host and port: {host}:{port}")
     try:
-        factor = float(weight)
+        load_factor = float(weight)
     except ValueError:
-        factor = 0.0
-    if not 0.001 <= factor <= 1000:
+        load_factor = 0.0
+    if not 0.001 <= load_factor <= 1000:
         raise ValueError(f"not a load factor: {weight}")
-    return MemberConf(f"{host}:{port}", factor, secret)
+    return MemberConf(f"{host}:{port}", load_factor, secret)
+
 
+def make_upstream(name: str, members: Iterable[MemberConf]) -> UpstreamConf:
+    """Create an upstream; of several members with one address the last one is used.
 
-def upstream(name: str, members: Iterable[MemberConf]) -> UpstreamConf:
-    """An upstream, or ``ValueError`` with what is wrong with it."""
-    kept = tuple({m.host: m for m in members}.values())
+    Raises:
+        ValueError: If the name is invalid or there are no members.
+    """
+    unique_members = tuple({member.host: member for member in members}.values())
     if not NAME_PATTERN.match(name):
-        raise ValueError(f"not a name of ours: {name}")
-    if not kept:
-        raise ValueError(f"{name} has no member left")
-    return UpstreamConf(name, kept)
+        raise ValueError(f"not a valid upstream name: {name}")
+    if not unique_members:
+        raise ValueError(f"{name} has no usable members")
+    return UpstreamConf(name, unique_members)
 
 
 def to_toml(upstreams: Iterable[UpstreamConf]) -> str:
-    """The upstreams as a part of ``deploy/saltcart.toml``."""
-    out = []
-    for u in upstreams:
+    """Format upstreams as tables of a deployment file."""
+    tables = []
+    for upstream in upstreams:
         members = []
-        for m in u.members:
-            secret = f", secret = {json.dumps(m.secret)}" if m.secret else ""
-            members.append(f"  {{ host = {json.dumps(m.host)}, weight = {m.weight}{secret} }},\n")
-        out.append(f"[[upstream]]\nname = {json.dumps(u.name)}\nmembers = [\n{''.join(members)}]\n")
-    return "\n".join(out)
+        for member in upstream.members:
+            secret = f", secret = {json.dumps(member.secret)}" if member.secret else ""
+            members.append(f"  {{ host = {json.dumps(member.host)}, weight = {member.weight}{secret} }},\n")
+        tables.append(f"[[upstream]]\nname = {json.dumps(upstream.name)}\nmembers = [\n{''.join(members)}]\n")
+    return "\n".join(tables)
--- a/saltcart/importer/__main__.py
+++ b/saltcart/importer/__main__.py
@@ -1,7 +1,6 @@
-"""``python -m saltcart.importer FILE…``: our configuration on standard output, the report on standard error.
+"""``python -m saltcart.importer FILE…`` prints a deployment file, and a report on standard error.
 
-A file whose name ends in ``.properties`` is mod_jk's, any other is Apache's.  Ends with 0 if all was carried
-over, with 1 if something was reported, with 2 if a file can't be read.
+A file whose name ends in ``.properties`` is read as mod_jk's, any other as Apache's.
 """
 
 from __future__ import annotations
@@ -14,6 +13,12 @@
 
 
 def main(files: list[str]) -> int:
+    """Convert the files.
+
+    Returns:
+        The exit status: 0 if everything was converted, 1 if something was reported, 2 if a file can't be
+        read.
+    """
     if not files:
         print("usage: python -m saltcart.importer FILE...", file=sys.stderr)
         return 2
@@ -27,7 +32,7 @@
         reader = modjk.read_workers if file.endswith(".properties") else apache.read_balancers
         for upstream in reader(file, text, report):
             if upstream.name in upstreams:
-                report.add(file, 1, f"a second upstream of the name {upstream.name} was left out")
+                report.add(file, 1, f"another upstream named {upstream.name} was skipped")
             else:
                 upstreams[upstream.name] = upstream
     sys.stdout.write(to_toml(upstreams.values()))
--- a/saltcart/importer/apache.py
+++ b/saltcart/importer/apache.py
@@ -1,4 +1,4 @@
-"""Apache's balancers: ``<Proxy balancer://…>`` sections and ``BalancerMember`` lines with AJP members."""
+"""Reader of Apache balancers: ``<Proxy balancer://…>`` sections and ``BalancerMember`` lines."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from collections.abc import Iterator
 
 from saltcart.deployment import MemberConf, UpstreamConf
-from saltcart.importer import Report, member, upstream
+from saltcart.importer import Report, make_member, make_upstream
 
-SECTION = re.compile(r"<\s*Proxy\s+\"?balancer://([^\s\"/>]+)/?\"?\s*>\Z", re.IGNORECASE)
-END = re.compile(r"</\s*Proxy\s*>\Z", re.IGNORECASE)
-BALANCER = re.compile(r"balancer://([^\s/]+)/?\Z", re.IGNORECASE)
-URL = re.compile(r"ajp://(\[[^\]]+\]|[^\s:/]+)(?::(\d+))?(/.*)?\Z", re.IGNORECASE)
-OUT_OF_USE = "DSHEN"  # disabled, stopped, hot standby, in error, draining
+SECTION_START = re.compile(r"<\s*Proxy\s+\"?balancer://([^\s\"/>]+)/?\"?\s*>\Z", re.IGNORECASE)
+SECTION_END = re.compile(r"</\s*Proxy\s*>\Z", re.IGNORECASE)
+BALANCER_URL = re.compile(r"balancer://([^\s/]+)/?\Z", re.IGNORECASE)
+MEMBER_URL = re.compile(r"ajp://(\[[^\]]+\]|[^\s:/]+)(?::(\d+))?(/.*)?\Z", re.IGNORECASE)
+INACTIVE_STATUS_FLAGS = "DSHEN"  # disabled, stopped, hot standby, error, draining
 
 
 def logical_lines(text: str) -> Iterator[tuple[int, str]]:
-    """Lines with what a backslash at their end joins, by the number of the first."""
-    start, whole = 0, ""
+    """Yield each line, continuation lines joined, with the number of its first line; skip comments."""
+    start, joined = 0, ""
     for number, raw in enumerate(text.splitlines(), 1):
         start = start or number
         if raw.endswith("\\"):
-            whole += raw[:-1] + " "
+            joined += raw[:-1] + " "
             continue
-        line, first = (whole + raw).strip(), start
-        start, whole = 0, ""
+        line, first = (joined + raw).strip(), start
+        start, joined = 0, ""
         if line and not line.startswith("#"):
             yield first, line
-    if whole.strip():
-        yield start, whole.strip()
+    if joined.strip():
+        yield start, joined.strip()
 
 
 def read_member(file: str, line: int, words: list[str], report: Report) -> MemberConf | None:
-    """One member from its address and parameters; what else they say is reported."""
-    found = URL.match(words[0]) if words else None
-    if not found:
+    """Read a member from its URL and parameters; report parameters that can't be converted."""
+    match = MEMBER_URL.match(words[0]) if words else None
+    if not match:
         report.add(file, line, f"not an AJP member: {' '.join(words[:1])}")
         return None
     weight, secret = "1", ""
@@ -45,56 +45,66 @@
             weight = value
         elif key.lower() == "secret":
             secret = value
-        elif key.lower() == "status" and not value.startswith("-") and set(value.upper()) & set(OUT_OF_USE):
-            report.add(file, line, f"member {words[0]} is out of use and left out: {word}")
+        elif (
+            key.lower() == "status"
+            and not value.startswith("-")
+            and set(value.upper()) & set(INACTIVE_STATUS_FLAGS)
+        ):
+            report.add(file, line, f"member {words[0]} is not active and was skipped: {word}")
             return None
         else:
-            report.add(file, line, f"not carried over: {word}")
-    if found[3] and found[3] != "/":
-        report.add(file, line, f"not carried over: path {found[3]}")
+            report.add(file, line, f"not converted: {word}")
+    if match[3] and match[3] != "/":
+        report.add(file, line, f"not converted: path {match[3]}")
     try:
-        return member(found[1], found[2] or "8009", weight, secret)
+        return make_member(match[1], match[2] or "8009", weight, secret)
     except ValueError as error:
         report.add(file, line, str(error))
         return None
 
 
 def read_balancers(file: str, text: str, report: Report) -> list[UpstreamConf]:
-    """The upstreams that the balancers stand for."""
+    """Read the balancers of an Apache configuration as upstreams.
+
+    Args:
+        file: Name of the file, for the report.
+        text: Content of the file.
+        report: Receives what can't be converted.
+    """
     members: dict[str, list[MemberConf]] = {}
     lines: dict[str, int] = {}
-    inside: str | None = None
+    section_name: str | None = None
     for number, line in logical_lines(text):
-        if (section := SECTION.match(line)) is not None:
-            inside = section[1]
-            lines.setdefault(inside, number)
-            members.setdefault(inside, [])
+        if (section := SECTION_START.match(line)) is not None:
+            section_name = section[1]
+            lines.setdefault(section_name, number)
+            members.setdefault(section_name, [])
             continue
-        if inside is not None and END.match(line):
-            inside = None
+        if section_name is not None and SECTION_END.match(line):
+            section_name = None
             continue
         try:
             directive, *words = shlex.split(line)
         except ValueError:
             report.add(file, number, f"not a directive: {line}")
             continue
-        name = inside
-        if directive.lower() == "balancermember" and inside is None and words:
-            named = BALANCER.match(words[0])
-            name = named[1] if named else None
+        name = section_name
+        if directive.lower() == "balancermember" and section_name is None and words:
+            url = BALANCER_URL.match(words[0])
+            name = url[1] if url else None
             words = words[1:]
         if directive.lower() != "balancermember" or name is None:
-            report.add(file, number, f"not carried over: {line}")
+            report.add(file, number, f"not converted: {line}")
             continue
         lines.setdefault(name, number)
-        found = read_member(file, number, words, report)
-        members.setdefault(name, []).extend([found] if found else [])
-    if inside is not None:
-        report.add(file, lines[inside], f"section without its end: balancer://{inside}")
-    out = []
-    for name, kept in members.items():
+        member = read_member(file, number, words, report)
+        members.setdefault(name, []).extend([member] if member else [])
+    if section_name is not None:
+        report.add(file, lines[section_name], f"section is not closed: balancer://{section_name}")
+    upstreams = []
+    for name, upstream_members in members.items():
         try:
-            out.append(upstream(name, kept))
+            upstreams.append(make_upstream(name, upstream_members))
         except ValueError as error:
             report.add(file, lines[name], str(error))
-    return out
+    return upstreams
--- a/saltcart/importer/modjk.py
+++ b/saltcart/importer/modjk.py
@@ -1,4 +1,4 @@
-"""mod_jk's ``workers.properties``: ajp13 and lb workers, load factors, templates by ``reference``."""
+"""Reader of mod_jk's ``workers.properties``: ajp13 and lb workers, load factors, ``reference`` templates."""
 
 from __future__ import annotations
 
@@ -6,29 +6,39 @@
 from dataclasses import dataclass
 
 from saltcart.deployment import MemberConf, UpstreamConf
-from saltcart.importer import Report, member, upstream
+from saltcart.importer import Report, make_member, make_upstream
 
-LINE = re.compile(r"([A-Za-z0-9._-]+)\s*=\s*(.*)\Z")
+SETTING_LINE = re.compile(r"([A-Za-z0-9._-]+)\s*=\s*(.*)\Z")
 VARIABLE = re.compile(r"\$\(([^)]*)\)")
-LISTS = ("balance_workers", "balanced_workers")
-CARRIED = ("type", "host", "port", "lbfactor", "secret", "reference", *LISTS)
-OUT_OF_USE = {"d", "disabled", "s", "stopped"}
+MEMBER_LIST_KEYS = ("balance_workers", "balanced_workers")
+CONVERTED_KEYS = ("type", "host", "port", "lbfactor", "secret", "reference", *MEMBER_LIST_KEYS)
+INACTIVE_VALUES = {"d", "disabled", "s", "stopped"}
 
 
 @dataclass(slots=True)
 class Setting:
+    """A value, with the line that it is set in."""
+
     value: str
     line: int
 
 
-def names(text: str) -> list[str]:
+def split_names(text: str) -> list[str]:
+    """Split a list of names at commas and white space."""
     return [name for name in re.split(r"[\s,]+", text) if name]
 
 
-class Workers:
-    """The settings of a file by worker, with references resolved."""
+class WorkersFile:
+    """The settings of a file by worker; references to templates are resolved on access."""
 
     def __init__(self, file: str, text: str, report: Report) -> None:
+        """Read the settings.
+
+        Args:
+            file: Name of the file, for the report.
+            text: Content of the file.
+            report: Receives what can't be converted.
+        """
         self.file, self.report = file, report
         self.variables: dict[str, str] = {}
         self.settings: dict[str, dict[str, Setting]] = {}
@@ -36,96 +46,128 @@
         for number, raw in enumerate(text.splitlines(), 1):
             line = raw.strip()
             if line and not line.startswith(("#", "!")):
-                self._line(number, line)
+                self._read_line(number, line)
 
-    def _line(self, number: int, line: str) -> None:
-        found = LINE.match(line)
-        if not found:
+    def _read_line(self, number: int, line: str) -> None:
+        match = SETTING_LINE.match(line)
+        if not match:
             self.report.add(self.file, number, f"not a setting: {line}")
             return
-        name, value = found[1], VARIABLE.sub(lambda v: self.variables.get(v[1], v[0]), found[2].strip())
+        name, value = (
+            match[1],
+            VARIABLE.sub(lambda variable: self.variables.get(variable[1], variable[0]), match[2].strip()),
+        )
         if VARIABLE.search(value):
             self.report.add(self.file, number, f"unknown variable: {value}")
         if not name.startswith("worker."):
             self.variables[name] = value
         elif name == "worker.list":
-            self.listed += [(worker, number) for worker in names(value)]
+            self.listed += [(worker, number) for worker in split_names(value)]
         elif name.count(".") < 2:
-            self.report.add(self.file, number, f"not carried over: {name}")
+            self.report.add(self.file, number, f"not converted: {name}")
         else:
             worker, _, key = name.removeprefix("worker.").rpartition(".")
-            own = self.settings.setdefault(worker, {})
-            if key in LISTS and key in own:  # such lists add up
-                own[key].value += f",{value}"
+            settings = self.settings.setdefault(worker, {})
+            if key in MEMBER_LIST_KEYS and key in settings:  # repeated lists are joined
+                settings[key].value += f",{value}"
                 return
-            own[key] = Setting(value, number)
-            if key not in CARRIED and key != "activation":
-                self.report.add(self.file, number, f"not carried over: {name}")
-
-    def resolved(self, worker: str, path: tuple[str, ...] = ()) -> dict[str, Setting]:
-        """A worker's settings over those of the template that it refers to."""
-        own = self.settings.get(worker, {})
-        reference = own.get("reference")
+            settings[key] = Setting(value, number)
+            if key not in CONVERTED_KEYS and key != "activation":
+                self.report.add(self.file, number, f"not converted: {name}")
+
+    def resolve(self, worker: str, referrers: tuple[str, ...] = ()) -> dict[str, Setting]:
+        """Return a worker's settings, completed by those of the template that it refers to.
+
+        Args:
+            worker: Name of the worker or template.
+            referrers: The workers and templates through which this one was reached.
+        """
+        own_settings = self.settings.get(worker, {})
+        reference = own_settings.get("reference")
         if reference is None:
-            return own
+            return own_settings
         template = reference.value.removeprefix("worker.")
-        if template in (*path, worker) or template not in self.settings:
+        if template in (*referrers, worker) or template not in self.settings:
             self.report.add(self.file, reference.line, f"no such template: {reference.value}")
-            return own
-        return {**self.resolved(template, (*path, worker)), **own}
+            return own_settings
+        return {**self.resolve(template, (*referrers, worker)), **own_settings}
+
+    def read_member(self, worker: str, line: int) -> MemberConf | None:
+        """Return a worker as a member; report it if it isn't an active ajp13 worker.
 
-    def member(self, worker: str, line: int) -> MemberConf | None:
-        s = self.resolved(worker)
+        Args:
+            worker: Name of the worker.
+            line: The line that names the worker.
+        """
+        settings = self.resolve(worker)
 
         def value(key: str, default: str) -> str:
-            return s[key].value if key in s else default
+            return settings[key].value if key in settings else default
 
-        if not s:
+        if not settings:
             self.report.add(self.file, line, f"no such worker: {worker}")
         elif value("type", "ajp13") != "ajp13":
-            self.report.add(self.file, s["type"].line, f"worker {worker}: not an ajp13 worker")
-        elif value("activation", "a").lower() in OUT_OF_USE:
-            self.report.add(self.file, s["activation"].line, f"worker {worker} is out of use and left out")
+            self.report.add(self.file, settings["type"].line, f"worker {worker}: not an ajp13 worker")
+        elif value("activation", "a").lower() in INACTIVE_VALUES:
+            self.report.add(
+                self.file, settings["activation"].line, f"worker {worker} is not active and was skipped"
+            )
         else:
             try:
-                return member(
+                return make_member(
                     value("host", "localhost"),
                     value("port", "8009"),
                     value("lbfactor", "1"),
                     value("secret", ""),
                 )
             except ValueError as error:
-                self.report.add(self.file, min(x.line for x in s.values()), f"worker {worker}: {error}")
+                self.report.add(
+                    self.file, min(setting.line for setting in settings.values()), f"worker {worker}: {error}"
+                )
         return None
 
 
 def read_workers(file: str, text: str, report: Report) -> list[UpstreamConf]:
-    """The upstreams that the listed workers stand for."""
-    workers, out = Workers(file, text, report), list[UpstreamConf]()
+    """Read the listed workers as upstreams.
+
+    Args:
+        file: Name of the file, for the report.
+        text: Content of the file.
+        report: Receives what can't be converted.
+    """
+    workers, upstreams = WorkersFile(file, text, report), list[UpstreamConf]()
     if not workers.listed:
-        report.add(file, 1, "worker.list is missing: every balancer is taken")
+        report.add(file, 1, "worker.list is missing: every balancer is converted")
         workers.listed = [
-            (name, 1) for name, s in workers.settings.items() if "type" in s and s["type"].value == "lb"
+            (name, 1)
+            for name, settings in workers.settings.items()
+            if "type" in settings and settings["type"].value == "lb"
         ]
     used = set[str]()
     for name, line in workers.listed:
-        s = workers.resolved(name)
+        settings = workers.resolve(name)
         used.add(name)
-        members, named_at = [name], line
-        if "type" in s and s["type"].value == "lb":
-            lists = [s[key] for key in LISTS if key in s]
-            members = [x for setting in lists for x in names(setting.value)]
+        member_names, named_at = [name], line
+        if "type" in settings and settings["type"].value == "lb":
+            lists = [settings[key] for key in MEMBER_LIST_KEYS if key in settings]
+            member_names = [worker for setting in lists for worker in split_names(setting.value)]
             named_at = lists[0].line if lists else line
-        used.update(members)
-        found = [m for m in (workers.member(worker, named_at) for worker in members) if m is not None]
+        used.update(member_names)
+        upstream_members = [
+            member
+            for member in (workers.read_member(worker, named_at) for worker in member_names)
+            if member is not None
+        ]
         try:
-            out.append(upstream(name, found))
+            upstreams.append(make_upstream(name, upstream_members))
         except ValueError as error:
             report.add(file, named_at, str(error))
     templates = {
-        s["reference"].value.removeprefix("worker.") for s in workers.settings.values() if "reference" in s
+        settings["reference"].value.removeprefix("worker.")
+        for settings in workers.settings.values()
+        if "reference" in settings
     }
     for name in workers.settings.keys() - used - templates:
-        first = min(x.line for x in workers.settings[name].values())
-        report.add(file, first, f"worker {name} is not listed and was left out")
-    return out
+        first_line = min(setting.line for setting in workers.settings[name].values())
+        report.add(file, first_line, f"worker {name} is not listed and was skipped")
+    return upstreams
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -62,12 +62,12 @@
     assert (
         str(report)
         == """\
-w:3: status has no member left
-w:13: not carried over: worker.two.socket_timeout
-w:15: worker old is out of use and left out
+w:3: status has no usable members
+w:13: not converted: worker.two.socket_timeout
+w:15: worker old is not active and was skipped
 w:17: no such worker: lost
 w:19: worker status: not an ajp13 worker
-w:20: worker spare is not listed and was left out
+w:20: worker spare is not listed and was skipped
 w:21: not a setting: nonsense
 """
     )
@@ -83,17 +83,17 @@
     assert (
         str(report)
         == """\
-h:1: not carried over: ProxyRequests Off
-h:4: not carried over: route=a
+h:1: not converted: ProxyRequests Off
+h:4: not converted: route=a
 h:7: not an AJP member: http://10.0.0.3
-h:8: member ajp://10.0.0.4 is out of use and left out: status=+D
+h:8: member ajp://10.0.0.4 is not active and was skipped: status=+D
 h:9: not a host and port: 10.0.0.5:0
-h:10: not carried over: ProxySet lbmethod=byrequests
+h:10: not converted: ProxySet lbmethod=byrequests
 h:12: not a load factor: x
-h:12: not carried over: path /app
-h:13: not carried over: path /app
-h:14: empty has no member left
-h:14: section without its end: balancer://empty
+h:12: not converted: path /app
+h:13: not converted: path /app
+h:14: empty has no usable members
+h:14: section is not closed: balancer://empty
 """
     )
 
