--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -25,12 +25,7 @@
 
 
 async def serve(conf: config.Config, extra: deployment.Deployment, log: JsonLog) -> None:
-    """Run the service until it is stopped and drained.
-
-    Args:
-        conf: The platform's configuration.
-        extra: The deployment file's settings.
-        log: Receives the service's events.
+    """Run the service, with the platform's and the deployment file's settings, until it is stopped.
 
     Raises:
         ConfigError: If settings conflict, or the file of saved tenants can't be read.
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -52,6 +52,16 @@
     """Authenticates requests and routes them to their handlers.
 
     A handler returns the status and the body, which is then encoded as JSON.
+
+    Attributes:
+        service: The service to show.
+        registry: The tenants and upstreams to show and change.
+        token: The bearer token that each request must carry.
+        composer: Composes responses, if there are plans.
+        storm_control: Returns the control of retry storms; ``None`` also until the worker pool is up.
+        membership: The view of the fleet.
+        locality: The zone-aware routing.
+        subsets: The subsetting of an upstream's members.
     """
 
     def __init__(
@@ -65,19 +75,7 @@
         locality: LocalityDriver | None = None,
         subsets: SubsetDriver | None = None,
     ) -> None:
-        """Create the API.
-
-        Args:
-            service: The service to show.
-            registry: The tenants and upstreams to show and change.
-            token: The bearer token that each request must carry.
-            composer: Composes responses; ``None`` without plans.
-            storm_control: Returns the control of retry storms; ``None`` if it is off or the worker pool
-                is not up yet.
-            membership: The view of the fleet; ``None`` if membership is off.
-            locality: The zone-aware routing; ``None`` if it is off.
-            subsets: The subsetting; ``None`` if it is off.
-        """
+        """Create the API; an optional feature that is off is ``None``."""
         self.service, self.registry, self.token = service, registry, token.encode()
         self.composer, self.storm_control, self.membership = composer, storm_control, membership
         self.locality, self.subsets = locality, subsets
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -46,7 +46,9 @@
 # closed; and for a successor that starts while this process still serves, before its takeover.
 RESERVED_DESCRIPTORS, SUCCESSOR_DESCRIPTORS = 56, 24
 # Connections to the index: the limit of descriptors divided by the divisor, within these bounds.
-MIN_INDEX_CONNECTIONS, MAX_INDEX_CONNECTIONS, INDEX_DIVISOR = 4, 64, 6
+MIN_INDEX_CONNECTIONS = 4
+MAX_INDEX_CONNECTIONS = 64
+INDEX_DIVISOR = 6
 # Under a low limit less is reserved, and operators get fewer connections: at most the limit divided by these
 # divisors.  Balancers may hold half of the descriptors.
 RESERVED_DIVISOR, MIN_RESERVED_DESCRIPTORS, OPERATOR_DIVISOR = 5, 16, 16
@@ -83,14 +85,8 @@
     def __init__(self, conf: Config, deployment: Deployment, log: Log, clock: Clock | None = None) -> None:
         """Create the core; nothing is opened before ``start``.
 
-        Args:
-            conf: The platform's configuration.
-            deployment: The deployment file's settings.
-            log: Receives the service's events.
-            clock: Source of time; the system's clocks by default.
-
         Raises:
-            ConfigError: If the two configurations don't fit together.
+            ConfigError: If the configuration and the deployment don't fit together.
         """
         self.conf, self.deployment, self.log = conf, deployment, log
         if deployment.plans is not None:
@@ -101,16 +97,10 @@
             settings = replace(settings, tenants=tenant_specs(deployment.tenants))
         if requires_tenant:  # no weight over quota, so that no tenant uses another's share
             settings = replace(settings, over_quota_weight_share=0.0)
-        max_key_bytes = int(conf.memory_mb * KEY_MEMORY_SHARE * 1024 * 1024)
+        key_bytes = int(conf.memory_mb * KEY_MEMORY_SHARE * 1024 * 1024)
         clock = clock or Clock()
         self.service = Service(
-            settings,
-            conf.gauges,
-            conf.seed,
-            clock,
-            log,
-            max_key_bytes=max_key_bytes,
-            seconds_ahead=clock.ahead,
+            settings, conf.gauges, conf.seed, clock, log, max_key_bytes=key_bytes, seconds_ahead=clock.ahead
         )
         self.service.intake.requires_tenant = requires_tenant
         self.listeners: list[Listener] = []
@@ -262,10 +252,7 @@
         locality, fleet, upstreams = self.deployment.locality, self.deployment.fleet, self.upstreams
         if upstreams is None:
             return
-        configured, seed = (
-            {upstream.name: upstream for upstream in self.deployment.upstreams},
-            self.conf.seed,
-        )
+        configured, seed = {item.name: item for item in self.deployment.upstreams}, self.conf.seed
         if locality is not None:
             from saltcart.net.locality_driver import LocalityDriver
 
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -58,15 +58,7 @@
 
 
 def read_config(raw: Any, environment: Mapping[str, str] = MappingProxyType({})) -> Config:
-    """Read the platform's object.
-
-    Args:
-        raw: The decoded JSON.
-        environment: Environment variables; the name and the addresses in them take precedence.
-
-    Raises:
-        ConfigError: If a value is missing or invalid.
-    """
+    """Read the decoded platform object; the name and the addresses in ``environment`` take precedence."""
     try:
         reader = FieldReader(raw, "config")
         for key in ("listen", "control"):
--- a/saltcart/importer/apache.py
+++ b/saltcart/importer/apache.py
@@ -64,13 +64,7 @@
 
 
 def read_balancers(file: str, text: str, report: Report) -> list[UpstreamConf]:
-    """Read the balancers of an Apache configuration as upstreams.
-
-    Args:
-        file: Name of the file, for the report.
-        text: Content of the file.
-        report: Receives what can't be converted.
-    """
+    """Read the balancers of an Apache configuration as upstreams; report what can't be converted."""
     members: dict[str, list[MemberConf]] = {}
     lines: dict[str, int] = {}
     section_name: str | None = None
--- a/saltcart/importer/modjk.py
+++ b/saltcart/importer/modjk.py
@@ -128,13 +128,7 @@
 
 
 def read_workers(file: str, text: str, report: Report) -> list[UpstreamConf]:
-    """Read the listed workers as upstreams.
-
-    Args:
-        file: Name of the file, for the report.
-        text: Content of the file.
-        report: Receives what can't be converted.
-    """
+    """Read the listed workers of a mod_jk file as upstreams; report what can't be converted."""
     workers, upstreams = WorkersFile(file, text, report), list[UpstreamConf]()
     if not workers.listed:
         report.add(file, 1, "worker.list is missing: every balancer is converted")
--- a/saltcart/platform_settings.py
+++ b/saltcart/platform_settings.py
@@ -33,11 +33,7 @@
 
 
 def read_settings(fields: FieldReader) -> Settings:
-    """Read the settings.
-
-    Raises:
-        InvalidFieldError: If a value is missing or invalid.
-    """
+    """Read the settings; raise ``InvalidFieldError`` if a value is missing or invalid."""
     extra = fields.section("extra")
     contract = fields.section("contract")
     limits = fields.optional_section("limits")
