--- a/examples/dependencies.py
+++ b/examples/dependencies.py
@@ -1,10 +1,10 @@
 """Three toy dependencies for examples/budgets.toml.
 
-``tarifa`` answers at once, ``arhiv`` is slow at each third call, and ``knjiga`` enters what it is sent.
+``tarifa`` replies quickly, ``arhiv`` is slow on every third call, and ``knjiga`` prints each call's body.
 
     python -m examples.dependencies [PORT]
 
-They listen on PORT and the two after it, in this order; 8011 unless a port is given, free ones with 0.
+They listen on PORT and the two ports after it, in this order.  The default is 8011; 0 selects free ports.
 """
 
 from __future__ import annotations
@@ -16,29 +16,33 @@
 
 from saltcart.lab.standins import Act, AjpStandIn, Asked, IndexStandIn, StandIn
 
-COUNT = itertools.count(1)
+ARCHIVE_CALL_NUMBERS = itertools.count(1)
 
 
-def tariff(asked: Asked) -> Act:
+def tariff(call: Asked) -> Act:
+    """Reply with a tariff rate."""
     return Act(after=0.03, body=b'{"rate":0.045}')
 
 
-def archive(asked: Asked) -> Act:
-    return Act(after=30.0 if next(COUNT) % 3 == 0 else 0.05, body=b'{"entries":2}')
+def archive(call: Asked) -> Act:
+    """Reply with the number of entries; every third call outlasts the caller's timeout."""
+    return Act(after=30.0 if next(ARCHIVE_CALL_NUMBERS) % 3 == 0 else 0.05, body=b'{"entries":2}')
 
 
-def ledger(asked: Asked) -> Act:
-    print("entered", asked.body.decode(), flush=True)
+def ledger(call: Asked) -> Act:
+    """Print the body and reply with its number in the ledger."""
+    print("entered", call.body.decode(), flush=True)
     return Act(after=0.05, body=b'{"number":"LJ-1"}')
 
 
 async def main(port: int) -> None:
+    """Listen on three ports, starting at ``port``, or on free ports if it is 0."""
     stand_ins: list[StandIn] = [AjpStandIn(tariff), IndexStandIn(archive), AjpStandIn(ledger)]
     async with contextlib.AsyncExitStack() as stack:
-        for n, stand_in in enumerate(stand_ins):
-            stand_in.port = port + n if port else 0
+        for offset, stand_in in enumerate(stand_ins):
+            stand_in.port = port + offset if port else 0
             await stack.enter_async_context(stand_in)
-        print("listening", *(s.address for s in stand_ins), flush=True)
+        print("listening", *(stand_in.address for stand_in in stand_ins), flush=True)
         await asyncio.Event().wait()
 
 
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,6 +1,8 @@
-"""A toy AJP server: answers each POST with its body in capitals, after the work that it pretends to do.
+"""A toy AJP server: replies to each request with its body in capitals, after a simulated run time.
 
-python examples/toy_server.py [HOST:PORT]
+    python examples/toy_server.py [HOST:PORT]
+
+It listens on 127.0.0.1:8010 by default.
 """
 
 from __future__ import annotations
@@ -13,10 +15,11 @@
 from saltcart.wire.buffer import Buffer
 from saltcart.wire.errors import MalformedMessageError
 
-WORK = 0.1  # seconds
+RUN_SECONDS = 0.1
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Serve one AJP connection."""
     buffer, parser = Buffer(), ajp.RequestParser(max_body=65536)
     try:
         while data := await reader.read(4096):
@@ -27,7 +30,7 @@
                 elif isinstance(message, ajp.MoreBody):
                     writer.write(message.data)
                 else:
-                    await asyncio.sleep(WORK)
+                    await asyncio.sleep(RUN_SECONDS)
                     print(message.uri.decode(), message.headers.get(b"account", b"-").decode(), flush=True)
                     writer.write(ajp.response(200, b"OK", [], message.body.upper(), True))
     except (ConnectionError, MalformedMessageError):
@@ -37,6 +40,7 @@
 
 
 async def main(address: str) -> None:
+    """Listen on ``address`` until the process is interrupted."""
     host, _, port = address.rpartition(":")
     server = await asyncio.start_server(serve, host, int(port))
     print("listening", "{}:{}".format(*server.sockets[0].getsockname()[:2]), flush=True)
--- a/saltcart/log.py
+++ b/saltcart/log.py
@@ -26,6 +26,7 @@
         self.thread.start()
 
     def __call__(self, event: str, **fields: object) -> None:
+        """Queue a line for an event, or count it as dropped if the queue is full."""
         if self.dropped:
             fields["dropped"] = self.dropped
         line = orjson.dumps({"at": round(time.time(), 3), "event": event, **fields}, default=str)
--- a/saltcart/platform_settings.py
+++ b/saltcart/platform_settings.py
@@ -102,7 +102,7 @@
 def _read_class_name(service: FieldReader) -> str:
     name: str = service.text("name")
     if not name or any(c.isspace() or not c.isprintable() for c in name):
-        # The name is sent as one word of the worker pool's line protocol, where a space would end it.
+        # The worker pool's line protocol sends the name as a single word, which a space would end.
         raise InvalidFieldError(
             f"{service.where}: field name is empty or has spaces or unprintable characters"
         )
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration API: over its socket, and its refusals by table."""
+"""The administration API over its socket: changes, rejected requests and rejected deployment files."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return Deployment(admin=AdminSettings("127.0.0.1:0", TOKEN, None if state is None else str(state)))
 
 
-async def ask(
+async def send(
     client: HttpClient, method: str, path: str, value: Any = None, auth: str = AUTH
 ) -> tuple[int, Any]:
     body = value if isinstance(value, bytes) else b"" if value is None else orjson.dumps(value)
@@ -30,58 +30,58 @@
         f"{method} {path} HTTP/1.1\r\nAuthorization: {auth}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
         + body
     )
-    answer = await client.answer()
-    return answer.status, orjson.loads(answer.body) if answer.body else None
+    response = await client.answer()
+    return response.status, orjson.loads(response.body) if response.body else None
 
 
-def test_tenants_and_upstreams_come_change_and_go(tmp_path: Path) -> None:
+def test_tenants_and_upstreams_are_added_changed_and_removed(tmp_path: Path) -> None:
     def container(name: bytes) -> AjpServer:
-        async def act(_: ajp.ForwardRequest) -> bytes:
+        async def respond(_: ajp.ForwardRequest) -> bytes:
             return container_answer(200, name)
 
-        return AjpServer(act)
+        return AjpServer(respond)
 
-    async def play() -> None:
+    async def scenario() -> None:
         state = tmp_path / "state.json"
         async with container(b"one") as one, container(b"two") as two, running(deployment(state)) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
             client = await HttpClient(app.addresses["http"]).open()
             for name, server in (("u1", one), ("u2", two)):
                 members = [{"host": server.address, "secret": "hidden"}]
-                status, shown = await ask(admin, "POST", "/v1/upstreams", {"name": name, "members": members})
+                status, shown = await send(admin, "POST", "/v1/upstreams", {"name": name, "members": members})
                 assert status == 201 and "hidden" not in str(shown)
-            # acme comes with the settings; tenants of their own upstreams see no other's
+            # The settings have acme already; each tenant's requests run on its own upstream only.
             for name, upstream in (("acme", "u1"), ("other", "u2")):
-                call = ("PATCH", "/v1/tenants/acme") if name == "acme" else ("POST", "/v1/tenants")
+                request = ("PATCH", "/v1/tenants/acme") if name == "acme" else ("POST", "/v1/tenants")
                 tenant = {"name": name, "share": 0.4, "quota": 50, "upstream": upstream}
-                assert (await ask(admin, *call, tenant))[0] < 300
-            assert (await ask(admin, "GET", "/v1/shares"))[1] == {"acme": 0.4, "other": 0.4}
-            assert (await ask(admin, "PUT", "/v1/shares", {"acme": 0.7, "other": 0.3}))[0] == 200
+                assert (await send(admin, *request, tenant))[0] < 300
+            assert (await send(admin, "GET", "/v1/shares"))[1] == {"acme": 0.4, "other": 0.4}
+            assert (await send(admin, "PUT", "/v1/shares", {"acme": 0.7, "other": 0.3}))[0] == 200
             assert (await client.ask(1, account="acme")).body == b"one"
             assert (await client.ask(2, account="other")).body == b"two"
-            # the same key of two tenants is two requests
+            # One key used by two tenants identifies two requests.
             assert (await client.ask(3, "oddaja", key="k", account="acme")).body == b"one"
             assert (await client.ask(4, "oddaja", key="k", account="other")).body == b"two"
-            assert (await ask(admin, "GET", "/v1/counts"))[1] == {
-                t: {"read": {"served": 1}, "oddaja": {"served": 1}} for t in ("acme", "other")
+            assert (await send(admin, "GET", "/v1/counts"))[1] == {
+                account: {"read": {"served": 1}, "oddaja": {"served": 1}} for account in ("acme", "other")
             }
-            assert (await ask(admin, "DELETE", "/v1/upstreams/u2"))[0] == 409
-            assert (await ask(admin, "GET", "/v1/upstreams/u2"))[1]["members"] == [
+            assert (await send(admin, "DELETE", "/v1/upstreams/u2"))[0] == 409
+            assert (await send(admin, "GET", "/v1/upstreams/u2"))[1]["members"] == [
                 {"host": two.address, "weight": 1.0, "has_secret": True, "open": 0}
             ]
-            assert (await ask(admin, "DELETE", "/v1/tenants/other"))[0] == 204
+            assert (await send(admin, "DELETE", "/v1/tenants/other"))[0] == 204
             assert (await client.ask(5, account="other")).status == 400
-            assert (await ask(admin, "DELETE", "/v1/upstreams/u2"))[0] == 204
-            status, shown = await ask(admin, "GET", "/v1/state")
+            assert (await send(admin, "DELETE", "/v1/upstreams/u2"))[0] == 204
+            status, shown = await send(admin, "GET", "/v1/state")
             assert status == 200 and shown["healthy"] and shown["tenants"] == shown["upstreams"] == 1
-        assert state.stat().st_mode & 0o077 == 0  # it holds the secrets
-        async with running(deployment(state)) as app:  # what was changed is there after a restart
+        assert state.stat().st_mode & 0o077 == 0  # the file has secrets
+        async with running(deployment(state)) as app:  # the changes survive a restart
             admin = await HttpClient(app.addresses["admin"]).open()
-            assert (await ask(admin, "GET", "/v1/tenants"))[1] == [
+            assert (await send(admin, "GET", "/v1/tenants"))[1] == [
                 {"name": "acme", "share": 0.7, "quota": 50, "upstream": "u1"}
             ]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -104,12 +104,7 @@
         ("POST", "/v1/tenants", {"name": "a b"}, 422),
         ("POST", "/v1/tenants", {"name": "x", "share": 2}, 422),
         ("POST", "/v1/tenants", {"name": "x", "quota": -1}, 422),
-        (
-            "POST",
-            "/v1/tenants",
-            {"name": "x", "share": 0.2},
-            422,
-        ),  # with acme's whole share it is more than 1
+        ("POST", "/v1/tenants", {"name": "x", "share": 0.2}, 422),  # acme has the whole share already
         ("POST", "/v1/tenants", {"name": "x", "upstream": "none"}, 422),
         ("POST", "/v1/tenants", {"name": "x", "huh": 1}, 422),
         ("PATCH", "/v1/tenants/acme", {"name": "other"}, 422),
@@ -119,33 +114,33 @@
         ("POST", "/v1/upstreams", {"name": "u", "members": [{"host": "h:1"}, {"host": "h:1"}]}, 422),
     ],
 )
-def test_bad_input_gets_a_clear_4xx_and_changes_nothing(
+def test_an_invalid_request_gets_a_4xx_with_an_error_and_changes_nothing(
     method: str, path: str, value: Any, status: int
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running(deployment()) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
-            before = [await ask(admin, "GET", f"/v1/{kind}") for kind in ("tenants", "upstreams")]
-            got, body = await ask(admin, method, path, value)
-            assert got == status and body["error"]
-            assert before == [await ask(admin, "GET", f"/v1/{kind}") for kind in ("tenants", "upstreams")]
+            before = [await send(admin, "GET", f"/v1/{kind}") for kind in ("tenants", "upstreams")]
+            received, body = await send(admin, method, path, value)
+            assert received == status and body["error"]
+            assert before == [await send(admin, "GET", f"/v1/{kind}") for kind in ("tenants", "upstreams")]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("auth", ["", "Bearer", "Bearer wrong", f"Basic {TOKEN}", f"Bearer {TOKEN}x"])
-def test_nothing_is_shown_without_the_token(auth: str) -> None:
-    async def play() -> None:
+def test_a_request_without_the_token_gets_401(auth: str) -> None:
+    async def scenario() -> None:
         async with running(deployment()) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
-            assert (await ask(admin, "GET", "/v1/tenants", auth=auth))[0] == 401
-            assert (await ask(admin, "DELETE", "/v1/nothing", auth=auth))[0] == 401
+            assert (await send(admin, "GET", "/v1/tenants", auth=auth))[0] == 401
+            assert (await send(admin, "DELETE", "/v1/nothing", auth=auth))[0] == 401
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("raw", "named"),
+    ("raw", "reason"),
     [
         ({"admin": {"listen": "127.0.0.1:1", "token": "short"}}, "token"),
         ({"admin": {"listen": "10.0.0.1:1", "token": TOKEN}}, "loopback"),
@@ -157,12 +152,15 @@
         ({"tennant": []}, "tennant"),
     ],
 )
-def test_a_deployment_file_with_faults_is_refused(raw: dict[str, Any], named: str) -> None:
-    with pytest.raises(ConfigError, match=named):
+def test_an_invalid_deployment_file_is_rejected(raw: dict[str, Any], reason: str) -> None:
+    with pytest.raises(ConfigError, match=reason):
         read_deployment(raw)
 
 
-def test_what_is_not_enabled_is_off() -> None:
-    off = {"enabled": False, "listen": "127.0.0.1:1", "token": ""}
-    assert read_deployment({"ajp": {"enabled": False, "listen": "127.0.0.1:1"}, "admin": off}) == Deployment()
+def test_a_front_is_off_if_it_is_disabled() -> None:
+    disabled_admin = {"enabled": False, "listen": "127.0.0.1:1", "token": ""}
+    assert (
+        read_deployment({"ajp": {"enabled": False, "listen": "127.0.0.1:1"}, "admin": disabled_admin})
+        == Deployment()
+    )
     assert read_deployment({"ajp": {"listen": "127.0.0.1:1"}}).ajp == AjpSettings("127.0.0.1:1")
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -1,4 +1,4 @@
-"""The importer: what is carried over, and what is reported with file and line."""
+"""The importer: what it converts, and what it reports with file and line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from saltcart.importer import Report, apache, modjk, to_toml
 
 WORKERS = """\
-# two nodes behind one balancer
+# two nodes of one balancer
 base=10.0.0
 worker.list=lb, status
 worker.template.type=ajp13
@@ -38,7 +38,7 @@
 APACHE = """\
 ProxyRequests Off
 <Proxy "balancer://declarations">
-    # weights as they were
+    # unchanged weights
     BalancerMember ajp://10.0.0.1:8010 loadfactor=2 route=a
     BalancerMember "ajp://10.0.0.2" \\
         secret=s3cret
@@ -53,11 +53,13 @@
 """
 
 
-def test_workers() -> None:
+def test_mod_jk_workers_are_converted_and_the_rest_is_reported() -> None:
     report = Report()
-    found = modjk.read_workers("w", WORKERS, report)
-    members = [(m.host, m.weight, m.secret) for u in found for m in u.members]
-    assert [u.name for u in found] == ["lb"]
+    upstreams = modjk.read_workers("w", WORKERS, report)
+    members = [
+        (member.host, member.weight, member.secret) for upstream in upstreams for member in upstream.members
+    ]
+    assert [upstream.name for upstream in upstreams] == ["lb"]
     assert members == [("10.0.0.1:8010", 2.0, ""), ("two.example.org:8010", 0.5, 'a"b')]
     assert (
         str(report)
@@ -73,10 +75,13 @@
     )
 
 
-def test_balancers() -> None:
+def test_apache_balancers_are_converted_and_the_rest_is_reported() -> None:
     report = Report()
-    found = apache.read_balancers("h", APACHE, report)
-    assert [(u.name, [(m.host, m.weight, m.secret) for m in u.members]) for u in found] == [
+    upstreams = apache.read_balancers("h", APACHE, report)
+    assert [
+        (upstream.name, [(member.host, member.weight, member.secret) for member in upstream.members])
+        for upstream in upstreams
+    ] == [
         ("declarations", [("10.0.0.1:8010", 2.0, ""), ("10.0.0.2:8009", 1.0, "s3cret")]),
         ("other", [("h:9", 1.0, "")]),
     ]
@@ -99,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("worker.list=a\nworker.a.reference=worker.b\nworker.b.reference=worker.a\n", "no such template"),
         ("worker.list=a\nworker.a.port=99999\n", "not a host and port"),
@@ -108,23 +113,23 @@
         ("worker.list=a/b\nworker.a/b.host=h\n", "not a setting"),
     ],
 )
-def test_what_is_wrong_in_workers_is_reported(text: str, said: str) -> None:
+def test_an_invalid_workers_file_is_reported(text: str, message: str) -> None:
     report = Report()
     modjk.read_workers("w", text, report)
-    assert said in str(report)
+    assert message in str(report)
 
 
-def test_the_command_writes_a_deployment_file_that_reads(tmp_path: Path) -> None:
+def test_the_command_writes_a_valid_deployment_file(tmp_path: Path) -> None:
     files = {"workers.properties": WORKERS, "httpd.conf": APACHE}
     for name, text in files.items():
         (tmp_path / name).write_text(text)
-    done = subprocess.run(
-        [sys.executable, "-m", "saltcart.importer", *(str(tmp_path / n) for n in files)],
+    completed = subprocess.run(
+        [sys.executable, "-m", "saltcart.importer", *(str(tmp_path / name) for name in files)],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 1 and len(done.stderr.splitlines()) == 18
-    read = deployment.read_deployment(tomllib.loads(done.stdout))
-    assert [u.name for u in read.upstreams] == ["lb", "declarations", "other"]
-    assert deployment.read_deployment(tomllib.loads(to_toml(read.upstreams))) == read
+    assert completed.returncode == 1 and len(completed.stderr.splitlines()) == 18
+    converted = deployment.read_deployment(tomllib.loads(completed.stdout))
+    assert [upstream.name for upstream in converted.upstreams] == ["lb", "declarations", "other"]
+    assert deployment.read_deployment(tomllib.loads(to_toml(converted.upstreams))) == converted
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's library example runs as it stands."""
+"""The README's Python examples run unchanged."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-def test_library_example_runs() -> None:
+def test_the_python_examples_run() -> None:
     text = (Path(__file__).resolve().parent.parent / "README.md").read_text()
     blocks = re.findall(r"```python\n(.*?)```", text, flags=re.DOTALL)
     assert blocks
