--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -67,10 +67,12 @@
             while await reader.readline():
                 writer.write(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
 
-        async with Pool() as pool, Server(respond) as registry, Server(respond) as index:
+        async with Pool() as pool, Server(respond) as announce_service, Server(respond) as index:
             config = tmp_path / "config.json"
             config.write_text(
-                json.dumps(raw_config(pool=pool.address, announce=registry.address, index=index.address))
+                json.dumps(
+                    raw_config(pool=pool.address, announce=announce_service.address, index=index.address)
+                )
             )
             scratch = tmp_path / "scratch"
             scratch.mkdir()
