--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -19,7 +19,7 @@
 from saltcart import config, deployment  # noqa: E402
 from saltcart.app import App  # noqa: E402
 from saltcart.log import JsonLog  # noqa: E402
-from saltcart.net.signals import on_notice  # noqa: E402
+from saltcart.net.signals import handle_signals  # noqa: E402
 
 EXIT_DELAY_SECONDS = 1.0  # after the stop timeout: the process exits then if nothing has killed it
 
@@ -47,7 +47,7 @@
         except Exception as error:  # a running service survives any content of the file
             log("reload-failed", error=str(error))
 
-    on_notice((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, begin_drain)
+    handle_signals((signal.SIGTERM, signal.SIGINT), app.service.clock.read_seconds, begin_drain)
     await app.start()
     gc.collect()
     gc.freeze()  # later collections skip the objects that live as long as the process
--- a/saltcart/admin/api.py
+++ b/saltcart/admin/api.py
@@ -258,7 +258,7 @@
         if name not in self.registry.upstreams:
             raise ApiError(404, f"no such upstream: {name}")
         upstream, live_upstreams = self.registry.upstreams[name], self.registry.live_upstreams
-        open_runs = {} if live_upstreams is None else live_upstreams.open_runs(name)
+        in_flight = {} if live_upstreams is None else live_upstreams.in_flight_by_member(name)
         return {
             "name": upstream.name,
             "members": [  # secrets are never shown
@@ -266,7 +266,7 @@
                     "host": member.host,
                     "weight": member.weight,
                     "has_secret": bool(member.secret),
-                    "open": open_runs.get(member.host, 0),
+                    "open": in_flight.get(member.host, 0),
                 }
                 for member in upstream.members
             ],
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -154,13 +154,13 @@
         if self.live_upstreams is not None:
             for upstream in upstreams:
                 if previous.get(upstream.name) != upstream:
-                    self.live_upstreams.put(upstream)
+                    self.live_upstreams.set_upstream(upstream)
             for name in previous.keys() - self.upstreams.keys():
-                self.live_upstreams.remove(name)
+                self.live_upstreams.remove_upstream(name)
             for tenant in tenants:
-                self.live_upstreams.assign(tenant.name, tenant.upstream)
+                self.live_upstreams.assign_tenant(tenant.name, tenant.upstream)
             for name in removed:
-                self.live_upstreams.assign(name, None)
+                self.live_upstreams.assign_tenant(name, None)
                 self.on_tenant_removed(name)
         self.service.set_tenants(tenant_specs(tenants))
         if self.state_file is not None:
--- a/saltcart/admin/server.py
+++ b/saltcart/admin/server.py
@@ -20,13 +20,13 @@
 
     def received(self) -> None:
         """Respond to every request that has arrived whole."""
-        self.awaits()
+        self.mark_awaiting_request()
         try:
-            while not self.ending and self.transport is not None and not self.transport.is_closing():
+            while not self.is_ending and self.transport is not None and not self.transport.is_closing():
                 request = self.parser.next(self.buffer)
                 if request is None:
                     return
-                self.rests()
+                self.mark_idle()
                 status, body, headers = self.api.handle(
                     request.method.decode("latin-1"),
                     request.target.decode("latin-1"),
@@ -41,4 +41,4 @@
         content_type = {"Content-Type": "application/json"} if body else {}
         self.send(http1.response(status, body, tuple({**content_type, **headers}.items()), not keep_alive))
         if not keep_alive:
-            self.end()
+            self.half_close()
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -75,19 +75,13 @@
     """Owns the listeners, connections and tasks; ``close`` releases all of them.
 
     Attributes:
-        service: The core.
-        listeners: All listeners.
         fronts: The listeners for clients, by front; empty until this process may serve.
         addresses: The address of each listener, by front.
         worker_pool_override: If set before the start, used in place of a pool or upstreams.
     """
 
     def __init__(self, conf: Config, deployment: Deployment, log: Log, clock: Clock | None = None) -> None:
-        """Create the core; nothing is opened before ``start``.
-
-        Raises:
-            ConfigError: If the configuration and the deployment don't fit together.
-        """
+        """Create the core; raise ``ConfigError`` if the configuration and the deployment conflict."""
         self.conf, self.deployment, self.log = conf, deployment, log
         if deployment.plans is not None:
             check_plans(deployment.plans, conf)
@@ -100,7 +94,13 @@
         key_bytes = int(conf.memory_mb * KEY_MEMORY_SHARE * 1024 * 1024)
         clock = clock or Clock()
         self.service = Service(
-            settings, conf.gauges, conf.seed, clock, log, max_key_bytes=key_bytes, seconds_ahead=clock.ahead
+            settings,
+            conf.gauges,
+            conf.seed,
+            clock,
+            log,
+            max_key_bytes=key_bytes,
+            seconds_ahead=clock.seconds_ahead,
         )
         self.service.intake.requires_tenant = requires_tenant
         self.listeners: list[Listener] = []
@@ -220,15 +220,12 @@
                     lambda owner: AdminConnection(owner, api),
                     lambda: OPERATOR_IDLE_SECONDS,
                     admin_connections,
-                    shared=self.takeover is not None,
+                    reuse_port=self.takeover is not None,
                 ),
             )
 
     def _enable_storm_control(self, conf: StormSettings) -> None:
-        """Have the core create the control of retry storms once its pool is up.
-
-        It distinguishes retries from new requests, and gives rejected callers a Retry-After.
-        """
+        """Have the core create the control of retry storms once its pool is up."""
         from saltcart.retry_storm.controller import RetryStormController
 
         service = self.service
@@ -321,7 +318,7 @@
                 lambda owner: AjpConnection(owner, service, secret),
                 lambda: service.idle_timeout,
                 max_ajp_connections,
-                shared=shared,
+                reuse_port=shared,
             )
             await self._listen("ajp", front)
             self.fronts["ajp"] = front
@@ -375,7 +372,7 @@
                 raise ConfigError(f"config: field {name} can't be added or removed without a restart")
         for _, link, peer in links:
             if link is not None and peer is not None:
-                link.move(peer)
+                link.change_address(peer)
         self.log("reloaded", pool=conf.pool, index=conf.index, announce=conf.announce)
 
     async def close(self) -> None:
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -14,7 +14,7 @@
 from saltcart.membership.settings import LOOPBACK_ADDRESS, MemberSettings
 from saltcart.membership.shared_registers import RegisterValue
 from saltcart.membership.view import MembershipChange
-from saltcart.net.base import address
+from saltcart.net.base import parse_address
 from saltcart.wire.errors import MalformedMessageError
 
 MAX_RECEIVED_BYTES = 4096  # longer datagrams are rejected unread
@@ -71,7 +71,7 @@
             OSError: The socket cannot be bound.
         """
         transport, _ = await self.loop.create_datagram_endpoint(
-            lambda: self, local_addr=address(self.settings.listen)
+            lambda: self, local_addr=parse_address(self.settings.listen)
         )
         host, port = transport.get_extra_info("sockname")[:2]
         listen_address = f"{host}:{port}"
@@ -145,7 +145,7 @@
             # Peers supply addresses: they must not direct datagrams elsewhere or cause a DNS lookup.
             if not LOOPBACK_ADDRESS.match(receiver):
                 raise ValueError("not a loopback address")
-            self.transport.sendto(messages.encode(datagram), address(receiver))
+            self.transport.sendto(messages.encode(datagram), parse_address(receiver))
         except (OSError, ValueError) as error:  # an invalid port or a full buffer
             self.unsent_count += 1
             if self.unsent_count <= MAX_LOGGED_ERRORS:
--- a/saltcart/net/subset_driver.py
+++ b/saltcart/net/subset_driver.py
@@ -67,7 +67,7 @@
 
     def _load(self, host: str) -> float:
         # Members' weights are for upstreams without subsetting.
-        return self.ajp_upstream.by_host[host].open + 1.0
+        return self.ajp_upstream.by_host[host].in_flight + 1.0
 
     def present(self) -> Sequence[str]:
         """Return the sorted names of the present instances."""
@@ -79,17 +79,17 @@
 
     # ---- choice of members for the upstream ---------------------------------------------------
 
-    def arrived(self, class_name: str) -> bool:
+    def admit_request(self, class_name: str) -> bool:
         """Count a request; return False to reject it, as it exceeds this instance's share of the limit."""
         return self.balancer.admit(self.loop.time())
 
-    def choose(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
+    def choose_member(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
         """Return the member that an attempt goes to; None if all members were tried."""
         return self.balancer.choose(self.loop.time(), attempted_hosts)
 
-    def ended(self, host: str, good: bool, seconds: float, connection_refused: bool) -> None:
+    def attempt_finished(self, host: str, is_success: bool, seconds: float, connection_refused: bool) -> None:
         """Count the outcome of an attempt that lasted ``seconds``."""
-        self.balancer.record_outcome(self.loop.time(), host, good, connection_refused)
+        self.balancer.record_outcome(self.loop.time(), host, is_success, connection_refused)
 
     # ---- administration API -------------------------------------------------------------------
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -41,7 +41,7 @@
 
         return AjpServer(respond)
 
-    async def scenario() -> None:
+    async def run_scenario() -> None:
         state = tmp_path / "state.json"
         async with container(b"one") as one, container(b"two") as two, running(deployment(state)) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
@@ -81,7 +81,7 @@
                 {"name": "acme", "share": 0.7, "quota": 50, "upstream": "u1"}
             ]
 
-    asyncio.run(scenario())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 def test_an_invalid_request_gets_a_4xx_with_an_error_and_changes_nothing(
     method: str, path: str, value: Any, status: int
 ) -> None:
-    async def scenario() -> None:
+    async def run_scenario() -> None:
         async with running(deployment()) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
             before = [await send(admin, "GET", f"/v1/{kind}") for kind in ("tenants", "upstreams")]
@@ -125,18 +125,18 @@
             assert received == status and body["error"]
             assert before == [await send(admin, "GET", f"/v1/{kind}") for kind in ("tenants", "upstreams")]
 
-    asyncio.run(scenario())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize("auth", ["", "Bearer", "Bearer wrong", f"Basic {TOKEN}", f"Bearer {TOKEN}x"])
 def test_a_request_without_the_token_gets_401(auth: str) -> None:
-    async def scenario() -> None:
+    async def run_scenario() -> None:
         async with running(deployment()) as app:
             admin = await HttpClient(app.addresses["admin"]).open()
             assert (await send(admin, "GET", "/v1/tenants", auth=auth))[0] == 401
             assert (await send(admin, "DELETE", "/v1/nothing", auth=auth))[0] == 401
 
-    asyncio.run(scenario())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -20,7 +20,7 @@
 
 
 def test_a_response_is_composed_of_the_toy_dependencies_replies_and_may_be_partial(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def run_scenario() -> None:
         dependencies = await start("examples.dependencies", "0")
         assert dependencies.stdout is not None
         addresses = (await dependencies.stdout.readline()).decode().split()[1:]
@@ -57,11 +57,11 @@
         assert output == b'entered {"request":"D-7","answers":{"tarifa":{"rate":0.045}}}\n'
         await service.communicate()
 
-    asyncio.run(scenario())
+    asyncio.run(run_scenario())
 
 
 def test_the_toy_server_serves_both_fronts(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def run_scenario() -> None:
         toy_server = await start("examples.toy_server", "127.0.0.1:0")
         assert toy_server.stdout is not None
         address = (await toy_server.stdout.readline()).split()[1].decode()
@@ -97,4 +97,4 @@
         assert output.split() == [b"/call/oddaja", b"jadran-spedicija"]  # one run for both attempts
         await service.communicate()
 
-    asyncio.run(scenario())
+    asyncio.run(run_scenario())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -62,7 +62,7 @@
 
 @pytest.mark.skipif(not Path("/proc/self/net/tcp").exists(), reason="needs Linux's /proc")
 def test_the_run_command_becomes_one_process_with_tcp_sockets_only(tmp_path: Path) -> None:
-    async def scenario() -> None:
+    async def run_scenario() -> None:
         async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.readline():
                 writer.write(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
@@ -112,7 +112,7 @@
                 shell.send_signal(signal.SIGKILL)
                 await shell.communicate()
 
-    asyncio.run(scenario())
+    asyncio.run(run_scenario())
 
 
 def test_the_interpreter_is_linked_dynamically() -> None:
