--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -182,7 +182,7 @@
                 self.announcer,
                 self.index,
             )
-            self.takeover_task = loop.create_task(self.takeover.begin())
+            self.takeover_task = loop.create_task(self.takeover.start_serving())
         else:
             await self._open_fronts(client_connections)
         if conf.control:
