--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -24,7 +24,7 @@
 EXIT_DELAY_SECONDS = 1.0  # after the stop timeout: the process exits then if nothing has killed it
 
 
-async def serve(conf: config.Config, extra: deployment.Deployment, log: JsonLog) -> None:
+async def serve(conf: config.Config, deployment_conf: deployment.Deployment, log: JsonLog) -> None:
     """Run the service, with the platform's and the deployment file's settings, until it is stopped.
 
     Raises:
@@ -35,7 +35,7 @@
     loop.set_exception_handler(
         lambda _, context: log("error", text=context.get("message"), error=repr(context.get("exception")))
     )
-    app, stopped = App(conf, extra, log), asyncio.Event()
+    app, stopped = App(conf, deployment_conf, log), asyncio.Event()
 
     def begin_drain(seconds_ago: float) -> None:
         app.begin_drain(stopped.set, seconds_ago)
@@ -85,13 +85,13 @@
         The exit status: 0 after a graceful shutdown, 2 if the service can't start.
     """
     try:
-        conf, extra = config.load(), deployment.load()
+        conf, deployment_conf = config.load(), deployment.load()
     except config.ConfigError as error:
         print(f"saltcart: {error}", file=sys.stderr)
         return 2
     log = JsonLog()
     try:
-        asyncio.run(serve(conf, extra, log))
+        asyncio.run(serve(conf, deployment_conf, log))
     except (config.ConfigError, OSError) as error:  # such as an unreadable state file or an address in use
         print(f"saltcart: {error}", file=sys.stderr)
         return 2
--- a/saltcart/admin/registry.py
+++ b/saltcart/admin/registry.py
@@ -52,7 +52,7 @@
 
         Args:
             deployment: The deployment file's settings.
-            service: Is given the tenants after each change.
+            service: Receives the tenants after each change.
             live_upstreams: The connections to upstreams, updated on each change; ``None`` with a worker pool.
             state_file: File that keeps changes over a restart; ``None`` to keep them in memory only.
 
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -45,7 +45,7 @@
 # File descriptors for the pool, the announce service, listeners, logs, the event loop and connections being
 # closed; and for a successor that starts while this process still serves, before its takeover.
 RESERVED_DESCRIPTORS, SUCCESSOR_DESCRIPTORS = 56, 24
-# Connections to the index: the limit of descriptors divided by the divisor, within these bounds.
+# Connections to the index: the limit of descriptors divided by the divisor, within the two bounds.
 MIN_INDEX_CONNECTIONS = 4
 MAX_INDEX_CONNECTIONS = 64
 INDEX_DIVISOR = 6
@@ -301,7 +301,7 @@
         Args:
             max_connections: Limit of the connections of all fronts together.
         """
-        service, shared = self.service, self.takeover is not None
+        service, reuse_port = self.service, self.takeover is not None
         max_ajp_connections = max_connections // AJP_DIVISOR if self.deployment.ajp is not None else 0
         http = Listener(
             self.conf.listen,
@@ -318,7 +318,7 @@
                 lambda owner: AjpConnection(owner, service, secret),
                 lambda: service.idle_timeout,
                 max_ajp_connections,
-                reuse_port=shared,
+                reuse_port=reuse_port,
             )
             await self._listen("ajp", front)
             self.fronts["ajp"] = front
@@ -383,9 +383,9 @@
             self.takeover.close()
         for listener in self.listeners:
             listener.close()
-        for part in (self.locality, self.subsets, self.pool, self.index, self.announcer, self.membership):
-            if part is not None:
-                part.close()
+        for link in (self.locality, self.subsets, self.pool, self.index, self.announcer, self.membership):
+            if link is not None:
+                link.close()
         if self.composer is not None:
             self.composer.close()
         if self.upstreams is not None:
--- a/saltcart/cli.py
+++ b/saltcart/cli.py
@@ -37,19 +37,19 @@
 def check(file: Path, platform_file: Path | None) -> None:
     """Check a deployment FILE; if it is invalid, print one line and exit with status 2."""
     try:
-        extra = deployment.load({"SALTCART_DEPLOYMENT": str(file)})
+        loaded = deployment.load({"SALTCART_DEPLOYMENT": str(file)})
         if platform_file is not None:
             conf = config.load({"BALANCER_CONFIG": str(platform_file)})
-            if extra.plans is not None:
+            if loaded.plans is not None:
                 from saltcart.app import check_plans
 
-                check_plans(extra.plans, conf)
+                check_plans(loaded.plans, conf)
     except config.ConfigError as error:
         click.echo(f"saltcart: {error}", err=True)
         sys.exit(2)
-    plans = () if extra.plans is None else extra.plans.plan
+    plans = () if loaded.plans is None else loaded.plans.plan
     click.echo(
-        f"{file}: good: {len(extra.tenants)} tenants, {len(extra.upstreams)} upstreams, {len(plans)} plans"
+        f"{file}: good: {len(loaded.tenants)} tenants, {len(loaded.upstreams)} upstreams, {len(plans)} plans"
     )
 
 
--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -45,7 +45,7 @@
     listen: str  # for clients
     pool: str | None  # the worker pool
     announce: str | None  # the announce service
-    index: str | None
+    index: str | None  # the index, which dependency calls go to
     control: str | None  # for operators
     listen_fd: int | None  # the inherited listening socket for clients, if the platform holds it
     shared_folder: str | None  # through it a new process finds its predecessor
--- a/saltcart/importer/__init__.py
+++ b/saltcart/importer/__init__.py
@@ -17,14 +17,14 @@
 class Report:
     """Messages about what was not converted; its text has each once, in the order of files and lines."""
 
-    lines: list[tuple[str, int, str]] = field(default_factory=list)
+    messages: list[tuple[str, int, str]] = field(default_factory=list)  # file, line, text
 
     def add(self, file: str, line: int, text: str) -> None:
         """Add a message about a line of a file."""
-        self.lines.append((file, line, text))
+        self.messages.append((file, line, text))
 
     def __str__(self) -> str:
-        return "".join(f"{file}:{line}: {text}\n" for file, line, text in sorted(set(self.lines)))
+        return "".join(f"{file}:{line}: {text}\n" for file, line, text in sorted(set(self.messages)))
 
 
 def make_member(host: str, port: str, weight: str, secret: str) -> MemberConf:
--- a/saltcart/importer/__main__.py
+++ b/saltcart/importer/__main__.py
@@ -37,7 +37,7 @@
                 upstreams[upstream.name] = upstream
     sys.stdout.write(to_toml(upstreams.values()))
     sys.stderr.write(str(report))
-    return 1 if report.lines else 0
+    return 1 if report.messages else 0
 
 
 if __name__ == "__main__":
--- a/saltcart/platform_settings.py
+++ b/saltcart/platform_settings.py
@@ -22,7 +22,7 @@
     "non_idempotent": Effect.NON_IDEMPOTENT,
 }
 PREEMPTIONS = {"none": Preemption.NONE, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
-SIGNALS = {
+LOAD_SIGNALS = {
     "none": LoadSignal.NONE,
     "level": LoadSignal.LEVEL,
     "credit": LoadSignal.CREDIT,
@@ -53,7 +53,7 @@
         over_quota_weight_share=fields.number("overShareWorth", 1.0),
         objective=_read_objective(fields.optional_section("objectiveMix")),
         preemption=extra.choice("preemption", PREEMPTIONS, Preemption.NONE),
-        signal=extra.choice("signal", SIGNALS, LoadSignal.NONE),
+        signal=extra.choice("signal", LOAD_SIGNALS, LoadSignal.NONE),
         dependency=extra.choice("below", DEPENDENCY_KINDS, DependencyKind.NONE),
         dependency_call_share=extra.number("depShare", None),
         dependency_call_window=extra.number("shareSpan", 0.0),
@@ -101,7 +101,7 @@
 
 def _read_class_name(service: FieldReader) -> str:
     name: str = service.text("name")
-    if not name or any(c.isspace() or not c.isprintable() for c in name):
+    if not name or any(character.isspace() or not character.isprintable() for character in name):
         # The worker pool's line protocol sends the name as a single word, which a space would end.
         raise InvalidFieldError(
             f"{service.where}: field name is empty or has spaces or unprintable characters"
