--- a/saltcart/retry_storm/settings.py
+++ b/saltcart/retry_storm/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from saltcart.schema import convert
+from saltcart.schema import convert_table
 
 
 class StormSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -40,4 +40,4 @@
     Raises:
         InvalidFieldError: A field is invalid; the message names the field and the reason.
     """
-    return convert(raw, StormSettings, "storm")
+    return convert_table(raw, StormSettings, "storm")
