--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -20,7 +20,7 @@
 from tests.fakes import SETTINGS as CORE
 from tests.fakes import ServiceHarness
 from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, at_once, ident, running, until
-from tests.test_endings import short
+from tests.test_termination import short
 
 
 def test_a_drain_counts_from_the_notice_though_a_long_turn_hides_it() -> None:
