--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -20,7 +20,7 @@
 from tests.fakes import SETTINGS as CORE
 from tests.fakes import ServiceHarness
 from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, at_once, ident, running, until
-from tests.test_termination import short
+from tests.test_termination import harness_with_key_window
 
 
 def test_a_drain_counts_from_the_notice_though_a_long_turn_hides_it() -> None:
@@ -226,13 +226,13 @@
 
 
 def test_a_sender_whose_clock_is_ahead_puts_no_try_past_its_window() -> None:
-    w = short(1.0)
+    w = harness_with_key_window(1.0)
     w.submit(1)
     w.finish_run(1)
     w.run_until(w.now + 0.5)
     w.submit(2, received_at=w.now + 4.0)
     assert w.spawned_ids() == [ident(1)] and w.responses[ident(2)][0].body == b"result"
-    ahead = short(1.0)
+    ahead = harness_with_key_window(1.0)
     ahead.submit(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
     ahead.finish_run(1)
     ahead.run_until(ahead.now + 4.5)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -237,7 +237,7 @@
         return port
 
 
-async def start(
+async def start_program(
     config: Path, raw: dict[str, Any], fds: tuple[int, ...] = (), /, **env: str
 ) -> asyncio.subprocess.Process:
     config.write_text(json.dumps(raw))
@@ -255,7 +255,7 @@
 def test_the_program_serves_drains_and_ends(tmp_path: Path) -> None:
     async def play() -> None:
         async with Pool(auto=False) as pool:
-            program = await start(tmp_path / "c.json", raw_config(pool=pool.address, stop_ms=600))
+            program = await start_program(tmp_path / "c.json", raw_config(pool=pool.address, stop_ms=600))
             assert program.stdout is not None
             first = json.loads(await program.stdout.readline())
             assert first["event"] == "listening" and first["front"] == "http"
@@ -281,7 +281,7 @@
     async def play() -> None:
         async with Pool(auto=False) as old, Pool(auto=False) as new, Server(silent) as index:
             path = tmp_path / "c.json"
-            program = await start(path, raw_config(pool=old.address, index=index.address))
+            program = await start_program(path, raw_config(pool=old.address, index=index.address))
             await until(lambda: "python" in os.readlink(f"/proc/{program.pid}/exe"))
             program.send_signal(signal.SIGHUP)  # it starts still
             assert program.stdout is not None
@@ -293,13 +293,13 @@
             for bad in ("{", json.dumps(raw_config(index=index.address)), "[]"):
                 path.write_text(bad)
                 program.send_signal(signal.SIGHUP)
-                await logged(program.stdout, "reload-failed")
+                await wait_for_log_event(program.stdout, "reload-failed")
             new.number = old.number  # the same pool at another address
             new.bodies.update(old.bodies)
             path.write_text(json.dumps(raw_config(pool=new.address, index=index.address)))
             for _ in range(3):
                 program.send_signal(signal.SIGHUP)
-            await logged(program.stdout, "reloaded")
+            await wait_for_log_event(program.stdout, "reloaded")
             await until(lambda: b"bind 0" in new.told)
             old.writer = None
             new.finish(ident(1))
@@ -318,7 +318,7 @@
         pass
 
 
-async def logged(lines: asyncio.StreamReader, event: str) -> None:
+async def wait_for_log_event(lines: asyncio.StreamReader, event: str) -> None:
     async with asyncio.timeout(20):
         while json.loads(await lines.readline())["event"] != event:
             pass
@@ -339,7 +339,7 @@
     tmp_path: Path, raw: dict[str, Any], env: dict[str, str], named: str
 ) -> None:
     async def play() -> None:
-        program = await start(tmp_path / "c.json", {**raw_config(), **raw}, **env)
+        program = await start_program(tmp_path / "c.json", {**raw_config(), **raw}, **env)
         _, err = await program.communicate()
         assert program.returncode == 2 and named in err.decode()
         assert len(err.splitlines()) == 1 and b"Traceback" not in err
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -25,7 +25,7 @@
 from saltcart.wire.errors import MalformedMessageError
 from tests.fakes import ServiceHarness
 from tests.standins import SETTINGS, AjpClient, HttpClient, Pool, fields, ident, raw_config, running, until
-from tests.test_sockets import logged, start
+from tests.test_sockets import start_program, wait_for_log_event
 
 KEY_RECORD = KeyRecord(
     ("a", "oddaja", b"k\xff"), 3, 12.5, b"\x00\x01", {ident(1), ident(2)}, True, True, b"\n{}\0"
@@ -382,19 +382,19 @@
 
     async def scenario() -> None:
         async with Pool() as predecessor_pool, Pool() as successor_pool:
-            predecessor = await start(
+            predecessor = await start_program(
                 tmp_path / "old.json", raw_config(pool=predecessor_pool.address), (listen_fd,), **platform
             )
             assert predecessor.stdout is not None
-            await logged(predecessor.stdout, "listening")
+            await wait_for_log_event(predecessor.stdout, "listening")
             client = await HttpClient(address).open()
             await until(lambda: b"bind 0" in predecessor_pool.told)
             assert (await client.ask(1, "oddaja", key="k")).status == 200
-            successor = await start(
+            successor = await start_program(
                 tmp_path / "new.json", raw_config(pool=successor_pool.address), (listen_fd,), **platform
             )
             assert successor.stdout is not None
-            await logged(successor.stdout, "took-over")
+            await wait_for_log_event(successor.stdout, "took-over")
             predecessor.terminate()
             output, errors = await predecessor.communicate()
             assert predecessor.returncode == 0 and errors == b"" and b'"drain"' not in output
@@ -411,7 +411,7 @@
     fd: str, folder: str, status: int, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        program = await start(tmp_path / "c.json", raw_config(), BALANCER_LISTEN_FD=fd, TMPDIR=folder)
+        program = await start_program(tmp_path / "c.json", raw_config(), BALANCER_LISTEN_FD=fd, TMPDIR=folder)
         _, errors = await program.communicate()
         assert program.returncode == status and len(errors.splitlines()) == 1 and b"Traceback" not in errors
 
--- a/tests/test_termination.py
+++ b/tests/test_termination.py
@@ -39,7 +39,7 @@
     running,
     until,
 )
-from tests.test_sockets import logged, start
+from tests.test_sockets import start_program, wait_for_log_event
 
 
 def failing(call: Callable[..., Any], times: int = 1) -> Callable[..., Any]:
@@ -285,13 +285,13 @@
 # ---- keys -------------------------------------------------------------------------------------
 
 
-def short(window: float) -> ServiceHarness:
+def harness_with_key_window(window: float) -> ServiceHarness:
     """A customer whose window is shorter than its runs."""
     return ServiceHarness(replace(CORE, classes=(READ, replace(KEYED, key_window=window))))
 
 
 def test_who_joined_a_run_is_served_by_it_though_its_key_has_aged_out_meanwhile() -> None:
-    w = short(0.3)
+    w = harness_with_key_window(0.3)
     w.submit(1)
     w.run_until(w.now + 0.2)
     w.submit(2)
@@ -308,7 +308,7 @@
 
 @pytest.mark.parametrize("freed", ["its caller goes", "it never ran"])
 def test_a_try_read_late_is_of_the_run_in_its_window_though_a_newer_one_came_between(freed: str) -> None:
-    w = short(1.0)
+    w = harness_with_key_window(1.0)
     reached = w.now + 0.9
     w.submit(1)
     w.finish_run(1)
@@ -501,9 +501,11 @@
             address = "127.0.0.1:1" if silent else pool.address
             with socket.create_server(("127.0.0.1", 0)) as free:
                 listen = "{}:{}".format(*free.getsockname())
-            program = await start(tmp_path / "c.json", raw_config(pool=address, listen=listen, stop_ms=900))
+            program = await start_program(
+                tmp_path / "c.json", raw_config(pool=address, listen=listen, stop_ms=900)
+            )
             assert program.stdout is not None
-            await logged(program.stdout, "listening" if silent else "pool-started")
+            await wait_for_log_event(program.stdout, "listening" if silent else "pool-started")
             client = await HttpClient(listen).open()
             if silent:
                 assert (await client.ask(1)).status == 503  # says when to come back
@@ -511,10 +513,10 @@
                 client.send(1)
                 await until(lambda: pool.spawned == [ident(1)])
             program.terminate()
-            await logged(program.stdout, "drain")
+            await wait_for_log_event(program.stdout, "drain")
             if moment == "hangup between":
                 program.send_signal(signal.SIGHUP)
-                await logged(program.stdout, "reloaded")
+                await wait_for_log_event(program.stdout, "reloaded")
             program.terminate()
             if not silent:
                 assert (await asyncio.wait_for(client.answer(), 10)).status == 500  # before it is stopped
@@ -532,7 +534,7 @@
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as free:
             listen = "{}:{}".format(*free.getsockname())
-        program = await start(tmp_path / "c.json", raw_config(pool="127.0.0.1:1", listen=listen))
+        program = await start_program(tmp_path / "c.json", raw_config(pool="127.0.0.1:1", listen=listen))
         program.terminate()
         out, err = await program.communicate()
         # Before its handlers stand the notice ends it; nothing listened, so nothing was read.
