--- a/tests/standins.py
+++ b/tests/standins.py
@@ -63,7 +63,7 @@
     }
 
 
-def ident(number: int) -> bytes:
+def encode_id(number: int) -> bytes:
     return b"%016x" % number
 
 
@@ -91,9 +91,9 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.server.close()
-        self.cut()
+        self.abort_connections()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
@@ -102,49 +102,54 @@
 class Pool(Server):
     """A stand-in worker pool: remembers what it was told; ``auto`` ends each run at once."""
 
-    def __init__(self, auto: bool = True) -> None:
+    def __init__(self, finishes_runs: bool = True) -> None:
         super().__init__(self._link)
-        self.auto, self.number, self.notices = auto, 0, dict[int, bytes]()
+        self.finishes_runs, self.last_notice_number, self.notices = finishes_runs, 0, dict[int, bytes]()
         self.spawned: list[bytes] = []
         self.bodies: dict[bytes, bytes] = {}
-        self.told: list[bytes] = []
+        self.received_lines: list[bytes] = []
         self.state = b"LOADED 60000"  # what it says when it is bound
-        self.quiet = False  # leaves polls unanswered: for a test that writes a notice in pieces
+        self.ignores_polls = False  # leaves polls unanswered: for a test that writes a notice in pieces
         self.writer: asyncio.StreamWriter | None = None
 
     async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := (await reader.readline()).rstrip():
             words = line.split()
-            self.told.append(line)
+            self.received_lines.append(line)
             if words[0] in (b"spawn", b"supply"):
                 self.bodies[words[1]] = (await reader.readexactly(int(words[-1]) + 2))[:-2]
             if words[0] == b"bind":
                 self.writer = writer
                 writer.write(b"bound %b\r\n" % self.state)
                 writer.writelines(data for n, data in self.notices.items() if n > int(words[1]))
-            elif words[0] == b"poll" and not self.quiet and self.writer is writer:
+            elif words[0] == b"poll" and not self.ignores_polls and self.writer is writer:
                 writer.write(b"polled %b 0.5 1\r\n" % words[1])
             elif words[0] == b"spawn":
                 self.spawned.append(words[1])
-                if self.auto:
+                if self.finishes_runs:
                     self.finish(words[1])
 
     def restart(self) -> None:
         """Another pool at the same address: it numbers its notices anew and knows of no run."""
-        self.number, self.state = 0, b"EMPTY 40"
+        self.last_notice_number, self.state = 0, b"EMPTY 40"
         self.notices.clear()
-        self.cut()
-
-    def notice(self, text: bytes, body: bytes) -> None:
-        self.number += 1
-        head = b"%b %d %b %d\r\n" % (text.split()[0], self.number, b" ".join(text.split()[1:]), len(body))
-        self.notices[self.number] = head + body + b"\r\n"
+        self.abort_connections()
+
+    def send_notice(self, text: bytes, body: bytes) -> None:
+        self.last_notice_number += 1
+        head = b"%b %d %b %d\r\n" % (
+            text.split()[0],
+            self.last_notice_number,
+            b" ".join(text.split()[1:]),
+            len(body),
+        )
+        self.notices[self.last_notice_number] = head + body + b"\r\n"
         if self.writer is not None:
-            self.writer.write(self.notices[self.number])
+            self.writer.write(self.notices[self.last_notice_number])
 
-    def finish(self, ident: bytes, end: bytes = b"PASS") -> None:
-        result = b"done " + self.bodies[ident] if end == b"PASS" else b""
-        self.notice(b"finished %b %b 20" % (ident, end), result)
+    def finish(self, request_id: bytes, end: bytes = b"PASS") -> None:
+        result = b"done " + self.bodies[request_id] if end == b"PASS" else b""
+        self.send_notice(b"finished %b %b 20" % (request_id, end), result)
 
 
 @asynccontextmanager
@@ -171,19 +176,19 @@
             await asyncio.sleep(0.005)
 
 
-def fields(
+def make_request_fields(
     number: int,
     key: str | None = None,
-    budget: str = "2000",
-    received: int | None = None,
+    budget_ms: str = "2000",
+    received_at_ms: int | None = None,
     rank: str = "0.9",
     account: str = "acme",
 ) -> list[tuple[str, str]]:
     named = {
         "Request-Id": f"{number:016x}",
-        "Received-At": str(received or int(time.time() * 1000)),
+        "Received-At": str(received_at_ms or int(time.time() * 1000)),
         "Account": account,
-        "Budget-Ms": budget,
+        "Budget-Ms": budget_ms,
         "Footprint-Kb": "24.5",
         "Priority-Rank": rank,
     }
@@ -194,24 +199,26 @@
     def __init__(self, address: str) -> None:
         self.host, self.port = address.split(":")
         self.buffer, self.parser = Buffer(), http1.HttpResponseParser(1 << 16)
-        self.changed: dict[str, str | None] = {}  # fields that are sent with another value, or left out
+        # Values that replace the default ones; None leaves the field out.
+        self.overridden_fields: dict[str, str | None] = {}
 
-    def fields(self, number: int, **more: Any) -> list[tuple[str, str]]:
-        named = {**dict(fields(number, **more)), **self.changed}
+    def request_fields(self, number: int, **more: Any) -> list[tuple[str, str]]:
+        named = {**dict(make_request_fields(number, **more)), **self.overridden_fields}
         return [(name, value) for name, value in named.items() if value is not None]
 
     async def open(self) -> Self:
         self.reader, self.writer = await asyncio.open_connection(self.host, int(self.port))
         return self
 
-    def send(self, number: int, klass: str = "read", body: bytes = b"x", **more: Any) -> None:
-        head = "".join(f"{name}: {value}\r\n" for name, value in self.fields(number, **more))
+    def send(self, number: int, class_name: str = "read", body: bytes = b"x", **more: Any) -> None:
+        head = "".join(f"{name}: {value}\r\n" for name, value in self.request_fields(number, **more))
         self.writer.write(
-            f"POST /call/{klass} HTTP/1.1\r\nHost: h\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode()
+            f"POST /call/{class_name} HTTP/1.1\r\nHost: h\r\n{head}"
+            f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body
         )
 
-    async def answer(self) -> http1.HttpResponse:
+    async def read_response(self) -> http1.HttpResponse:
         while (response := self.parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
@@ -219,17 +226,17 @@
             self.buffer.write(data)
         return response
 
-    async def ask(
-        self, number: int, klass: str = "read", body: bytes = b"x", **more: Any
+    async def post(
+        self, number: int, class_name: str = "read", body: bytes = b"x", **more: Any
     ) -> http1.HttpResponse:
-        self.send(number, klass, body, **more)
-        return await self.answer()
+        self.send(number, class_name, body, **more)
+        return await self.read_response()
 
     def drop(self) -> None:
         self.writer.transport.abort()
 
 
-def at_once(client: HttpClient) -> Callable[[bytes], None]:
+def bypass_transport(client: HttpClient) -> Callable[[bytes], None]:
     """Writes to the client's socket in this very turn, past its transport."""
 
     def write(data: bytes) -> None:
@@ -245,22 +252,22 @@
 
     def __init__(self, address: str, secret: bytes = b"") -> None:
         super().__init__(address)
-        self.replies, self.secret, self.rest = ajp.AjpResponseParser(1 << 16), secret, b""
+        self.response_parser, self.secret, self.unsent_body = ajp.AjpResponseParser(1 << 16), secret, b""
 
     def send(
         self,
         number: int,
-        klass: str = "read",
+        class_name: str = "read",
         body: bytes = b"x",
-        first: int = ajp.MAX_BODY_DATA_BYTES,
+        first_part_size: int = ajp.MAX_BODY_DATA_BYTES,
         **more: Any,
     ) -> None:
         """``first``: how much of the body goes along unasked."""
-        headers = [(n.encode(), v.encode()) for n, v in self.fields(number, **more)]
+        headers = [(n.encode(), v.encode()) for n, v in self.request_fields(number, **more)]
         self.writer.write(
             ajp.encode_forward_request(
                 b"POST",
-                b"/call/" + klass.encode(),
+                b"/call/" + class_name.encode(),
                 [*headers, (b"Content-Length", b"%d" % len(body))],
                 b"localhost",
                 8009,
@@ -268,20 +275,20 @@
             )
         )
         if body:
-            self.writer.write(ajp.encode_body_packet(body[:first]))
-        self.rest = body[first:]
+            self.writer.write(ajp.encode_body_packet(body[:first_part_size]))
+        self.unsent_body = body[first_part_size:]
 
-    async def message(self) -> ajp.AjpResponse | ajp.CPong | ajp.GetBodyChunk:
-        while (message := self.replies.next(self.buffer)) is None:
+    async def read_message(self) -> ajp.AjpResponse | ajp.CPong | ajp.GetBodyChunk:
+        while (message := self.response_parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
                 raise ConnectionResetError
             self.buffer.write(data)
         return message
 
-    async def answer(self) -> http1.HttpResponse:
-        while isinstance(message := await self.message(), ajp.GetBodyChunk):
-            part, self.rest = self.rest[: message.size], self.rest[message.size :]
+    async def read_response(self) -> http1.HttpResponse:
+        while isinstance(message := await self.read_message(), ajp.GetBodyChunk):
+            part, self.unsent_body = self.unsent_body[: message.size], self.unsent_body[message.size :]
             self.writer.write(ajp.encode_body_packet(part))
         assert isinstance(message, ajp.AjpResponse)
         return http1.HttpResponse(message.status, message.headers, message.body, message.reuse)
@@ -295,11 +302,11 @@
     """A stand-in AJP container; ``act`` decides what becomes of each request."""
 
     def __init__(
-        self, act: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]], secret: bytes = b""
+        self, respond: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]], secret: bytes = b""
     ) -> None:
         super().__init__(self._link)
-        self.act, self.secret = act, secret
-        self.seen: list[ajp.ForwardRequest] = []
+        self.respond, self.secret = respond, secret
+        self.received_requests: list[ajp.ForwardRequest] = []
 
     async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         buffer, parser = Buffer(), ajp.AjpRequestParser(1 << 16, self.secret)
@@ -311,13 +318,13 @@
                 elif isinstance(message, ajp.GetBodyChunkPacket):
                     writer.write(message.data)
                 else:
-                    self.seen.append(message)
-                    answer = await self.act(message)
+                    self.received_requests.append(message)
+                    answer = await self.respond(message)
                     if answer is None:  # drop the connection
                         writer.transport.abort()
                         return
                     writer.write(answer)
 
 
-def container_answer(status: int, body: bytes = b"", reuse: bool = True) -> bytes:
+def encode_container_response(status: int, body: bytes = b"", reuse: bool = True) -> bytes:
     return ajp.encode_response(status, b"R", [], body, reuse)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 from saltcart.config import ConfigError
 from saltcart.deployment import AdminSettings, AjpSettings, Deployment, read_deployment
 from saltcart.wire import ajp
-from tests.standins import AjpServer, HttpClient, container_answer, running
+from tests.standins import AjpServer, HttpClient, encode_container_response, running
 
 TOKEN = "a-token-long-enough"
 AUTH = f"Bearer {TOKEN}"
@@ -30,14 +30,14 @@
         f"{method} {path} HTTP/1.1\r\nAuthorization: {auth}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
         + body
     )
-    response = await client.answer()
+    response = await client.read_response()
     return response.status, orjson.loads(response.body) if response.body else None
 
 
 def test_tenants_and_upstreams_are_added_changed_and_removed(tmp_path: Path) -> None:
     def container(name: bytes) -> AjpServer:
         async def respond(_: ajp.ForwardRequest) -> bytes:
-            return container_answer(200, name)
+            return encode_container_response(200, name)
 
         return AjpServer(respond)
 
@@ -57,11 +57,11 @@
                 assert (await send(admin, *request, tenant))[0] < 300
             assert (await send(admin, "GET", "/v1/shares"))[1] == {"acme": 0.4, "other": 0.4}
             assert (await send(admin, "PUT", "/v1/shares", {"acme": 0.7, "other": 0.3}))[0] == 200
-            assert (await client.ask(1, account="acme")).body == b"one"
-            assert (await client.ask(2, account="other")).body == b"two"
+            assert (await client.post(1, account="acme")).body == b"one"
+            assert (await client.post(2, account="other")).body == b"two"
             # One key used by two tenants identifies two requests.
-            assert (await client.ask(3, "oddaja", key="k", account="acme")).body == b"one"
-            assert (await client.ask(4, "oddaja", key="k", account="other")).body == b"two"
+            assert (await client.post(3, "oddaja", key="k", account="acme")).body == b"one"
+            assert (await client.post(4, "oddaja", key="k", account="other")).body == b"two"
             assert (await send(admin, "GET", "/v1/counts"))[1] == {
                 account: {"read": {"served": 1}, "oddaja": {"served": 1}} for account in ("acme", "other")
             }
@@ -70,7 +70,7 @@
                 {"host": two.address, "weight": 1.0, "has_secret": True, "open": 0}
             ]
             assert (await send(admin, "DELETE", "/v1/tenants/other"))[0] == 204
-            assert (await client.ask(5, account="other")).status == 400
+            assert (await client.post(5, account="other")).status == 400
             assert (await send(admin, "DELETE", "/v1/upstreams/u2"))[0] == 204
             status, shown = await send(admin, "GET", "/v1/state")
             assert status == 200 and shown["healthy"] and shown["tenants"] == shown["upstreams"] == 1
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -11,7 +11,7 @@
 from saltcart.net import ajp as ajp_driver
 from saltcart.net.ajp import AjpMember, AjpUpstream
 from saltcart.wire import ajp
-from tests.standins import AjpClient, AjpServer, HttpClient, Pool, container_answer, running, until
+from tests.standins import AjpClient, AjpServer, HttpClient, Pool, encode_container_response, running, until
 
 FRONT = Deployment(ajp=AjpSettings("127.0.0.1:0", "s3cret"))
 
@@ -25,18 +25,18 @@
         async with Pool() as pool, running(FRONT, pool=pool.address) as app:
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             body = bytes(range(256)) * 8
-            client.send(1, "read", body, first=100)
-            answer = await client.answer()
+            client.send(1, "read", body, first_part_size=100)
+            answer = await client.read_response()
             assert (answer.status, answer.body, answer.keep_alive) == (200, b"done " + body, True)
             assert b"server-hint" in answer.headers
             client.writer.write(ajp.CPING_PACKET)
-            assert isinstance(await client.message(), ajp.CPong)
+            assert isinstance(await client.read_message(), ajp.CPong)
             client.writer.write(ajp.encode_packet(ajp.TO_CONTAINER, bytes((ajp.SHUTDOWN,))))  # ignored
-            assert (await client.ask(2, "oddaja", b"", key="k")).body == b"done "
-            assert (await client.ask(3, "nothing")).status == 400
-            assert (await client.ask(4, "oddaja")).status == 400  # without an idempotency key
+            assert (await client.post(2, "oddaja", b"", key="k")).body == b"done "
+            assert (await client.post(3, "nothing")).status == 400
+            assert (await client.post(4, "oddaja")).status == 400  # without an idempotency key
             client_with_wrong_secret = await AjpClient(app.addresses["ajp"], b"wrong").open()
-            rejection = await client_with_wrong_secret.ask(5)
+            rejection = await client_with_wrong_secret.post(5)
             assert (rejection.status, rejection.keep_alive) == (403, False)
             assert len(pool.spawned) == 2
 
@@ -49,7 +49,7 @@
     monkeypatch.setattr(ajp_driver, "SWEEP_INTERVAL_SECONDS", 0.02)
 
     async def respond(_: ajp.ForwardRequest) -> bytes:
-        return container_answer(200, b"good")
+        return encode_container_response(200, b"good")
 
     async def run_scenario() -> None:
         async with AjpServer(respond) as server, running(upstream_deployment(server.address)) as app:
@@ -57,7 +57,7 @@
             assert app.upstreams is not None
             ajp_upstream = app.upstreams.by_name["u"]
             for number in (1, 2):
-                assert (await client.ask(number)).body == b"good"
+                assert (await client.post(number)).body == b"good"
                 await until(
                     lambda: (
                         not ajp_upstream.members[0].idle_connections and ajp_upstream.sweeper.handle is None
@@ -71,10 +71,10 @@
 
 def test_a_connection_lost_within_a_body_leaves_no_state() -> None:
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(FRONT, pool=pool.address) as app:
             client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
-            client.send(1, "oddaja", b"x" * 900, first=300, key="k")
-            assert isinstance(await client.message(), ajp.GetBodyChunk)
+            client.send(1, "oddaja", b"x" * 900, first_part_size=300, key="k")
+            assert isinstance(await client.read_message(), ajp.GetBodyChunk)
             client.drop()
             await until(lambda: not app.listeners[1].connections)
             assert not app.service.requests and not app.service.keys.records and pool.spawned == []
@@ -90,7 +90,7 @@
 
 def test_an_idempotency_key_holds_across_both_fronts() -> None:
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(FRONT, pool=pool.address) as app:
             gateway = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             balancer = await HttpClient(app.addresses["http"]).open()
             gateway.send(1, "oddaja", b"same", key="k")
@@ -98,9 +98,9 @@
             balancer.send(2, "oddaja", b"same", key="k")
             await until(lambda: len(app.service.requests) == 2)
             pool.finish(pool.spawned[0])
-            answers = await asyncio.gather(gateway.answer(), balancer.answer())
+            answers = await asyncio.gather(gateway.read_response(), balancer.read_response())
             assert [answer.body for answer in answers] == [b"done same"] * 2
-            assert (await gateway.ask(3, "oddaja", b"same", key="k")).body == b"done same"
+            assert (await gateway.post(3, "oddaja", b"same", key="k")).body == b"done same"
             assert len(pool.spawned) == 1
 
     asyncio.run(run_scenario())
@@ -108,7 +108,7 @@
 
 def test_draining_answers_requests_until_the_process_stops() -> None:
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool, running(FRONT, pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(FRONT, pool=pool.address) as app:
             earlier_client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             earlier_client.send(1)
             await until(lambda: len(pool.spawned) == 1)
@@ -116,9 +116,9 @@
             await asyncio.sleep(0.35)
             # Connections are still accepted.
             later_client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
-            assert (await later_client.ask(2)).status == 503
+            assert (await later_client.post(2)).status == 503
             # Answered before the process stops, though its run is unfinished.
-            assert (await earlier_client.answer()).status in (500, 503)
+            assert (await earlier_client.read_response()).status in (500, 503)
             assert pool.spawned == [b"%016x" % 1]
 
     asyncio.run(run_scenario())
@@ -140,18 +140,21 @@
     status: int | None, class_name: str, expected: int, runs: int
 ) -> None:
     async def respond(_: ajp.ForwardRequest) -> bytes | None:
-        return None if status is None else container_answer(status, b"\x00result")
+        return None if status is None else encode_container_response(status, b"\x00result")
 
     async def run_scenario() -> None:
         async with AjpServer(respond) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            answer = await client.ask(1, class_name, b"body", key="k" if class_name == "oddaja" else None)
-            assert answer.status == expected and len(server.seen) == runs
+            answer = await client.post(1, class_name, b"body", key="k" if class_name == "oddaja" else None)
+            assert answer.status == expected and len(server.received_requests) == runs
             assert answer.body == (b"\x00result" if expected == 200 else b"")
-            assert server.seen[0].body == b"body" and server.seen[0].uri == b"/call/" + class_name.encode()
+            assert (
+                server.received_requests[0].body == b"body"
+                and server.received_requests[0].uri == b"/call/" + class_name.encode()
+            )
             if class_name == "oddaja":  # whatever the outcome, a retry does not reach the upstream
-                assert (await client.ask(2, class_name, b"body", key="k")).status == expected
-                assert len(server.seen) == runs
+                assert (await client.post(2, class_name, b"body", key="k")).status == expected
+                assert len(server.received_requests) == runs
 
     asyncio.run(run_scenario())
 
@@ -159,10 +162,10 @@
 @pytest.mark.parametrize("class_name", ["read", "oddaja"])
 def test_another_member_is_tried_if_the_request_did_not_run(class_name: str) -> None:
     async def reject(_: ajp.ForwardRequest) -> bytes:
-        return container_answer(503)
+        return encode_container_response(503)
 
     async def serve(_: ajp.ForwardRequest) -> bytes:
-        return container_answer(200, b"ok")
+        return encode_container_response(200, b"ok")
 
     async def run_scenario() -> None:
         async with AjpServer(reject) as stopped:
@@ -175,10 +178,12 @@
             client = await HttpClient(app.addresses["http"]).open()
             for number in range(1, 4):
                 assert (
-                    await client.ask(number, class_name, key=f"k{number}" if class_name == "oddaja" else None)
+                    await client.post(
+                        number, class_name, key=f"k{number}" if class_name == "oddaja" else None
+                    )
                 ).body == b"ok"
             # END_RESPONSE permits reuse of the connection.
-            assert len(healthy.seen) == 3 and len(healthy.writers) == 1
+            assert len(healthy.received_requests) == 3 and len(healthy.writers) == 1
 
     asyncio.run(run_scenario())
 
@@ -206,8 +211,8 @@
     async def run_scenario() -> None:
         async with AjpServer(hang) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            answer = await client.ask(1, "oddaja", key="k", budget="400")
-            assert answer.status == 500 and len(server.seen) == 1
+            answer = await client.post(1, "oddaja", key="k", budget_ms="400")
+            assert answer.status == 500 and len(server.received_requests) == 1
             await until(lambda: not app.service.requests)
 
     asyncio.run(run_scenario())
@@ -237,7 +242,7 @@
     malformed: bytes,
 ) -> None:
     """Noise, wrong lengths, endless bodies or silence: the run fails, and the next uses a new connection."""
-    answers = [malformed, container_answer(200, b"good")]
+    answers = [malformed, encode_container_response(200, b"good")]
 
     async def respond(_: ajp.ForwardRequest) -> bytes:
         return answers.pop(0)
@@ -245,8 +250,8 @@
     async def run_scenario() -> None:
         async with AjpServer(respond) as server, running(upstream_deployment(server.address)) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            assert (await client.ask(1, "oddaja", key="k", budget="500")).status == 500
-            assert (await client.ask(2, "oddaja", key="other")).body == b"good"
-            assert len(server.seen) == 2 and len(server.writers) == 2
+            assert (await client.post(1, "oddaja", key="k", budget_ms="500")).status == 500
+            assert (await client.post(2, "oddaja", key="other")).body == b"good"
+            assert len(server.received_requests) == 2 and len(server.writers) == 2
 
     asyncio.run(run_scenario())
--- a/tests/test_composed_responses.py
+++ b/tests/test_composed_responses.py
@@ -127,11 +127,11 @@
                 await AjpClient(s.app.addresses["ajp"]).open(),
             ]
             for n, client in enumerate(clients):
-                whole = await client.ask(10 + n, body=b"whole")
+                whole = await client.post(10 + n, body=b"whole")
                 assert whole.status == 200 and b"left-out" not in whole.headers
                 assert orjson.loads(whole.body) == {"tariff": {"ok": 1}, "archive": {"ok": 1}}
             answers = await asyncio.gather(
-                *(client.ask(20 + n, body=b"partial") for n, client in enumerate(clients))
+                *(client.post(20 + n, body=b"partial") for n, client in enumerate(clients))
             )
             for answer in answers:
                 assert answer.status == 200 and answer.headers[b"left-out"] == b"archive"
@@ -164,7 +164,7 @@
     async def test() -> None:
         async with site(archive=lambda asked: Act("silent")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
-            answer = await client.ask(1, budget="700")  # the decision module ends it three sweeps earlier
+            answer = await client.post(1, budget_ms="700")  # the decision module ends it three sweeps earlier
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
 
     run_test(test)
@@ -174,7 +174,7 @@
     async def test() -> None:
         async with site() as s:
             client = await HttpClient(s.app.addresses["http"]).open()
-            await client.ask(1, "oddaja", key="k", budget="900")
+            await client.post(1, "oddaja", key="k", budget_ms="900")
             assert 500 < s.tariff.asked[0].within <= 900 and s.ledger.asked[0].within <= 900
             assert orjson.loads(s.ledger.asked[0].body) == {"request": "x", "answers": {"tariff": {"ok": 1}}}
             assert s.tariff.asked[0].account == b"acme"
@@ -186,8 +186,8 @@
     async def test() -> None:
         async with site(ledger=lambda asked: Act("drop")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
-            first = await client.ask(1, "oddaja", key="k")
-            again = await client.ask(2, "oddaja", key="k")
+            first = await client.post(1, "oddaja", key="k")
+            again = await client.post(2, "oddaja", key="k")
             assert (first.status, again.status) == (500, 500)
             assert len(s.ledger.asked) == 1  # it may have had its effect
 
@@ -200,8 +200,8 @@
             clients = [await HttpClient(s.app.addresses["http"]).open() for _ in range(3)]
             clients[0].send(1, "oddaja", key="k")
             await until(lambda: len(s.ledger.asked) == 1)
-            answers = await asyncio.gather(clients[0].answer(), clients[1].ask(2, "oddaja", key="k"))
-            late = await clients[2].ask(3, "oddaja", key="k")
+            answers = await asyncio.gather(clients[0].read_response(), clients[1].post(2, "oddaja", key="k"))
+            late = await clients[2].post(3, "oddaja", key="k")
             assert [(a.status, a.body) for a in (*answers, late)] == [(200, b"entered")] * 3
             assert len(s.ledger.asked) == 1 and len(s.tariff.asked) == 1
 
@@ -213,9 +213,9 @@
         bad = [True]
         async with site(tariff=lambda asked: Act("error" if bad[0] else "ok"), attempts=0.0) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
-            assert (await client.ask(1, "oddaja", key="k")).status == 500
+            assert (await client.post(1, "oddaja", key="k")).status == 500
             bad[0] = False
-            assert (await client.ask(2, "oddaja", key="k")).status == 200
+            assert (await client.post(2, "oddaja", key="k")).status == 200
             assert len(s.ledger.asked) == 1
 
     run_test(test)
@@ -229,7 +229,7 @@
                 connection.abort()
             client = await HttpClient(s.app.addresses["http"]).open()
             for n in range(4):
-                answer = await client.ask(1 + n)
+                answer = await client.post(1 + n)
                 assert (answer.status, answer.headers.get(b"left-out")) == (200, None)
             assert len(s.spare.asked) == 4 and s.state("tariff")["moot"] >= 1
 
@@ -241,11 +241,11 @@
         slow = [True]
         async with site(archive=lambda asked: Act(after=1.3 if slow[0] else 0.0, body=b'"late"')) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
-            first = await client.ask(1, body=b"a")
+            first = await client.post(1, body=b"a")
             slow[0] = False
             assert (first.status, first.headers.get(b"left-out")) == (200, b"archive")
             await until(lambda: s.archive.replied == 1)
-            second = await client.ask(2, body=b"b")
+            second = await client.post(2, body=b"b")
             assert orjson.loads(second.body)["archive"] == "late" and len(s.archive.asked) == 2
 
     run_test(test)
@@ -277,7 +277,7 @@
                 **{**{f: getattr(s.app.conf, f) for f in s.app.conf.__slots__}, "stop_timeout": 0.5}
             )
             s.app.begin_drain()
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
 
     run_test(test)
@@ -289,7 +289,7 @@
             status, why = await admin(s.app, "DELETE", "/v1/upstreams/ledger")
             assert status == 422 and "plans need it" in why["error"]
             client = await HttpClient(s.app.addresses["http"]).open()
-            assert (await client.ask(1, "oddaja", key="k")).status == 200
+            assert (await client.post(1, "oddaja", key="k")).status == 200
 
     run_test(test)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -50,7 +50,10 @@
 
 def test_commands_check_drain_and_show_metrics() -> None:
     async def scenario() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address, control="127.0.0.1:0") as app:
+        async with (
+            Pool(finishes_runs=False) as pool,
+            running(pool=pool.address, control="127.0.0.1:0") as app,
+        ):
             control_address, client = app.addresses["control"], await HttpClient(app.addresses["http"]).open()
             assert (await send_command(control_address, b"check\n"))[0].startswith("OK")
             for line in (b"\n", b"what\r\n", b"CHECK\n", b"\x00\n", b"x" * 100_000):
@@ -67,17 +70,17 @@
                 (503, b"drain-off\n"),
             ):
                 ping.writer.write(b"GET /ping HTTP/1.1\r\n\r\n")
-                assert (await ping.answer()).status == expected_status
+                assert (await ping.read_response()).status == expected_status
                 assert (await send_command(control_address, command))[0].startswith("OK")
             assert "balancer.open_requests:1|g" in await send_command(control_address, b"vars\n")
             app.service.set_withdrawn(True)
             pool.finish(pool.spawned[0])
             # A request that arrives while draining is still served.
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             client.send(2, "oddaja", key="k")
             await until(lambda: len(pool.spawned) == 2)
             pool.finish(pool.spawned[1], b"FAIL")
-            assert (await client.answer()).status == 500
+            assert (await client.read_response()).status == 500
             app.service.lifecycle.fail_all()
             lines = await send_command(control_address, b"vars\n")
             assert lines[-1] == "END" and set(lines[:-1]) == {
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -48,11 +48,11 @@
         settings = customer([service(klass)], ["other", account])
         async with Pool() as pool, running(BOTH_FRONTS, pool=pool.address, settings=settings) as app:
             client = await CLIENTS[front](app.addresses[front]).open()
-            answer = await client.ask(1, path, account=account)
+            answer = await client.post(1, path, account=account)
             assert (answer.status, answer.body) == (200, b"done x")
-            assert b"spawn %016x %b 1" % (1, klass.encode()) in pool.told
-            assert (await client.ask(2, path, account=account + "x")).status == 400
-            assert (await client.ask(3, path + "x", account=account)).status == 400
+            assert b"spawn %016x %b 1" % (1, klass.encode()) in pool.received_lines
+            assert (await client.post(2, path, account=account + "x")).status == 400
+            assert (await client.post(3, path + "x", account=account)).status == 400
             assert app.service.counts[account, klass, "served"] == 1
 
     asyncio.run(play())
@@ -130,18 +130,18 @@
             for n, (klass, has_key) in enumerate(keyed.items(), 1):
                 key = "k" if has_key else None
                 if tenants == []:
-                    client.changed = {"Account": None}
-                assert (await client.ask(n, klass, key=key)).body == b"done x"
-                assert (await client.ask(n + 10, klass, key=key)).body == b"done x"
+                    client.overridden_fields = {"Account": None}
+                assert (await client.post(n, klass, key=key)).body == b"done x"
+                assert (await client.post(n + 10, klass, key=key)).body == b"done x"
                 # Only a keyed class's further try is known for one; the rest is the callers' to hold back.
                 assert len(pool.spawned) == (n if has_key else 2 * n)
-            pool.auto = False
+            pool.finishes_runs = False
             late = await HttpClient(app.addresses["http"]).open()
-            late.changed = {**client.changed, "Budget-Ms": None}
+            late.overridden_fields = {**client.overridden_fields, "Budget-Ms": None}
             late.send(50, klass, key="other" if has_key else None)
             app.begin_drain()
-            assert (await asyncio.wait_for(late.answer(), 5)).status in (500, 503)
-            assert (await client.ask(51, klass, key="third" if has_key else None)).status in (500, 503)
-            assert sum(word.startswith(b"spawn") for word in pool.told) == len(set(pool.spawned))
+            assert (await asyncio.wait_for(late.read_response(), 5)).status in (500, 503)
+            assert (await client.post(51, klass, key="third" if has_key else None)).status in (500, 503)
+            assert sum(word.startswith(b"spawn") for word in pool.received_lines) == len(set(pool.spawned))
 
     asyncio.run(play())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -33,8 +33,8 @@
     HttpClient,
     Pool,
     Server,
-    at_once,
-    ident,
+    bypass_transport,
+    encode_id,
     raw_config,
     running,
     until,
@@ -82,7 +82,7 @@
                 log=lambda event, **more: logged.append((event, more.get("name"))),
             ) as app,
         ):
-            assert (await (await HttpClient(app.addresses["http"]).open()).ask(1)).status == 200
+            assert (await (await HttpClient(app.addresses["http"]).open()).post(1)).status == 200
             await until(lambda: len(announce.writers) >= 1)
             assert ("loop-died", dies) in logged
 
@@ -119,7 +119,7 @@
             w.run_until(w.now + 20.0)
     w.run_until(w.now + 20.0)
     w.submit(2, key=b"other")
-    assert w.spawned_ids() == [ident(1), ident(2)]
+    assert w.spawned_ids() == [encode_id(1), encode_id(2)]
 
 
 def test_a_fault_in_one_action_costs_no_other() -> None:
@@ -134,7 +134,7 @@
     w.run_until(w.now + 3.1)
     w.submit(3, "read")
     w.run_until(w.now + 0.5)
-    assert w.spawned_ids() == [ident(2), ident(3)]
+    assert w.spawned_ids() == [encode_id(2), encode_id(3)]
 
 
 # ---- the clock --------------------------------------------------------------------------------
@@ -161,17 +161,17 @@
     async def play() -> None:
         async with Pool() as pool, running(BOTH_FRONTS, clock=Clock(unix), pool=pool.address) as app:
             one, two = [await CLIENTS[front](app.addresses[front]).open() for _ in range(2)]
-            assert (await one.ask(1, "oddaja", key="k", received=unix.stamp())).status == 200
-            pool.auto = False
-            two.send(2, budget="700", received=unix.stamp())
+            assert (await one.post(1, "oddaja", key="k", received_at_ms=unix.stamp())).status == 200
+            pool.finishes_runs = False
+            two.send(2, budget_ms="700", received_at_ms=unix.stamp())
             await until(lambda: len(pool.spawned) == 2)
             unix.moved = moved
-            assert (await asyncio.wait_for(two.answer(), 10)).status == 500  # by its due time
-            pool.auto = True
+            assert (await asyncio.wait_for(two.read_response(), 10)).status == 500  # by its due time
+            pool.finishes_runs = True
             # New work is as old as it is, and a further try of a key is within the window still.
-            assert (await one.ask(3, received=unix.stamp())).status == 200
-            assert (await one.ask(4, "oddaja", key="k", received=unix.stamp())).body == b"done x"
-            assert pool.spawned == [ident(1), ident(2), ident(3)]
+            assert (await one.post(3, received_at_ms=unix.stamp())).status == 200
+            assert (await one.post(4, "oddaja", key="k", received_at_ms=unix.stamp())).body == b"done x"
+            assert pool.spawned == [encode_id(1), encode_id(2), encode_id(3)]
 
     asyncio.run(play())
 
@@ -195,7 +195,7 @@
         ):
             client = await HttpClient(app.addresses["http"]).open()
             received = int((time.time() - ago) * 1000)
-            assert (await client.ask(1, budget="90000", received=received)).status == status
+            assert (await client.post(1, budget_ms="90000", received_at_ms=received)).status == status
 
     asyncio.run(play())
 
@@ -215,18 +215,21 @@
         ):
             clients = [await CLIENTS[front](app.addresses[front]).open() for _ in range(3)]
             for n in range(1, 9):
-                assert (await clients[0].ask(n)).status == 200
-            pool.auto = False
+                assert (await clients[0].post(n)).status == 200
+            pool.finishes_runs = False
             clients[0].send(11)
             clients[1].send(12, "oddaja", key="k")
             await until(lambda: len(pool.spawned) == 10)
-            pool.auto = True
+            pool.finishes_runs = True
             pool.restart()
             # What ran may have had its effect: failed at once, and its key stands.
-            assert [(await asyncio.wait_for(c.answer(), 1.5)).status for c in clients[:2]] == [500, 500]
-            assert (await clients[2].ask(13)).body == b"done x"
-            assert (await clients[1].ask(14, "oddaja", key="k")).status == 500
-            assert pool.spawned[10:] == [ident(13)] and "pool-restarted" in logged
+            assert [(await asyncio.wait_for(c.read_response(), 1.5)).status for c in clients[:2]] == [
+                500,
+                500,
+            ]
+            assert (await clients[2].post(13)).body == b"done x"
+            assert (await clients[1].post(14, "oddaja", key="k")).status == 500
+            assert pool.spawned[10:] == [encode_id(13)] and "pool-restarted" in logged
             controller = app.service.controller
             # The requests that it survives are those of cold cores.
             assert controller is not None and controller.settings.starts_cold
@@ -241,22 +244,23 @@
 
     async def play() -> None:
         async with (
-            Pool(auto=False) as pool,
+            Pool(finishes_runs=False) as pool,
             running(pool=pool.address, log=lambda event, **_: logged.append(event)) as app,
         ):
             read, once = [await HttpClient(app.addresses["http"]).open() for _ in range(2)]
-            pool.quiet = True
+            pool.ignores_polls = True
             read.send(1)
             once.send(2, "oddaja", key="k")
             await until(lambda: len(pool.spawned) == 2)
-            pool.writer, pool.quiet = None, False  # whatever it has to say, nothing comes over this link
-            pool.told.clear()
+            # Whatever it has to say, nothing comes over this link.
+            pool.writer, pool.ignores_polls = None, False
+            pool.received_lines.clear()
             await until(lambda: pool.writer is not None)
-            assert b"bind 0" in pool.told and "pool-silent" in logged
-            await until(lambda: pool.spawned[2:] == [ident(1)])  # again, for that can't start it twice
-            pool.finish(ident(1))
-            assert (await read.answer()).status == 200
-            assert (await once.answer()).status == 500  # nothing shows whether it ran
+            assert b"bind 0" in pool.received_lines and "pool-silent" in logged
+            await until(lambda: pool.spawned[2:] == [encode_id(1)])  # again, for that can't start it twice
+            pool.finish(encode_id(1))
+            assert (await read.read_response()).status == 200
+            assert (await once.read_response()).status == 500  # nothing shows whether it ran
 
     asyncio.run(play())
 
@@ -297,11 +301,11 @@
     w.submit(2)
     w.run_until(w.now + 0.8)
     w.submit(3)  # past the window: a run of its own
-    assert w.spawned_ids() == [ident(1), ident(3)]
+    assert w.spawned_ids() == [encode_id(1), encode_id(3)]
     w.finish_run(1, result=b"first")
-    assert w.statuses(2) == ["served"] and w.responses[ident(2)][0].body == b"first"
+    assert w.statuses(2) == ["served"] and w.responses[encode_id(2)][0].body == b"first"
     w.finish_run(3, result=b"second")
-    assert w.responses[ident(3)][0].body == b"second"
+    assert w.responses[encode_id(3)][0].body == b"second"
     w.run_until(w.now + 20.0)
     assert not w.service.keys.records and not w.service.keys.used_bytes and not w.service.requests
 
@@ -317,15 +321,15 @@
         w.submit(n, "read")  # every slot is taken
     newer = w.submit(3)
     if freed == "its caller goes":
-        assert ident(3) not in w.spawned_ids()
+        assert encode_id(3) not in w.spawned_ids()
         w.service.abandon(newer)
     else:
         for n in range(10, 26):
             w.finish_run(n)
-        assert ident(3) in w.spawned_ids()
+        assert encode_id(3) in w.spawned_ids()
         w.finish_run(3, Outcome.NOT_STARTED)
     w.submit(2, received_at=reached)  # it came inside the first one's window
-    assert ident(2) not in w.spawned_ids() and w.responses[ident(2)][0].body == b"result"
+    assert encode_id(2) not in w.spawned_ids() and w.responses[encode_id(2)][0].body == b"result"
 
 
 def test_keys_are_bounded_by_what_they_take_and_not_by_their_number() -> None:
@@ -357,7 +361,7 @@
     w.submit(3)
     w.run_until(w.now + 0.1)
     w.submit(4)
-    assert w.statuses(3) == ["failed"] and w.spawned_ids() == [ident(2), ident(4)]
+    assert w.statuses(3) == ["failed"] and w.spawned_ids() == [encode_id(2), encode_id(4)]
 
 
 @pytest.mark.parametrize("how", ["says nothing", "dies at once", "dies when it is asked", "tells late"])
@@ -400,12 +404,12 @@
                     await until(app.is_ready)
                     await served
                     client = await HttpClient("{}:{}".format(*held.getsockname())).open()
-                    assert (await client.ask(1)).status == 200
+                    assert (await client.post(1)).status == 200
                     if how == "tells late":
                         await until(lambda: not app.service.lifecycle.attempts.uncertain_until)
-                    status = (await client.ask(2, "oddaja", key="k")).status
+                    status = (await client.post(2, "oddaja", key="k")).status
                     assert status == (200 if how == "tells late" else 500)
-                    assert (ident(2) in pool.spawned) is (how == "tells late")
+                    assert (encode_id(2) in pool.spawned) is (how == "tells late")
                 finally:
                     await app.close()
                     old.close()
@@ -440,7 +444,7 @@
     w.service.controller.drain.accept_until = float("inf")
     w.run_until(w.now + 1.0)
     w.submit(1, "read", received_at=w.now + late)
-    assert (w.spawned_ids() == [ident(1)]) is runs
+    assert (w.spawned_ids() == [encode_id(1)]) is runs
     w.run_until(w.now + 3.0)
     assert len(w.statuses(1)) == 1
 
@@ -461,7 +465,7 @@
     w.run_until(1_000.0 + 1.5)
     w.submit(2, "read")  # past the grace of the first notice
     w.run_until(1_000.0 + 3.0)
-    assert ident(2) not in w.spawned_ids() and len(w.statuses(2)) == 1
+    assert encode_id(2) not in w.spawned_ids() and len(w.statuses(2)) == 1
 
 
 # ---- connections ------------------------------------------------------------------------------
@@ -475,16 +479,16 @@
             listener = app.fronts["http"]
             listener.sweeper.stop()
             client = await HttpClient(app.addresses["http"]).open()
-            assert (await client.ask(1)).status == 200
+            assert (await client.post(1)).status == 200
             idle = await HttpClient(app.addresses["http"]).open()
-            assert (await idle.ask(2)).status == 200
+            assert (await idle.post(2)).status == 200
             for connection in listener.idle:
                 connection.state_since -= 100.0
             # In one and the same turn: the request is written, and the sweep finds its connection idle.
-            at_once(client)
+            bypass_transport(client)
             client.send(3)
             listener._sweep()
-            assert (await asyncio.wait_for(client.answer(), 10)).status == 200
+            assert (await asyncio.wait_for(client.read_response(), 10)).status == 200
             assert await asyncio.wait_for(idle.reader.read(), 10) == b""  # the other one was idle
 
     asyncio.run(play())
@@ -496,7 +500,7 @@
 @pytest.mark.parametrize("moment", ["twice", "hangup between", "no pool yet"])
 def test_the_program_drains_and_ends_by_itself_whatever_comes_again(moment: str, tmp_path: Path) -> None:
     async def play() -> None:
-        async with Pool(auto=False) as pool:
+        async with Pool(finishes_runs=False) as pool:
             silent = moment == "no pool yet"
             address = "127.0.0.1:1" if silent else pool.address
             with socket.create_server(("127.0.0.1", 0)) as free:
@@ -506,10 +510,10 @@
             await logged(program.stdout, "listening" if silent else "pool-started")
             client = await HttpClient(listen).open()
             if silent:
-                assert (await client.ask(1)).status == 503  # says when to come back
+                assert (await client.post(1)).status == 503  # says when to come back
             else:
                 client.send(1)
-                await until(lambda: pool.spawned == [ident(1)])
+                await until(lambda: pool.spawned == [encode_id(1)])
             program.terminate()
             await logged(program.stdout, "drain")
             if moment == "hangup between":
@@ -517,9 +521,10 @@
                 await logged(program.stdout, "reloaded")
             program.terminate()
             if not silent:
-                assert (await asyncio.wait_for(client.answer(), 10)).status == 500  # before it is stopped
+                # Before it is stopped.
+                assert (await asyncio.wait_for(client.read_response(), 10)).status == 500
             # It goes on answering until it is stopped: nobody is met by a closed door.
-            assert (await asyncio.wait_for(client.ask(2), 10)).status == 503
+            assert (await asyncio.wait_for(client.post(2), 10)).status == 503
             out, err = await program.communicate()
             assert program.returncode == 0 and err == b"" and out.count(b'"drain"') == 0
 
@@ -553,7 +558,7 @@
     """A close is the protocol's word that nobody waits; bytes of a further request change nothing in it."""
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             service, listener = app.service, app.fronts[front]
             client = await CLIENTS[front](app.addresses[front]).open()
             if moment == "half a body":
@@ -564,25 +569,26 @@
                 await until(lambda: any(c.has_partial_request() for c in listener.connections))  # type: ignore[attr-defined]
             else:
                 client.send(1)
-                await until(lambda: pool.spawned == [ident(1)])
+                await until(lambda: pool.spawned == [encode_id(1)])
             if moment == "two, then a reset":
                 client.send(2)
             if moment == "half-close behind it":
                 client.writer.write_eof()
-                assert (await client.answer()).status == 500  # it may still read, whatever it has given up
+                # It may still read, whatever it has given up.
+                assert (await client.read_response()).status == 500
                 assert await client.reader.read() == b""
             else:
                 client.drop()
             await until(lambda: not listener.connections)
             if pool.spawned:
-                await until(lambda: b"suspend " + ident(1) in pool.told)
-                pool.finish(ident(1), b"KILLED")
+                await until(lambda: b"suspend " + encode_id(1) in pool.received_lines)
+                pool.finish(encode_id(1), b"KILLED")
             await until(lambda: not service.requests)
             assert service.controller is not None and service.controller.table.memory_kb == 0
-            assert not any(service.controller.table.counts) and ident(2) not in pool.spawned
-            pool.auto = True
+            assert not any(service.controller.table.counts) and encode_id(2) not in pool.spawned
+            pool.finishes_runs = True
             again = await CLIENTS[front](app.addresses[front]).open()
-            assert (await again.ask(3)).status == 200
+            assert (await again.post(3)).status == 200
 
     asyncio.run(play())
 
@@ -625,7 +631,7 @@
     """As when more notices were missed than the pool keeps."""
     w = ServiceHarness()
     w.submit(1, klass)
-    assert w.spawned_ids() == [ident(1)] and w.service.controller is not None
+    assert w.spawned_ids() == [encode_id(1)] and w.service.controller is not None
     w.run_until(w.now + 4.2)
     assert w.statuses(1) == ["failed"] and w.service.load().running == 1  # it may still be on the cores
     w.run_until(w.now + 20.0)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -44,11 +44,11 @@
             client = await HttpClient(line["address"]).open()
             left_out = list[bytes | None]()
             for number in range(1, 4):
-                response = await client.ask(number, "pregled-statusa", account="jadran-spedicija")
+                response = await client.post(number, "pregled-statusa", account="jadran-spedicija")
                 assert response.status == 200 and json.loads(response.body)["tarifa"] == {"rate": 0.045}
                 left_out.append(response.headers.get(b"left-out"))
             assert left_out == [None, None, b"arhiv"]
-            response = await client.ask(4, "oddaja", b"D-7", key="k", account="jadran-spedicija")
+            response = await client.post(4, "oddaja", b"D-7", key="k", account="jadran-spedicija")
             assert (response.status, response.body) == (200, b'{"number":"LJ-1"}')
         finally:  # even if an assertion fails
             service.kill()
@@ -85,7 +85,7 @@
                 fronts[line["front"]] = line["address"]
         clients = [await HttpClient(fronts["http"]).open(), await AjpClient(fronts["ajp"]).open()]
         for number, client in enumerate(clients, 1):
-            response = await client.ask(number, "oddaja", b"hello", key="k", account="jadran-spedicija")
+            response = await client.post(number, "oddaja", b"hello", key="k", account="jadran-spedicija")
             assert (response.status, response.body) == (200, b"HELLO")
         reader, writer = await asyncio.open_connection(*fronts["control"].split(":"))
         writer.write(b"vars\n")
--- a/tests/test_faulty_peers.py
+++ b/tests/test_faulty_peers.py
@@ -11,7 +11,7 @@
 from saltcart.net import pool as pool_link
 from saltcart.net.listener import Listener
 from saltcart.wire import ajp
-from tests.standins import BOTH_FRONTS, HttpClient, Pool, Server, ident, running, until
+from tests.standins import BOTH_FRONTS, HttpClient, Pool, Server, encode_id, running, until
 
 
 def pool_writer(pool: Pool) -> asyncio.StreamWriter:
@@ -72,7 +72,7 @@
     async def run_scenario() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            answer = asyncio.create_task(client.answer())
+            answer = asyncio.create_task(client.read_response())
             for _ in range(1000):
                 client.writer.write(b"A")
                 await asyncio.sleep(0.02)
@@ -90,7 +90,7 @@
         async with Pool() as pool, running(pool=pool.address, limits={"sockets": 64}) as app:
             listener = app.listeners[0]
             earlier_client = await HttpClient(app.addresses["http"]).open()
-            assert (await earlier_client.ask(1)).status == 200
+            assert (await earlier_client.post(1)).status == 200
             silent_clients = await asyncio.gather(
                 *(  # at the same time: the close of an evicted one is reported some iterations later
                     HttpClient(app.addresses["http"]).open() for _ in range(3 * listener.max_connections)
@@ -101,7 +101,7 @@
             )
             assert len(listener.connections) <= listener.max_connections < 64 - 24
             later_client = await HttpClient(app.addresses["http"]).open()
-            assert (await later_client.ask(2)).status == 200
+            assert (await later_client.post(2)).status == 200
             for client in silent_clients:
                 client.drop()
 
@@ -133,16 +133,16 @@
 
 def test_a_spawn_that_the_pool_does_not_know_fails_and_releases_the_key() -> None:
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1, "oddaja", key="k", body=b"forged")
-            await until(lambda: pool.spawned == [ident(1)])
-            pool_writer(pool).write(b"unknown spawn " + ident(1) + b"\r\n")
-            assert (await client.answer()).status == 500
+            await until(lambda: pool.spawned == [encode_id(1)])
+            pool_writer(pool).write(b"unknown spawn " + encode_id(1) + b"\r\n")
+            assert (await client.read_response()).status == 500
             client.send(2, "oddaja", key="k")
-            await until(lambda: pool.spawned == [ident(1), ident(2)])
-            pool.finish(ident(2))
-            assert (await client.answer()).status == 200
+            await until(lambda: pool.spawned == [encode_id(1), encode_id(2)])
+            pool.finish(encode_id(2))
+            assert (await client.read_response()).status == 200
 
     asyncio.run(run_scenario())
 
@@ -209,19 +209,20 @@
     async with Server(proxy) as proxy_server, running(pool=pool.address, index=proxy_server.address) as app:
         client = await HttpClient(app.addresses["http"]).open()
         client.send(1, class_name, key="k" if class_name == "oddaja" else None)
-        await until(lambda: pool.spawned == [ident(1)])
-        pool.notice(b"blocked " + ident(1), b"?")
+        await until(lambda: pool.spawned == [encode_id(1)])
+        pool.send_notice(b"blocked " + encode_id(1), b"?")
 
         async def finish_run() -> None:
             await until(
                 lambda: (
-                    pool.bodies[ident(1)] == b"good" or any(line.startswith(b"pass") for line in pool.told)
+                    pool.bodies[encode_id(1)] == b"good"
+                    or any(line.startswith(b"pass") for line in pool.received_lines)
                 )
             )
-            pool.finish(ident(1))
+            pool.finish(encode_id(1))
 
         finishing = asyncio.create_task(finish_run())
-        answer = await client.answer()
+        answer = await client.read_response()
         finishing.cancel()
         return answer.status
 
@@ -235,11 +236,11 @@
     monkeypatch.setattr(index, "STALLED_REPLY_TIMEOUT_SECONDS", 0.05)
 
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool:
+        async with Pool(finishes_runs=False) as pool:
             calls = list[bytes]()
             status = await request_with_call(write_malformed_reply, class_name, pool, calls)
             assert status == (200 if class_name == "read" else 500)
-            assert class_name == "read" or calls == [ident(1)]
+            assert class_name == "read" or calls == [encode_id(1)]
 
     asyncio.run(run_scenario())
 
@@ -254,10 +255,10 @@
 )
 def test_a_good_reply_counts_among_duplicate_and_unknown_ones(replies: bytes) -> None:
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool:
+        async with Pool(finishes_runs=False) as pool:
             calls = list[bytes]()
             assert await request_with_call(reply_with(replies), "oddaja", pool, calls) == 200
-            assert len(calls) == 1 and pool.bodies[ident(1)] == b"good"
+            assert len(calls) == 1 and pool.bodies[encode_id(1)] == b"good"
 
     asyncio.run(run_scenario())
 
@@ -322,11 +323,11 @@
                 raise failures.pop()("the proxy is unavailable")
             return await create_connection(make_protocol, host, port)
 
-        async with Pool(auto=False) as pool:
+        async with Pool(finishes_runs=False) as pool:
             monkeypatch.setattr(loop, "create_connection", fail_first_connections)
             calls = list[bytes]()
             assert await request_with_call(reply_with(b"ID HIT 4\r\ngood\r\n"), "oddaja", pool, calls) == 200
-            assert calls == [ident(1)] and not failures
+            assert calls == [encode_id(1)] and not failures
 
     asyncio.run(run_scenario())
 
@@ -372,27 +373,27 @@
 
     async def run_scenario() -> None:
         async with (
-            Pool(auto=False) as old_pool,
-            Pool(auto=False) as new_pool,
+            Pool(finishes_runs=False) as old_pool,
+            Pool(finishes_runs=False) as new_pool,
             running(pool=old_pool.address) as app,
         ):
             client = await HttpClient(app.addresses["http"]).open()
             assert app.pool is not None
-            old_pool.quiet = True
+            old_pool.ignores_polls = True
             client.send(1, "oddaja", key="k")
-            await until(lambda: old_pool.spawned == [ident(1)])
+            await until(lambda: old_pool.spawned == [encode_id(1)])
             poll_number = app.pool.session.last_poll
             app.pool.change_address(new_pool.address)
             later_client = await HttpClient(app.addresses["http"]).open()
             later_client.send(2)  # waits for the new link
             if is_confirmed:
                 pool_writer(old_pool).write(b"polled %d 0.5 1\r\n" % poll_number)
-            await until(lambda: new_pool.spawned == [ident(2)])
-            assert old_pool.spawned == [ident(1)]
+            await until(lambda: new_pool.spawned == [encode_id(2)])
+            assert old_pool.spawned == [encode_id(1)]
             if is_confirmed:
                 new_pool.bodies.update(old_pool.bodies)
-                new_pool.finish(ident(1))
-            assert (await client.answer()).status == (200 if is_confirmed else 500)
+                new_pool.finish(encode_id(1))
+            assert (await client.read_response()).status == (200 if is_confirmed else 500)
 
     asyncio.run(run_scenario())
 
@@ -401,31 +402,33 @@
     """Notices arrive in pieces, twice with one number, between remarks, or cut off in the middle."""
 
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1)
             assert app.pool is not None
             session = app.pool.session
-            await until(lambda: pool.spawned == [ident(1)] and not session.unconfirmed)
-            pool.quiet = True
-            pool_writer(pool).write(b"chatter 1 a remark under a number to come\r\nfinished 1 " + ident(1))
+            await until(lambda: pool.spawned == [encode_id(1)] and not session.unconfirmed)
+            pool.ignores_polls = True
+            pool_writer(pool).write(
+                b"chatter 1 a remark under a number to come\r\nfinished 1 " + encode_id(1)
+            )
             await asyncio.sleep(0.02)
             pool_writer(pool).write(b" PASS 20 4\r\nha")
             await asyncio.sleep(0.02)
-            pool.quiet = False
-            pool.cut()
-            await until(lambda: pool.told.count(b"bind 0") == 2 and session.is_ready)
-            pool.quiet = True
+            pool.ignores_polls = False
+            pool.abort_connections()
+            await until(lambda: pool.received_lines.count(b"bind 0") == 2 and session.is_ready)
+            pool.ignores_polls = True
             writer = pool_writer(pool)
-            for byte in b"finished 1 " + ident(1) + b" PASS 20 4\r\nhalf\r\n":
+            for byte in b"finished 1 " + encode_id(1) + b" PASS 20 4\r\nhalf\r\n":
                 writer.write(bytes((byte,)))
                 await asyncio.sleep(0)
-            assert (await client.answer()).body == b"half"
-            writer.write(b"finished 1 " + ident(1) + b" PASS 20 5\r\nagain\r\n")
+            assert (await client.read_response()).body == b"half"
+            writer.write(b"finished 1 " + encode_id(1) + b" PASS 20 5\r\nagain\r\n")
             client.send(2)
-            await until(lambda: pool.spawned[1:] == [ident(2)])
-            pool.number, pool.quiet = 1, False
-            pool.finish(ident(2))
-            assert (await client.answer()).body == b"done x"
+            await until(lambda: pool.spawned[1:] == [encode_id(2)])
+            pool.last_notice_number, pool.ignores_polls = 1, False
+            pool.finish(encode_id(2))
+            assert (await client.read_response()).body == b"done x"
 
     asyncio.run(run_scenario())
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -28,21 +28,28 @@
         self.service = app.service
 
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        once: bool,
+        within: float,
+        aim: float,
     ) -> None:
-        outcome = Outcome.FAILED if int(ident, 16) % 11 == 0 else Outcome.SUCCEEDED
+        outcome = Outcome.FAILED if int(request_id, 16) % 11 == 0 else Outcome.SUCCEEDED
         self.service.timers.call_at(
-            self.service.clock.now + TAKES, self.service.run_finished, ident, outcome, TAKES, body
+            self.service.clock.now + TAKES, self.service.run_finished, request_id, outcome, TAKES, body
         )
 
-    def suspend(self, ident: bytes) -> None:
+    def suspend(self, request_id: bytes) -> None:
         self.service.timers.call_at(
-            self.service.clock.now, self.service.run_finished, ident, Outcome.CANCELLED, 0.0, b""
+            self.service.clock.now, self.service.run_finished, request_id, Outcome.CANCELLED, 0.0, b""
         )
 
-    def resume(self, ident: bytes) -> None: ...
-    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip_call(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, request_id: bytes) -> None: ...
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None: ...
+    def skip_call(self, request_id: bytes, notice: int) -> None: ...
 
     def poll_gauges(self) -> None:
         self.service.gauges_polled((1.0, 2.0))
@@ -71,11 +78,11 @@
 
     async def ask(client: HttpClient, number: int, klass: str) -> int:
         await client.open()
-        answer = await client.ask(
+        answer = await client.post(
             number,
             klass,
             key=f"{number:x}" if klass == "oddaja" else None,
-            received=int(now * 1000),
+            received_at_ms=int(now * 1000),
             rank=f"0.{number * 617 % 1000:03}",
         )
         client.drop()
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -19,7 +19,7 @@
 from saltcart.net.signals import handle_signals
 from tests.fakes import SETTINGS as CORE
 from tests.fakes import ServiceHarness
-from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, at_once, ident, running, until
+from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, bypass_transport, encode_id, running, until
 from tests.test_endings import short
 
 
@@ -88,10 +88,10 @@
             await until(lambda: len(listener.awaiting_request) == 2)
             for connection in listener.awaiting_request:
                 connection.state_since -= 100.0
-            at_once(client)
+            bypass_transport(client)
             client.send(1)
             listener._sweep()
-            assert (await asyncio.wait_for(client.answer(), 10)).status == 200
+            assert (await asyncio.wait_for(client.read_response(), 10)).status == 200
             assert await asyncio.wait_for(silent.reader.read(), 10) == b""
 
     asyncio.run(play())
@@ -105,20 +105,20 @@
     monkeypatch.setattr(ServerConnection, "LINGER_SECONDS", 60.0)  # what ends it is the client's close
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             listener = app.fronts[front]
             listener.sweeper.stop()
             client = await CLIENTS[front](app.addresses[front]).open()
             client.send(1)
-            await until(lambda: pool.spawned == [ident(1)])
+            await until(lambda: pool.spawned == [encode_id(1)])
             app.service.executor.idle_timeout = 0.01  # the module closes idle connections at once
-            at_once(client)(b"POST /call/read HTTP/1.1\r\nHost")
-            app.service.run_finished(ident(1), Outcome.SUCCEEDED, 0.1, b"done")
-            assert (await client.answer()).body == b"done"
+            bypass_transport(client)(b"POST /call/read HTTP/1.1\r\nHost")
+            app.service.run_finished(encode_id(1), Outcome.SUCCEEDED, 0.1, b"done")
+            assert (await client.read_response()).body == b"done"
             assert await client.reader.read() == b""  # an end, and no reset
             client.writer.close()
             await until(lambda: not listener.connections)
-            assert pool.spawned == [ident(1)]
+            assert pool.spawned == [encode_id(1)]
 
     asyncio.run(play())
 
@@ -211,7 +211,7 @@
 ) -> None:
     w = ServiceHarness()
     w.submit(1)
-    assert w.spawned_ids() == [ident(1)]
+    assert w.spawned_ids() == [encode_id(1)]
     if end is not None:
         w.finish_run(1, end)
     if closed == "handed over":
@@ -222,7 +222,7 @@
     w.submit(2)
     w.submit(3, key=b"new")
     assert w.statuses(2) == [told] and w.statuses(3) == ["refused"]
-    assert told == "failed" or w.responses[ident(2)][0].body == b"result"
+    assert told == "failed" or w.responses[encode_id(2)][0].body == b"result"
 
 
 def test_a_sender_whose_clock_is_ahead_puts_no_try_past_its_window() -> None:
@@ -231,13 +231,13 @@
     w.finish_run(1)
     w.run_until(w.now + 0.5)
     w.submit(2, received_at=w.now + 4.0)
-    assert w.spawned_ids() == [ident(1)] and w.responses[ident(2)][0].body == b"result"
+    assert w.spawned_ids() == [encode_id(1)] and w.responses[encode_id(2)][0].body == b"result"
     ahead = short(1.0)
     ahead.submit(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
     ahead.finish_run(1)
     ahead.run_until(ahead.now + 4.5)
     ahead.submit(2)
-    assert ahead.spawned_ids() == [ident(1)]
+    assert ahead.spawned_ids() == [encode_id(1)]
 
 
 @pytest.mark.parametrize("sockets", [64, 100, 128, 256, 512, 1024])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -88,7 +88,7 @@
                         line = json.loads(await shell.stdout.readline())
                         events[line["event"]] = line
                     client = await HttpClient(events["listening"]["address"]).open()
-                    assert (await client.ask(1)).status == 200
+                    assert (await client.post(1)).status == 200
                 # The shell replaced itself with the service by exec, and the service has no child process.
                 command = Path(f"/proc/{shell.pid}/cmdline").read_bytes().split(b"\0")
                 assert command[1:3] == [b"-m", b"saltcart"]
--- a/tests/test_retry_storm_integration.py
+++ b/tests/test_retry_storm_integration.py
@@ -166,7 +166,7 @@
     async def send_one(n: int) -> tuple[int, dict[bytes, bytes]]:
         client = await HttpClient(app.addresses["http"]).open()
         try:
-            response = await client.ask(n + 1, body=b"%d" % n)
+            response = await client.post(n + 1, body=b"%d" % n)
             return response.status, dict(response.headers)
         finally:
             client.drop()
@@ -176,14 +176,14 @@
 
 def test_a_flood_is_rejected_unread_with_retry_after() -> None:
     async def run_scenario() -> None:
-        async with Pool(auto=False) as pool, running(STORM_DEPLOYMENT, pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(STORM_DEPLOYMENT, pool=pool.address) as app:
             controller = app.storm_controller
             assert controller is not None
             # The two cores serve about four runs per second.
             controller.capacity_estimator.record_run(app.service.clock.read_seconds(), 0.5, False)
             pending_responses = asyncio.create_task(send_concurrently(app, 60))
             await until(lambda: controller.token_bucket.rejected_count > 30)
-            pool.auto = True
+            pool.finishes_runs = True
             for request_id in list(pool.spawned):
                 pool.finish(request_id)
             responses = await pending_responses
@@ -204,9 +204,10 @@
             controller = app.storm_controller
             assert controller is not None
             client = await AjpClient(app.addresses["ajp"]).open()
-            assert (await client.ask(1, body=b"y" * 1500, first=600)).status == 200  # body in two packets
+            # The body is sent in two packets.
+            assert (await client.post(1, body=b"y" * 1500, first_part_size=600)).status == 200
             controller.token_bucket.tokens, controller.token_bucket.capacity = 0.0, lambda now: 0.001
-            response = await client.ask(2)
+            response = await client.post(2)
             assert response.status == 503 and int(response.headers[b"retry-after"]) >= 1
             assert pool.spawned == [b"%016x" % 1]
 
@@ -241,7 +242,7 @@
             writer.close()
             ping = await AjpClient(app.addresses["ajp"]).open()
             ping.writer.write(ajp.CPING_PACKET)
-            assert isinstance(await ping.message(), ajp.CPong)
+            assert isinstance(await ping.read_message(), ajp.CPong)
             assert controller.token_bucket.rejected_count == 0
 
     asyncio.run(run_scenario())
@@ -251,13 +252,13 @@
     async def run_scenario() -> None:
         async with Pool() as pool, running(STORM_DEPLOYMENT, pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            assert (await client.ask(1)).status == 200
+            assert (await client.post(1)).status == 200
             controller = stop_admission(app)
-            rejected = await client.ask(2)
+            rejected = await client.post(2)
             assert rejected.status == 503 and rejected.headers[b"connection"] == b"close"
             assert controller.token_bucket.rejected_count == 1 and pool.spawned == [b"%016x" % 1]
             second_client = await HttpClient(app.addresses["http"]).open()
-            retry_after = int((await second_client.ask(3)).headers[b"retry-after"])
+            retry_after = int((await second_client.post(3)).headers[b"retry-after"])
             # The same address gets the same retry time.
             assert abs(retry_after - int(rejected.headers[b"retry-after"])) <= 1
 
@@ -287,7 +288,7 @@
     async def run_scenario() -> None:
         async with Pool() as pool, running(STORM_DEPLOYMENT, pool=pool.address, control="127.0.0.1:0") as app:
             client = await HttpClient(app.addresses["http"]).open()
-            assert (await client.ask(1)).status == 200
+            assert (await client.post(1)).status == 200
             reader, writer = await asyncio.open_connection(*app.addresses["control"].split(":"))
             writer.write(b"vars\n")
             text = (await reader.read()).decode()
@@ -302,7 +303,7 @@
         async with Pool() as pool, running(pool=pool.address) as app:
             assert app.service.ports.storm_control is None
             client = await HttpClient(app.addresses["http"]).open()
-            assert b"retry-after" not in (await client.ask(1)).headers
+            assert b"retry-after" not in (await client.post(1)).headers
 
     asyncio.run(run_scenario())
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -16,7 +16,7 @@
 
 from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.listener import Listener
-from tests.standins import CLIENTS, HttpClient, Pool, Server, ident, raw_config, running, until
+from tests.standins import CLIENTS, HttpClient, Pool, Server, encode_id, raw_config, running, until
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -26,17 +26,17 @@
         async with Pool() as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
             for n, body in enumerate((b"\r\n\r\n", b"", bytes(range(256)) * 8), 1):
-                answer = await client.ask(n, body=body)
+                answer = await client.post(n, body=body)
                 assert (answer.status, answer.body) == (200, b"done " + body)
                 assert b"server-hint" in answer.headers and answer.keep_alive
             client.send(8, body=b"first")  # a second request behind an open one waits its turn
             client.send(9, body=b"second")
-            assert [(await client.answer()).body for _ in "12"] == [b"done first", b"done second"]
+            assert [(await client.read_response()).body for _ in "12"] == [b"done first", b"done second"]
             for path in (b"/ping", b"/other", b"/call/x"):
                 client.writer.write(b"GET %b HTTP/1.1\r\n\r\n" % path)
-            assert [(await client.answer()).status for _ in "123"] == [200, 404, 405]
+            assert [(await client.read_response()).status for _ in "123"] == [200, 404, 405]
             client.writer.write(b"nonsense\r\n\r\n")
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.keep_alive) == (400, False)
 
     asyncio.run(play())
@@ -44,32 +44,34 @@
 
 def test_a_closed_connection_is_a_caller_that_has_gone() -> None:
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             for n, end in ((1, "reset"), (2, "close")):
                 client = await HttpClient(app.addresses["http"]).open()
                 client.send(n)
                 await until(lambda n=n: len(pool.spawned) == n)  # type: ignore[misc]
                 client.drop() if end == "reset" else client.writer.close()
-                await until(lambda n=n: b"suspend " + ident(n) in pool.told)  # type: ignore[misc]
+                await until(lambda n=n: b"suspend " + encode_id(n) in pool.received_lines)  # type: ignore[misc]
 
     asyncio.run(play())
 
 
 def test_the_pool_link_drops_and_nothing_runs_or_is_answered_twice() -> None:
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1, "oddaja", key="k")
-            await until(lambda: pool.spawned == [ident(1)] and pool.told[-1].startswith(b"poll"))
+            await until(
+                lambda: pool.spawned == [encode_id(1)] and pool.received_lines[-1].startswith(b"poll")
+            )
             await until(lambda: not app.service.ports.workers.session.unconfirmed)  # type: ignore[attr-defined]
             pool.writer = None
-            pool.cut()
-            pool.finish(ident(1))  # no link exists: the notice waits
-            answer = await client.answer()
-            assert answer.body == b"done x" and pool.spawned == [ident(1)]
-            pool.cut()
-            await until(lambda: pool.told.count(b"bind 1") == 1)
-            assert (await client.ask(2, "oddaja", key="k")).body == b"done x" and len(pool.spawned) == 1
+            pool.abort_connections()
+            pool.finish(encode_id(1))  # no link exists: the notice waits
+            answer = await client.read_response()
+            assert answer.body == b"done x" and pool.spawned == [encode_id(1)]
+            pool.abort_connections()
+            await until(lambda: pool.received_lines.count(b"bind 1") == 1)
+            assert (await client.post(2, "oddaja", key="k")).body == b"done x" and len(pool.spawned) == 1
 
     asyncio.run(play())
 
@@ -98,9 +100,9 @@
                 coming = asyncio.create_task(come_up())
             async with running(pool=pool.address, announce=registry.address) as app:
                 await until(lambda: reports[:1] == [b'/announce/n1{"accepting":"true"}'])
-                registry.cut()
+                registry.abort_connections()
                 client = await HttpClient(app.addresses["http"]).open()
-                assert (await client.ask(1)).status == 200
+                assert (await client.post(1)).status == 200
                 await until(lambda: len(reports) > 1)
             if how == "late":
                 await coming
@@ -125,21 +127,21 @@
 
     async def play() -> None:
         async with (
-            Pool(auto=False) as pool,
+            Pool(finishes_runs=False) as pool,
             Server(proxy) as index,
             running(pool=pool.address, index=index.address) as app,
         ):
             for n, question in ((1, b"\r\n?"), (2, b"break")):
                 client = await HttpClient(app.addresses["http"]).open()
                 client.send(n, "oddaja", key=f"k{n}")
-                await until(lambda n=n: ident(n) in pool.spawned)  # type: ignore[misc]
-                pool.notice(b"blocked " + ident(n), question)
+                await until(lambda n=n: encode_id(n) in pool.spawned)  # type: ignore[misc]
+                pool.send_notice(b"blocked " + encode_id(n), question)
                 if question == b"break":
-                    assert (await client.answer()).status == 500
+                    assert (await client.read_response()).status == 500
                     continue
-                await until(lambda: pool.bodies[ident(1)] == b"\r\n?")
-                pool.finish(ident(n))
-                assert (await client.answer()).status == 200
+                await until(lambda: pool.bodies[encode_id(1)] == b"\r\n?")
+                pool.finish(encode_id(n))
+                assert (await client.read_response()).status == 200
             assert sum(line.startswith(b"GET") for line in lines) == 2
 
     asyncio.run(play())
@@ -181,8 +183,8 @@
         ):
             for name, value in BAD:
                 client = await CLIENTS[front](app.addresses[front]).open()
-                client.changed = {name: value}
-                assert (await client.ask(1, body=b"x")).status == 400, (name, value)
+                client.overridden_fields = {name: value}
+                assert (await client.post(1, body=b"x")).status == 400, (name, value)
                 client.drop()
             assert not pool.spawned and not app.service.requests
 
@@ -193,11 +195,11 @@
     """One final answer by the due time, whatever the pool does; refusals say when to come back."""
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             clients = [await HttpClient(app.addresses["http"]).open() for _ in range(120)]
             answers = await asyncio.gather(
                 *(
-                    c.ask(n, "oddaja" if n % 2 else "read", key=f"k{n}", budget="800")
+                    c.post(n, "oddaja" if n % 2 else "read", key=f"k{n}", budget_ms="800")
                     for n, c in enumerate(clients, 1)
                 )
             )
@@ -215,15 +217,15 @@
     monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
     async def play() -> None:
-        async with Pool(auto=False) as pool, running(pool=pool.address) as app:
+        async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             idle, half, busy = [await HttpClient(app.addresses["http"]).open() for _ in range(3)]
             half.writer.write(b"POST /call/read HT")
             busy.send(1)
             await until(lambda: len(pool.spawned) == 1)
             app.service.executor.idle_timeout = 0.3
-            assert (await half.answer()).status == 408 and await idle.reader.read() == b""
+            assert (await half.read_response()).status == 408 and await idle.reader.read() == b""
             pool.finish(pool.spawned[0])
-            assert (await busy.answer()).status == 200
+            assert (await busy.read_response()).status == 200
 
     asyncio.run(play())
 
@@ -254,20 +256,20 @@
 
 def test_the_program_serves_drains_and_ends(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Pool(auto=False) as pool:
+        async with Pool(finishes_runs=False) as pool:
             program = await start(tmp_path / "c.json", raw_config(pool=pool.address, stop_ms=600))
             assert program.stdout is not None
             first = json.loads(await program.stdout.readline())
             assert first["event"] == "listening" and first["front"] == "http"
             client = await HttpClient(first["address"]).open()
-            await until(lambda: b"bind 0" in pool.told)
+            await until(lambda: b"bind 0" in pool.received_lines)
             client.send(1)
             await until(lambda: len(pool.spawned) == 1)
             program.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.4)
             late = await HttpClient(first["address"]).open()
-            assert (await late.ask(2)).status == 503
-            assert (await client.answer()).status in (500, 503)
+            assert (await late.post(2)).status == 503
+            assert (await client.read_response()).status in (500, 503)
             out, err = await program.communicate()
             assert program.returncode == 0 and err == b""
             assert json.loads(out.splitlines()[-1])["event"] == "stopped"
@@ -279,7 +281,11 @@
     """SIGHUP, from the first moment on and repeated: runs go on, and notices are numbered on."""
 
     async def play() -> None:
-        async with Pool(auto=False) as old, Pool(auto=False) as new, Server(silent) as index:
+        async with (
+            Pool(finishes_runs=False) as old,
+            Pool(finishes_runs=False) as new,
+            Server(silent) as index,
+        ):
             path = tmp_path / "c.json"
             program = await start(path, raw_config(pool=old.address, index=index.address))
             await until(lambda: "python" in os.readlink(f"/proc/{program.pid}/exe"))
@@ -287,26 +293,26 @@
             assert program.stdout is not None
             first = json.loads(await program.stdout.readline())
             client = await HttpClient(first["address"]).open()
-            await until(lambda: b"bind 0" in old.told)
+            await until(lambda: b"bind 0" in old.received_lines)
             client.send(1)
             await until(lambda: len(old.spawned) == 1)
             for bad in ("{", json.dumps(raw_config(index=index.address)), "[]"):
                 path.write_text(bad)
                 program.send_signal(signal.SIGHUP)
                 await logged(program.stdout, "reload-failed")
-            new.number = old.number  # the same pool at another address
+            new.last_notice_number = old.last_notice_number  # the same pool at another address
             new.bodies.update(old.bodies)
             path.write_text(json.dumps(raw_config(pool=new.address, index=index.address)))
             for _ in range(3):
                 program.send_signal(signal.SIGHUP)
             await logged(program.stdout, "reloaded")
-            await until(lambda: b"bind 0" in new.told)
+            await until(lambda: b"bind 0" in new.received_lines)
             old.writer = None
-            new.finish(ident(1))
-            assert (await client.answer()).body == b"done x"
+            new.finish(encode_id(1))
+            assert (await client.read_response()).body == b"done x"
             client.send(2)
-            await until(lambda: new.spawned[-1:] == [ident(2)])
-            assert old.spawned == [ident(1)] and program.returncode is None
+            await until(lambda: new.spawned[-1:] == [encode_id(2)])
+            assert old.spawned == [encode_id(1)] and program.returncode is None
             program.terminate()
             await program.communicate()
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,11 +24,21 @@
 from saltcart.wire import handover as wire
 from saltcart.wire.errors import MalformedMessageError
 from tests.fakes import ServiceHarness
-from tests.standins import SETTINGS, AjpClient, HttpClient, Pool, fields, ident, raw_config, running, until
+from tests.standins import (
+    SETTINGS,
+    AjpClient,
+    HttpClient,
+    Pool,
+    encode_id,
+    make_request_fields,
+    raw_config,
+    running,
+    until,
+)
 from tests.test_sockets import logged, start
 
 KEY_RECORD = KeyRecord(
-    ("a", "oddaja", b"k\xff"), 3, 12.5, b"\x00\x01", {ident(1), ident(2)}, True, True, b"\n{}\0"
+    ("a", "oddaja", b"k\xff"), 3, 12.5, b"\x00\x01", {encode_id(1), encode_id(2)}, True, True, b"\n{}\0"
 )
 
 
@@ -109,10 +119,10 @@
     predecessor, successor = hand_over_in_memory()
     successor.submit(11)
     successor.submit(12, key=b"done")
-    assert successor.statuses(12) == ["served"] and successor.responses[ident(12)][0].body == b"before"
+    assert successor.statuses(12) == ["served"] and successor.responses[encode_id(12)][0].body == b"before"
     assert successor.statuses(11) == [] and successor.spawned_ids() == []
     predecessor.finish_run(1, result=b"after")
-    assert successor.statuses(11) == ["served"] and successor.responses[ident(11)][0].body == b"after"
+    assert successor.statuses(11) == ["served"] and successor.responses[encode_id(11)][0].body == b"after"
     successor.submit(13)
     assert successor.statuses(13) == ["served"] and successor.spawned_ids() == []
     predecessor.submit(3, key=b"else")  # rejected, since it never ran: a predecessor starts no new runs
@@ -130,7 +140,7 @@
     assert successor.statuses(11) == ["failed"]
     successor.submit(12)
     # A key is free again only if it is certain that nothing ran.
-    assert successor.spawned_ids() == ([ident(12)] if ending == "run never started" else [])
+    assert successor.spawned_ids() == ([encode_id(12)] if ending == "run never started" else [])
     assert successor.statuses(12) == ([] if ending == "run never started" else ["failed"])
 
 
@@ -181,19 +191,21 @@
 
     async def scenario() -> None:
         async with (
-            Pool(auto=False) as predecessor_pool,
+            Pool(finishes_runs=False) as predecessor_pool,
             Pool() as successor_pool,
             running(None, platform, pool=predecessor_pool.address, **LONG_DEADLINES) as predecessor,
         ):
             idle, busy, keyed, half_sent = [await HttpClient(address).open() for _ in range(4)]
             for client in (idle, busy, keyed):
-                client.changed["Budget-Ms"] = "60000"
+                client.overridden_fields["Budget-Ms"] = "60000"
             idle.writer.write(b"GET /ping HTTP/1.1\r\n\r\n")
-            assert (await idle.answer()).status == 200
+            assert (await idle.read_response()).status == 200
             busy.send(1)
             keyed.send(2, "oddaja", key="k")
             await until(lambda: len(predecessor_pool.spawned) == 2)
-            head = "".join(f"{name}: {value}\r\n" for name, value in fields(3, budget="60000"))
+            head = "".join(
+                f"{name}: {value}\r\n" for name, value in make_request_fields(3, budget_ms="60000")
+            )
             half_sent.writer.write(f"POST /call/read HTTP/1.1\r\n{head}Content-Length: 4\r\n\r\nha".encode())
             await until(lambda: any(c.has_partial_request() for c in predecessor.fronts["http"].connections))  # type: ignore[attr-defined]
             async with running(None, platform, pool=successor_pool.address, **LONG_DEADLINES) as successor:
@@ -207,23 +219,29 @@
                     and successor.service.controller.predecessor.running == 2
                 )
                 half_sent.writer.write(b"lf")
-                assert (await half_sent.answer()).body == b"done half"
-                assert (await idle.ask(4)).status == 200 and successor_pool.spawned == [ident(3), ident(4)]
+                assert (await half_sent.read_response()).body == b"done half"
+                assert (await idle.post(4)).status == 200 and successor_pool.spawned == [
+                    encode_id(3),
+                    encode_id(4),
+                ]
                 idle.send(5, "oddaja", key="k")  # its key's run is in the predecessor
-                predecessor_pool.finish(ident(2))
-                assert (await keyed.answer()).body == (await idle.answer()).body == b"done x"
+                predecessor_pool.finish(encode_id(2))
+                assert (await keyed.read_response()).body == (await idle.read_response()).body == b"done x"
                 # This connection has been passed to the successor.
-                assert (await keyed.ask(6, "oddaja", key="k")).body == b"done x"
-                assert successor_pool.spawned == [ident(3), ident(4)] and len(predecessor_pool.spawned) == 2
+                assert (await keyed.post(6, "oddaja", key="k")).body == b"done x"
+                assert (
+                    successor_pool.spawned == [encode_id(3), encode_id(4)]
+                    and len(predecessor_pool.spawned) == 2
+                )
                 done = asyncio.Event()
                 predecessor.begin_drain(done.set)
                 assert not done.is_set() and not successor.service.drain.notified_at
-                predecessor_pool.finish(ident(1))
-                assert (await busy.answer()).body == b"done x"
+                predecessor_pool.finish(encode_id(1))
+                assert (await busy.read_response()).body == b"done x"
                 await asyncio.wait_for(done.wait(), 20)
                 await until(lambda: successor.service.controller.predecessor.running == 0)  # type: ignore[union-attr]
                 new_client = await HttpClient(address).open()
-                assert (await new_client.ask(7)).status == 200 and not predecessor.fronts["http"].connections
+                assert (await new_client.post(7)).status == 200 and not predecessor.fronts["http"].connections
 
     asyncio.run(scenario())
 
@@ -264,11 +282,11 @@
         ):
             for request_number in (1, 3):
                 async with running(None, platform, pool=successor_pool.address):
-                    assert (await (await HttpClient(address).open()).ask(request_number)).status == 200
-                    assert successor_pool.spawned[-1] == ident(request_number)
+                    assert (await (await HttpClient(address).open()).post(request_number)).status == 200
+                    assert successor_pool.spawned[-1] == encode_id(request_number)
                 await until(lambda: predecessor.service.lifecycle.attempts.notify_successor is None)
-                assert (await (await HttpClient(address).open()).ask(request_number + 1)).status == 200
-                assert predecessor_pool.spawned[-1] == ident(request_number + 1)
+                assert (await (await HttpClient(address).open()).post(request_number + 1)).status == 200
+                assert predecessor_pool.spawned[-1] == encode_id(request_number + 1)
 
     asyncio.run(scenario())
 
@@ -289,14 +307,14 @@
             done = asyncio.Event()
             open_client = await HttpClient(address).open()
             async with running(None, platform, pool=successor_pool.address):
-                predecessor_pool.auto = False
+                predecessor_pool.finishes_runs = False
                 await until(lambda: predecessor.service.lifecycle.attempts.notify_successor is not None)
                 predecessor.begin_drain(done.set)
             await until(lambda: predecessor.service.lifecycle.attempts.notify_successor is None)
             assert predecessor.service.drain.notified_at is not None and not done.is_set()
-            predecessor_pool.auto = True
+            predecessor_pool.finishes_runs = True
             new_client = await HttpClient(address).open()
-            assert (await new_client.ask(2)).status == 200 and predecessor_pool.spawned == [ident(2)]
+            assert (await new_client.post(2)).status == 200 and predecessor_pool.spawned == [encode_id(2)]
             open_client.drop()
 
     asyncio.run(scenario())
@@ -310,7 +328,7 @@
             listener = app.listeners[0]
             listener.predecessor_connections = listener.max_connections
             client = await HttpClient(app.addresses["http"]).open()
-            assert (await client.ask(1)).status == 200
+            assert (await client.post(1)).status == 200
 
     asyncio.run(scenario())
 
@@ -345,7 +363,7 @@
                 await until(lambda: not successor.fronts["http"].predecessor_connections)
                 assert most_descriptors < descriptors_before + 60  # not two descriptors for each connection
                 new_client = await HttpClient(address).open()
-                assert (await new_client.ask(1)).status == 200
+                assert (await new_client.post(1)).status == 200
             for client in clients:
                 client.drop()
 
@@ -365,11 +383,11 @@
             running(deployment, platform, pool=predecessor_pool.address),
         ):
             client = await AjpClient(ajp_address).open()
-            assert (await client.ask(1)).status == 200
+            assert (await client.post(1)).status == 200
             async with running(deployment, platform, pool=successor_pool.address) as successor:
                 await until(lambda: len(successor.fronts["ajp"].connections) == 1)
-                assert (await client.ask(2, body=b"moved")).body == b"done moved"
-                assert (predecessor_pool.spawned, successor_pool.spawned) == ([ident(1)], [ident(2)])
+                assert (await client.post(2, body=b"moved")).body == b"done moved"
+                assert (predecessor_pool.spawned, successor_pool.spawned) == ([encode_id(1)], [encode_id(2)])
 
     asyncio.run(scenario())
 
@@ -388,8 +406,8 @@
             assert predecessor.stdout is not None
             await logged(predecessor.stdout, "listening")
             client = await HttpClient(address).open()
-            await until(lambda: b"bind 0" in predecessor_pool.told)
-            assert (await client.ask(1, "oddaja", key="k")).status == 200
+            await until(lambda: b"bind 0" in predecessor_pool.received_lines)
+            assert (await client.post(1, "oddaja", key="k")).status == 200
             successor = await start(
                 tmp_path / "new.json", raw_config(pool=successor_pool.address), (listen_fd,), **platform
             )
@@ -398,8 +416,8 @@
             predecessor.terminate()
             output, errors = await predecessor.communicate()
             assert predecessor.returncode == 0 and errors == b"" and b'"drain"' not in output
-            assert (await client.ask(2, "oddaja", key="k")).body == b"done x"
-            assert (await client.ask(3)).status == 200 and successor_pool.spawned == [ident(3)]
+            assert (await client.post(2, "oddaja", key="k")).body == b"done x"
+            assert (await client.post(3)).status == 200 and successor_pool.spawned == [encode_id(3)]
             successor.terminate()
             await successor.communicate()
 
@@ -424,6 +442,6 @@
     async def scenario() -> None:
         environment = {**platform, "TMPDIR": "/proc/no-such-folder"}
         async with Pool() as pool, running(None, environment, pool=pool.address):
-            assert (await (await HttpClient(address).open()).ask(1)).status == 200
+            assert (await (await HttpClient(address).open()).post(1)).status == 200
 
     asyncio.run(scenario())
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -36,11 +36,11 @@
 from saltcart.subsetting.subset_balancer import InstanceLoadReport, SubsetDemand
 from saltcart.wire import handover
 from tests.fakes import ServiceHarness
-from tests.standins import Pool, ident, running
+from tests.standins import Pool, encode_id, running
 
 FIXTURES = Path(__file__).parent / "fixtures"
 KEY_RECORD = KeyRecord(
-    ("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {ident(0xA1)}, True, True, b"\n{}\0"
+    ("acme", "oddaja", b"k\xff"), 3, 1012.5, b"\x00\x01", {encode_id(0xA1)}, True, True, b"\n{}\0"
 )
 CLOCK_AHEAD_SECONDS = 2.25  # how far the writer's clock was ahead of the Unix clock
 LOAD, CONNECTION_COUNT = PredecessorLoad(3, 1, 120.5), 7
@@ -121,7 +121,7 @@
     harness.service.adopt_key(recorded, False)
     harness.submit(2)
     assert harness.statuses(2) == ["served"] and harness.spawned_ids() == []
-    assert harness.responses[ident(2)][0].body == KEY_RECORD.result
+    assert harness.responses[encode_id(2)][0].body == KEY_RECORD.result
 
 
 def test_this_release_answers_a_recorded_take_packet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
