--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The rules on real sockets, in one process, and the program started as the deploy file says."""
+"""The service on real sockets in one process, and the program as the deploy file starts it."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_answers_carry_the_result_unchanged_and_the_connection_lives_on() -> None:
-    async def play() -> None:
+def test_responses_carry_the_result_unchanged_and_leave_the_connection_open() -> None:
+    async def scenario() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
-            for n, body in enumerate((b"\r\n\r\n", b"", bytes(range(256)) * 8), 1):
-                answer = await client.post(n, body=body)
-                assert (answer.status, answer.body) == (200, b"done " + body)
-                assert b"server-hint" in answer.headers and answer.keep_alive
-            client.send(8, body=b"first")  # a second request behind an open one waits its turn
+            for number, body in enumerate((b"\r\n\r\n", b"", bytes(range(256)) * 8), 1):
+                response = await client.post(number, body=body)
+                assert (response.status, response.body) == (200, b"done " + body)
+                assert b"server-hint" in response.headers and response.keep_alive
+            client.send(8, body=b"first")  # pipelined requests are answered in order
             client.send(9, body=b"second")
             assert [(await client.read_response()).body for _ in "12"] == [b"done first", b"done second"]
             for path in (b"/ping", b"/other", b"/call/x"):
                 client.writer.write(b"GET %b HTTP/1.1\r\n\r\n" % path)
             assert [(await client.read_response()).status for _ in "123"] == [200, 404, 405]
             client.writer.write(b"nonsense\r\n\r\n")
-            answer = await client.read_response()
-            assert (answer.status, answer.keep_alive) == (400, False)
+            response = await client.read_response()
+            assert (response.status, response.keep_alive) == (400, False)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_closed_connection_is_a_caller_that_has_gone() -> None:
-    async def play() -> None:
+def test_the_run_of_a_caller_that_closed_its_connection_is_suspended() -> None:
+    async def scenario() -> None:
         async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
-            for n, end in ((1, "reset"), (2, "close")):
+            for number, ending in ((1, "reset"), (2, "close")):
                 client = await HttpClient(app.addresses["http"]).open()
-                client.send(n)
-                await until(lambda n=n: len(pool.spawned) == n)  # type: ignore[misc]
-                client.drop() if end == "reset" else client.writer.close()
-                await until(lambda n=n: b"suspend " + encode_id(n) in pool.received_lines)  # type: ignore[misc]
+                client.send(number)
+                await until(lambda number=number: len(pool.spawned) == number)  # type: ignore[misc]
+                client.drop() if ending == "reset" else client.writer.close()
+                await until(lambda number=number: b"suspend " + encode_id(number) in pool.received_lines)  # type: ignore[misc]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_pool_link_drops_and_nothing_runs_or_is_answered_twice() -> None:
-    async def play() -> None:
+def test_no_run_or_result_is_lost_or_repeated_when_the_pool_link_is_lost() -> None:
+    async def scenario() -> None:
         async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1, "oddaja", key="k")
@@ -66,56 +66,56 @@
             await until(lambda: not app.service.ports.workers.session.unconfirmed)  # type: ignore[attr-defined]
             pool.writer = None
             pool.abort_connections()
-            pool.finish(encode_id(1))  # no link exists: the notice waits
-            answer = await client.read_response()
-            assert answer.body == b"done x" and pool.spawned == [encode_id(1)]
+            pool.finish(encode_id(1))  # without a link, the pool keeps the notice
+            response = await client.read_response()
+            assert response.body == b"done x" and pool.spawned == [encode_id(1)]
             pool.abort_connections()
             await until(lambda: pool.received_lines.count(b"bind 1") == 1)
             assert (await client.post(2, "oddaja", key="k")).body == b"done x" and len(pool.spawned) == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("how", ["late", "cut"])
-def test_the_service_outlives_what_it_speaks_to(how: str) -> None:
-    """A pool that comes up late, and an announce service that is away, stop nothing."""
+@pytest.mark.parametrize("fault", ["pool starts late", "announce connection lost"])
+def test_a_late_pool_and_a_lost_announce_connection_stop_no_service(fault: str) -> None:
+    """The announce connection is lost in both cases; requests are served and reports continue."""
     reports: list[bytes] = []
 
-    async def announce(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def record_reports(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             reports.append(head.split(b" ")[1] + await reader.readexactly(20))
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
 
-    async def play() -> None:
-        async with Server(announce) as registry, Pool() as pool:
-            if how == "late":
+    async def scenario() -> None:
+        async with Server(record_reports) as announce_service, Pool() as pool:
+            if fault == "pool starts late":
                 pool.server.close()
                 host, port = pool.address.split(":")
 
-                async def come_up() -> None:
+                async def start_pool_later() -> None:
                     await asyncio.sleep(0.3)
                     pool.server = await asyncio.start_server(pool._serve, host, int(port))
 
-                coming = asyncio.create_task(come_up())
-            async with running(pool=pool.address, announce=registry.address) as app:
+                pool_start = asyncio.create_task(start_pool_later())
+            async with running(pool=pool.address, announce=announce_service.address) as app:
                 await until(lambda: reports[:1] == [b'/announce/n1{"accepting":"true"}'])
-                registry.abort_connections()
+                announce_service.abort_connections()
                 client = await HttpClient(app.addresses["http"]).open()
                 assert (await client.post(1)).status == 200
                 await until(lambda: len(reports) > 1)
-            if how == "late":
-                await coming
+            if fault == "pool starts late":
+                await pool_start
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_calls_pass_unchanged_and_a_break_under_one_fails_what_must_run_once() -> None:
-    lines: list[bytes] = []
+def test_calls_pass_unchanged_and_a_lost_index_connection_fails_a_request_that_must_run_once() -> None:
+    received_lines: list[bytes] = []
 
-    async def proxy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def answer_calls(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
-            lines.append(line)
+            received_lines.append(line)
             words = line.split()
             if words[0] != b"GET":
                 continue
@@ -125,29 +125,29 @@
                 return
             writer.write(b"%b HIT %d\r\n%b\r\n" % (words[1], len(body), body))
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with (
             Pool(finishes_runs=False) as pool,
-            Server(proxy) as index,
+            Server(answer_calls) as index,
             running(pool=pool.address, index=index.address) as app,
         ):
-            for n, question in ((1, b"\r\n?"), (2, b"break")):
+            for number, call_body in ((1, b"\r\n?"), (2, b"break")):
                 client = await HttpClient(app.addresses["http"]).open()
-                client.send(n, "oddaja", key=f"k{n}")
-                await until(lambda n=n: encode_id(n) in pool.spawned)  # type: ignore[misc]
-                pool.send_notice(b"blocked " + encode_id(n), question)
-                if question == b"break":
+                client.send(number, "oddaja", key=f"k{number}")
+                await until(lambda number=number: encode_id(number) in pool.spawned)  # type: ignore[misc]
+                pool.send_notice(b"blocked " + encode_id(number), call_body)
+                if call_body == b"break":
                     assert (await client.read_response()).status == 500
                     continue
                 await until(lambda: pool.bodies[encode_id(1)] == b"\r\n?")
-                pool.finish(encode_id(n))
+                pool.finish(encode_id(number))
                 assert (await client.read_response()).status == 200
-            assert sum(line.startswith(b"GET") for line in lines) == 2
+            assert sum(line.startswith(b"GET") for line in received_lines) == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-BAD = [
+INVALID_FIELDS = [
     ("Request-Id", "12"),
     ("Request-Id", "x" * 16),
     ("Received-At", "0"),
@@ -173,165 +173,177 @@
 
 
 @pytest.mark.parametrize("front", ["http", "ajp"])
-def test_every_field_is_held_to_its_form_and_range(front: str) -> None:
-    """What no request can say never reaches the core, on either front."""
+def test_a_missing_or_invalid_field_is_rejected_before_the_request_is_submitted(front: str) -> None:
+    """Neither front may pass a malformed or out-of-range value on to the core."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with (
             Pool() as pool,
             running(Deployment(ajp=AjpSettings("127.0.0.1:0")), pool=pool.address) as app,
         ):
-            for name, value in BAD:
+            for name, value in INVALID_FIELDS:
                 client = await CLIENTS[front](app.addresses[front]).open()
                 client.overridden_fields = {name: value}
                 assert (await client.post(1, body=b"x")).status == 400, (name, value)
                 client.drop()
             assert not pool.spawned and not app.service.requests
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_silent_pool_costs_no_answer() -> None:
-    """One final answer by the due time, whatever the pool does; refusals say when to come back."""
+def test_each_request_is_answered_once_and_in_time_although_the_pool_reports_no_run_end() -> None:
+    """Guards against requests that stay open as no run ever ends; rejections carry Back-Off-Ms."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
             clients = [await HttpClient(app.addresses["http"]).open() for _ in range(120)]
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(
-                    c.post(n, "oddaja" if n % 2 else "read", key=f"k{n}", budget_ms="800")
-                    for n, c in enumerate(clients, 1)
+                    client.post(number, "oddaja" if number % 2 else "read", key=f"k{number}", budget_ms="800")
+                    for number, client in enumerate(clients, 1)
                 )
             )
-            assert {a.status for a in answers} <= {500, 503}
-            assert all(b"back-off-ms" in a.headers for a in answers if a.status == 503)
-            # No death by crowding: never more on the cores than they survive, though nothing ever ends.
+            assert {response.status for response in responses} <= {500, 503}
+            assert all(b"back-off-ms" in response.headers for response in responses if response.status == 503)
+            # Although no run ends, no more run at a time than the cores survive.
             assert 2 <= len(pool.spawned) <= 2 * 8
-            assert sum(a.status == 500 for a in answers) >= len(pool.spawned)  # what has run is never refused
-            assert not any(len(c.buffer) for c in clients)  # one answer each
+            # A request that was started is never rejected.
+            assert sum(response.status == 500 for response in responses) >= len(pool.spawned)
+            # No client has received a second response.
+            assert not any(len(client.buffer) for client in clients)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_idle_and_half_sent_connections_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_and_incomplete_requests_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.4)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool(finishes_runs=False) as pool, running(pool=pool.address) as app:
-            idle, half, busy = [await HttpClient(app.addresses["http"]).open() for _ in range(3)]
-            half.writer.write(b"POST /call/read HT")
+            idle, incomplete, busy = [await HttpClient(app.addresses["http"]).open() for _ in range(3)]
+            incomplete.writer.write(b"POST /call/read HT")
             busy.send(1)
             await until(lambda: len(pool.spawned) == 1)
             app.service.executor.idle_timeout = 0.3
-            assert (await half.read_response()).status == 408 and await idle.reader.read() == b""
+            assert (await incomplete.read_response()).status == 408 and await idle.reader.read() == b""
             pool.finish(pool.spawned[0])
             assert (await busy.read_response()).status == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 # ---- the program ------------------------------------------------------------------------------
 
 
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as s:
-        port: int = s.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port: int = listener.getsockname()[1]
         return port
 
 
 async def start_program(
-    config: Path, raw: dict[str, Any], fds: tuple[int, ...] = (), /, **env: str
+    config_path: Path, config: dict[str, Any], inherited_fds: tuple[int, ...] = (), /, **environment: str
 ) -> asyncio.subprocess.Process:
-    config.write_text(json.dumps(raw))
-    run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+    """Start the program by the command in the deploy file.
+
+    Args:
+        config_path: Where the configuration is written.
+        config: The configuration.
+        inherited_fds: File descriptors that the program inherits.
+        environment: Additional environment variables.
+    """
+    config_path.write_text(json.dumps(config))
+    command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return await asyncio.create_subprocess_shell(
-        run.replace(".venv/bin/python", sys.executable),
+        command.replace(".venv/bin/python", sys.executable),
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
-        pass_fds=fds,
-        env={**os.environ, "BALANCER_CONFIG": str(config), **env},
+        pass_fds=inherited_fds,
+        env={**os.environ, "BALANCER_CONFIG": str(config_path), **environment},
     )
 
 
-def test_the_program_serves_drains_and_ends(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_program_serves_drains_and_exits(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Pool(finishes_runs=False) as pool:
             program = await start_program(tmp_path / "c.json", raw_config(pool=pool.address, stop_ms=600))
             assert program.stdout is not None
-            first = json.loads(await program.stdout.readline())
-            assert first["event"] == "listening" and first["front"] == "http"
-            client = await HttpClient(first["address"]).open()
+            listening = json.loads(await program.stdout.readline())
+            assert listening["event"] == "listening" and listening["front"] == "http"
+            client = await HttpClient(listening["address"]).open()
             await until(lambda: b"bind 0" in pool.received_lines)
             client.send(1)
             await until(lambda: len(pool.spawned) == 1)
             program.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.4)
-            late = await HttpClient(first["address"]).open()
-            assert (await late.post(2)).status == 503
+            late_client = await HttpClient(listening["address"]).open()
+            assert (await late_client.post(2)).status == 503
             assert (await client.read_response()).status in (500, 503)
-            out, err = await program.communicate()
-            assert program.returncode == 0 and err == b""
-            assert json.loads(out.splitlines()[-1])["event"] == "stopped"
+            output, errors = await program.communicate()
+            assert program.returncode == 0 and errors == b""
+            assert json.loads(output.splitlines()[-1])["event"] == "stopped"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_hangup_moves_the_program_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    """SIGHUP, from the first moment on and repeated: runs go on, and notices are numbered on."""
+def test_sighup_applies_a_valid_configuration_and_ignores_an_invalid_one(tmp_path: Path) -> None:
+    """SIGHUP arrives during startup and repeatedly; runs and the numbers of notices continue."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with (
-            Pool(finishes_runs=False) as old,
-            Pool(finishes_runs=False) as new,
-            Server(silent) as index,
+            Pool(finishes_runs=False) as old_pool,
+            Pool(finishes_runs=False) as new_pool,
+            Server(read_without_reply) as index,
         ):
-            path = tmp_path / "c.json"
-            program = await start_program(path, raw_config(pool=old.address, index=index.address))
+            config_path = tmp_path / "c.json"
+            program = await start_program(config_path, raw_config(pool=old_pool.address, index=index.address))
             await until(lambda: "python" in os.readlink(f"/proc/{program.pid}/exe"))
-            program.send_signal(signal.SIGHUP)  # it starts still
+            program.send_signal(signal.SIGHUP)  # during startup
             assert program.stdout is not None
-            first = json.loads(await program.stdout.readline())
-            client = await HttpClient(first["address"]).open()
-            await until(lambda: b"bind 0" in old.received_lines)
+            listening = json.loads(await program.stdout.readline())
+            client = await HttpClient(listening["address"]).open()
+            await until(lambda: b"bind 0" in old_pool.received_lines)
             client.send(1)
-            await until(lambda: len(old.spawned) == 1)
-            for bad in ("{", json.dumps(raw_config(index=index.address)), "[]"):
-                path.write_text(bad)
+            await until(lambda: len(old_pool.spawned) == 1)
+            for invalid_config in ("{", json.dumps(raw_config(index=index.address)), "[]"):
+                config_path.write_text(invalid_config)
                 program.send_signal(signal.SIGHUP)
                 await wait_for_log_event(program.stdout, "reload-failed")
-            new.last_notice_number = old.last_notice_number  # the same pool at another address
-            new.bodies.update(old.bodies)
-            path.write_text(json.dumps(raw_config(pool=new.address, index=index.address)))
+            # Stands for the same pool at another address.
+            new_pool.last_notice_number = old_pool.last_notice_number
+            new_pool.bodies.update(old_pool.bodies)
+            config_path.write_text(json.dumps(raw_config(pool=new_pool.address, index=index.address)))
             for _ in range(3):
                 program.send_signal(signal.SIGHUP)
             await wait_for_log_event(program.stdout, "reloaded")
-            await until(lambda: b"bind 0" in new.received_lines)
-            old.writer = None
-            new.finish(encode_id(1))
+            await until(lambda: b"bind 0" in new_pool.received_lines)
+            old_pool.writer = None
+            new_pool.finish(encode_id(1))
             assert (await client.read_response()).body == b"done x"
             client.send(2)
-            await until(lambda: new.spawned[-1:] == [encode_id(2)])
-            assert old.spawned == [encode_id(1)] and program.returncode is None
+            await until(lambda: new_pool.spawned[-1:] == [encode_id(2)])
+            assert old_pool.spawned == [encode_id(1)] and program.returncode is None
             program.terminate()
             await program.communicate()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-async def silent(reader: asyncio.StreamReader, _: asyncio.StreamWriter) -> None:
+async def read_without_reply(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
     while await reader.read(4096):
         pass
 
 
-async def wait_for_log_event(lines: asyncio.StreamReader, event: str) -> None:
+async def wait_for_log_event(log_lines: asyncio.StreamReader, event: str) -> None:
+    """Read the JSON lines of a log up to the first with this event name."""
     async with asyncio.timeout(20):
-        while json.loads(await lines.readline())["event"] != event:
+        while json.loads(await log_lines.readline())["event"] != event:
             pass
 
 
 @pytest.mark.parametrize(
-    ("raw", "env", "named"),
+    ("changes", "environment", "expected_text"),
     [
         ({"listen": 5}, {}, "listen"),
         ({"settings": {}}, {}, "extra"),
@@ -341,13 +353,13 @@
         ({"listen": "127.0.0.1:1000000"}, {}, "listen"),
     ],
 )
-def test_a_bad_configuration_ends_with_one_plain_line(
-    tmp_path: Path, raw: dict[str, Any], env: dict[str, str], named: str
+def test_an_invalid_configuration_ends_the_program_with_one_line_that_names_the_fault(
+    tmp_path: Path, changes: dict[str, Any], environment: dict[str, str], expected_text: str
 ) -> None:
-    async def play() -> None:
-        program = await start_program(tmp_path / "c.json", {**raw_config(), **raw}, **env)
-        _, err = await program.communicate()
-        assert program.returncode == 2 and named in err.decode()
-        assert len(err.splitlines()) == 1 and b"Traceback" not in err
+    async def scenario() -> None:
+        program = await start_program(tmp_path / "c.json", {**raw_config(), **changes}, **environment)
+        _, errors = await program.communicate()
+        assert program.returncode == 2 and expected_text in errors.decode()
+        assert len(errors.splitlines()) == 1 and b"Traceback" not in errors
 
-    asyncio.run(play())
+    asyncio.run(scenario())
