--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -310,7 +310,7 @@
                 config_path.write_text(invalid_config)
                 program.send_signal(signal.SIGHUP)
                 await wait_for_log_event(program.stdout, "reload-failed")
-            # Stands for the same pool at another address.
+            # The new pool gets the state of the old one, as if one pool had changed its address.
             new_pool.last_notice_number = old_pool.last_notice_number
             new_pool.bodies.update(old_pool.bodies)
             config_path.write_text(json.dumps(raw_config(pool=new_pool.address, index=index.address)))
--- a/tests/test_termination.py
+++ b/tests/test_termination.py
@@ -366,7 +366,7 @@
         harness.finish_run(number, result=b"x" * 4096)
     assert 4 < len(harness.spawned_ids()) - 60 < 20 and harness.service.keys.used_bytes <= 20 * 6000
     retried = ServiceHarness(max_key_bytes=20 * 6000)
-    for number in range(1, 5000):  # nor by the attempts of one key
+    for number in range(1, 5000):  # further attempts of one key take little space
         retried.submit(number)
         if number == 1:
             retried.finish_run(1)
@@ -470,7 +470,7 @@
 
 @pytest.mark.parametrize(("seconds_late", "is_run"), [(-0.001, True), (0.0, True), (0.001, False)])
 def test_the_drain_grace_is_kept_to_the_millisecond(seconds_late: float, is_run: bool) -> None:
-    """Arrival time counts. The controller's own limit, a tenth of the grace earlier, is switched off."""
+    """The time of arrival counts. The controller's own limit, a tenth of the grace earlier, is disabled."""
     harness = ServiceHarness()
     assert harness.service.controller is not None
     harness.service.start_drain(3.0)
