--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -296,10 +296,8 @@
                 b"POST", b"/call/" + class_name.encode(), headers, host.encode(), port, member.secret
             )
             connection.unsent = body[ajp.MAX_BODY_DATA_BYTES :]
-            response = await connection.exchange(
-                data + (ajp.encode_body_packet(body[: ajp.MAX_BODY_DATA_BYTES]) if body else b""),
-                max(0.0, time_left),
-            )
+            body_packet = ajp.encode_body_packet(body[: ajp.MAX_BODY_DATA_BYTES]) if body else b""
+            response = await connection.exchange(data + body_packet, max(0.0, time_left))
             if not isinstance(response, ajp.AjpResponse):
                 raise ConnectionResetError("CPong in place of a response")
             if response.reuse and not (self.is_closed or connection.unsent or connection.transport is None):
