--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -38,10 +38,12 @@
     app, stopped = App(conf, deployment_conf, log), asyncio.Event()
 
     def begin_drain(seconds_ago: float) -> None:
+        """Drain; the process exits when it is done, or soon after the stop timeout."""
         app.begin_drain(stopped.set, seconds_ago)
         loop.call_later(conf.stop_timeout + EXIT_DELAY_SECONDS - seconds_ago, stopped.set)
 
     def reload() -> None:
+        """Reload the configuration; an error is logged, and the running one stays."""
         try:
             app.reload(config.load())
         except Exception as error:  # a running service survives any content of the file
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -231,8 +231,9 @@
         service = self.service
 
         def make_storm_control(settings: Settings, started_at: float) -> RetryStormController:
+            """Create the controller, and publish its metrics and state."""
             controller = RetryStormController(conf, settings, self.conf.seed, service.clock.now, started_at)
-            service.metric_sources.append(lambda: controller.figures(service.clock.read_seconds()))
+            service.metric_sources.append(lambda: controller.metrics(service.clock.read_seconds()))
             self.storm_controller = controller
             return controller
 
@@ -244,7 +245,7 @@
 
         self.membership = MembershipDriver(conf, self.conf.name, self.conf.seed, self.log)
         self.addresses["member"] = await self.membership.open()
-        self.service.metric_sources.append(self.membership.figures)
+        self.service.metric_sources.append(self.membership.metrics)
         self.log("listening", name=self.conf.name, front="member", address=self.addresses["member"])
         locality, fleet, upstreams = self.deployment.locality, self.deployment.fleet, self.upstreams
         if upstreams is None:
@@ -262,7 +263,7 @@
                 self.log,
                 {spec.name: spec.priority_weight for spec in self.service.settings.classes},
             )
-            self.service.metric_sources.append(self.locality.router.figures)
+            self.service.metric_sources.append(self.locality.router.metrics)
         if fleet is not None:
             from saltcart.net.subset_driver import SubsetDriver
 
@@ -274,7 +275,7 @@
                 seed + 2,
                 self.log,
             )
-            self.service.metric_sources.append(self.subsets.balancer.figures)
+            self.service.metric_sources.append(self.subsets.balancer.metrics)
 
     def _compose(self, plans: CompositionSpec, upstreams: Upstreams) -> None:
         """Compose the responses of the plans' classes from several dependencies' replies."""
@@ -293,7 +294,7 @@
             service.loop.usable_time,
         )
         service.composed_classes = frozenset(self.composer.engine.plans)
-        service.metric_sources.append(self.composer.figures)
+        service.metric_sources.append(self.composer.metrics)
 
     async def _open_fronts(self, max_connections: int) -> None:
         """Open the listeners for clients.
@@ -336,7 +337,7 @@
     def begin_drain(self, on_done: Callable[[], None] = lambda: None, seconds_ago: float = 0.0) -> None:
         """Drain, before the process is stopped.
 
-        The listeners stay open, as requests that arrive are still answered.  A process that has handed over
+        The listeners stay open, as requests that arrive still get responses.  A process that has handed over
         to its successor doesn't drain: it ends the work that it still has.
 
         Args:
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -176,8 +176,8 @@
             age: Seconds since the pool started.
         """
 
-    def pool_replaced(self, starts_cold: bool, age: float) -> None:
-        """Handle the replacement of the pool by another; how the runs of the previous one ended is unknown.
+    def pool_restarted(self, starts_cold: bool, age: float) -> None:
+        """Handle a restart of the pool; how the runs of the previous pool ended is unknown.
 
         Args:
             starts_cold: Whether the new pool started cold and has to warm up.
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -7,7 +7,7 @@
 from saltcart.core.ports import Log, Ports
 from saltcart.core.request import BLOCKED, CALLING, HELD, NOT_IN_POOL, PAUSED, RUNNING, PendingRequest
 from saltcart.core.request_lifecycle import RequestLifecycle
-from saltcart.decision.events import CallFinished, CallRequested, RunFinished, WorkersRestarted
+from saltcart.decision.events import CallFinished, CallRequested, PoolRestarted, RunFinished
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Preemption
 
@@ -114,10 +114,10 @@
             request.phase = BLOCKED
         self.loop.feed(CallFinished(request.number, outcome, now - request.call_started_at))
 
-    def pool_replaced(self, starts_cold: bool, age: float) -> None:
-        """Handle the replacement of the pool, and fail the runs of the previous one: their ends are lost."""
+    def pool_restarted(self, starts_cold: bool, age: float) -> None:
+        """Handle a restart of the pool, and fail the runs of the previous pool, whose ends are unknown."""
         self.clock.read()
-        self.loop.feed(WorkersRestarted(starts_cold, max(0.0, age)))
+        self.loop.feed(PoolRestarted(starts_cold, max(0.0, age)))
         for request in list(self.lifecycle.requests.values()):
             if request.phase not in NOT_IN_POOL:
                 self.run_finished(request.inbound.request_id, Outcome.FAILED, 0.0, b"")
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -291,9 +291,9 @@
         self.keys.expire(self.clock.now, self.requests.__contains__)
         self.runs.remove_unreported_runs()
 
-    def pool_replaced(self, starts_cold: bool, age: float) -> None:
-        """Handle the replacement of the pool by another."""
-        self.runs.pool_replaced(starts_cold, age)
+    def pool_restarted(self, starts_cold: bool, age: float) -> None:
+        """Handle a restart of the worker pool; see ``WorkerPoolEvents``."""
+        self.runs.pool_restarted(starts_cold, age)
 
     def run_finished(
         self,
--- a/saltcart/decision/actions.py
+++ b/saltcart/decision/actions.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Send the final answer that the request is rejected and never ran."""
+    """Send the final response that the request was rejected and never ran."""
 
     id: int
     is_final: bool = False  # the caller should not try another server
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Send a final error answer that leaves open whether the request ran."""
+    """Send a final error response that leaves open whether the request ran."""
 
     id: int
 
@@ -71,17 +71,17 @@
 
 @dataclass(slots=True)
 class JoinAttempt:
-    """Answer a held request with the result of the attempt that it repeats."""
+    """Respond to a held request with the result of the attempt that it repeats."""
 
     id: int
 
 
 @dataclass(slots=True)
 class SetHealth:
-    """Set the answer to health checks."""
+    """Set the response to health checks."""
 
     is_healthy: bool
-    answer_from_cache: bool  # health checks may be answered from a cache
+    respond_from_cache: bool  # the response to health checks may come from a cache
 
 
 @dataclass(slots=True)
--- a/saltcart/decision/admission.py
+++ b/saltcart/decision/admission.py
@@ -81,7 +81,7 @@
             self.run_times.decay(class_index)
             return True
         drain = self.drain
-        if now >= min(drain.answer_by, request.objective_at) or request.arrived_at > drain.accept_until:
+        if now >= min(drain.respond_by, request.objective_at) or request.arrived_at > drain.accept_until:
             return True
         if not self._fits_memory(request, predecessor):
             return True
@@ -110,7 +110,7 @@
         """Whether a retry may wait for the result of the first attempt; it never runs a second time."""
         has_failed = self.table.key_results.get(first_attempt_id) is False
         is_full = self.table.memory_kb > JOIN_MEMORY_SHARE * self.settings.memory_kb
-        return not has_failed and now < self.drain.answer_by and not is_full
+        return not has_failed and now < self.drain.respond_by and not is_full
 
     def retry_after(self) -> float:
         """Return the Retry-After of a rejection in seconds; it is short because pressure changes quickly."""
--- a/saltcart/decision/call_admission.py
+++ b/saltcart/decision/call_admission.py
@@ -97,7 +97,7 @@
 
     def _is_waiting(self, request: Request) -> bool:
         is_live = request.id in self.table
-        return is_live and request.state is AWAITING_CALL and not request.answered
+        return is_live and request.state is AWAITING_CALL and not request.has_response
 
     def _has_capacity(self, now: float) -> bool:
         in_flight = self.table.counts[CALLING]
@@ -119,13 +119,13 @@
         is_safe = spec.effect is Effect.SAFE
         if is_safe and outcome is Outcome.BROKEN_OFF and self._has_time_for_call(now, request):
             return CallDecision.WAIT
-        if spec.skipped_call_weight_share > 0 and not request.answered:
+        if spec.skipped_call_weight_share > 0 and not request.has_response:
             return CallDecision.SKIP
         never_ran = outcome in (Outcome.REJECTED, Outcome.UNREACHABLE)
         return CallDecision.WAIT if is_safe or never_ran else CallDecision.FAIL
 
     def _has_time_for_call(self, now: float, request: Request) -> bool:
-        if request.answered or request.broken_calls > MAX_BROKEN_CALLS:
+        if request.has_response or request.broken_calls > MAX_BROKEN_CALLS:
             return False
         remaining_run_seconds = self.run_times.run_seconds[request.class_index] / 2
         return now + self.call_times.mean_seconds + remaining_run_seconds < request.objective_at
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -75,7 +75,7 @@
             events.TimerFired: self._on_timer_fired,
             events.TenantsChanged: self._on_tenants_changed,
             events.PredecessorLoad: self._on_predecessor_load,
-            events.WorkersRestarted: self._on_workers_restarted,
+            events.PoolRestarted: self._on_pool_restarted,
         }
 
     def handle(self, now: float, event: events.Event) -> list[actions.Action]:
@@ -103,12 +103,12 @@
         self.last_completion_at = now
         self.scheduler.limiter.period_started_at = now
         self.wheel.start(now)
-        self.actions.append(actions.SetHealth(is_healthy=True, answer_from_cache=True))
+        self.actions.append(actions.SetHealth(is_healthy=True, respond_from_cache=True))
         self.actions.append(actions.SetTimer(now + self.sweep_interval, 0))
 
     def _on_drain_started(self, now: float, event: events.DrainStarted) -> None:
         self.drain.start(now, event.stop_in, self.sweep_interval)
-        self.actions.append(actions.SetHealth(is_healthy=False, answer_from_cache=True))
+        self.actions.append(actions.SetHealth(is_healthy=False, respond_from_cache=True))
         self.actions.append(actions.LogMessage(f"draining, stop in {event.stop_in:.2f} s"))
 
     def _on_tenants_changed(self, now: float, event: events.TenantsChanged) -> None:
@@ -118,7 +118,7 @@
     def _on_predecessor_load(self, now: float, event: events.PredecessorLoad) -> None:
         self.predecessor = event
 
-    def _on_workers_restarted(self, now: float, event: events.WorkersRestarted) -> None:
+    def _on_pool_restarted(self, now: float, event: events.PoolRestarted) -> None:
         # A limit that was learned on warm cores would overload cold ones.
         self.settings = replace(self.settings, starts_cold=event.starts_cold)
         self.scheduler.limiter = ConcurrencyLimiter(self.settings)
@@ -153,12 +153,12 @@
         due_at = max(now, arrived_at + spec.deadline)
         if event.time_to_deadline is not None:
             due_at = now + event.time_to_deadline
-            # The timeout of a call from another tier is the rest of its caller's objective, which varies from
-            # call to call, so no age can be derived from it.
+            # The timeout of a call from another tier is what remains of its caller's objective, which varies
+            # from call to call, so no age can be derived from it.
             if self.settings.tier == 0:
                 timeout = event.time_to_deadline + event.unread_seconds
                 attempt_age = self.attempt_ages[event.class_index].estimate_age(timeout)
-        due_at = min(due_at, max(now, self.drain.answer_by))
+        due_at = min(due_at, max(now, self.drain.respond_by))
         objective_at = min(due_at, arrived_at - attempt_age + spec.latency_objective)
         tenants = self.settings.tenants
         index = event.tenant_index
@@ -193,7 +193,7 @@
             return
         succeeded = event.outcome is Outcome.SUCCEEDED
         self.table.record_key_result(request.id, succeeded)
-        request.answered |= event.outcome in (Outcome.SUCCEEDED, Outcome.FAILED)
+        request.has_response |= event.outcome in (Outcome.SUCCEEDED, Outcome.FAILED)
         if request.state is not JOINED:
             self._record_run(now, request, event.outcome)
             self.table.remove(request)
@@ -212,18 +212,18 @@
         request = self.table.get(event.id)
         if request is None:
             return
-        request.answered = True
+        request.has_response = True
         # A run with an idempotency key continues while a retry can still share its result in time.
         effect = self.settings.classes[request.class_index].effect
         self._close(request, stop=effect is not Effect.IDEMPOTENT_BY_KEY or now > request.objective_at)
 
     def _finish(self, request: Request, *, reject: bool = False) -> None:
-        """Send the final answer, if it is still due, and close the request.
+        """Send the final response, if it is still due, and close the request.
 
-        All final answers of the controller are sent here.  A request that has run is failed, never rejected.
+        All final responses are sent here.  A request that has run is failed, never rejected.
         """
-        if not request.answered:
-            request.answered = True
+        if not request.has_response:
+            request.has_response = True
             if reject and not request.has_run:
                 is_final = self.advertisement.rejections_are_final()
                 self.actions.append(actions.Reject(request.id, is_final, self.admission.retry_after()))
@@ -232,7 +232,7 @@
         self._close(request, stop=True)
 
     def _close(self, request: Request, *, stop: bool) -> None:
-        """Remove a request that needs no answer any more.
+        """Remove a request that needs no response any more.
 
         A request with a run stays in the table until its run ends; ``stop`` stops that run where possible.
         """
@@ -253,7 +253,7 @@
             return
         self.table.change_state(request, AWAITING_CALL)
         request.left_cores_at = now
-        if not request.answered:
+        if not request.has_response:
             self.calls.enqueue(request)
         self._admit_calls(now)
 
@@ -302,7 +302,7 @@
     def _on_timer_fired(self, now: float, event: events.TimerFired) -> None:
         self.actions.append(actions.SetTimer(now + self.sweep_interval, 0))
         self._run_due_checks(now)
-        if now >= self.drain.answer_by:
+        if now >= self.drain.respond_by:
             for request in list(self.table.requests.values()):
                 self._finish(request, reject=True)
         age = now - self.workers_started_at
@@ -337,7 +337,7 @@
         for item in self.wheel.advance(now):
             if isinstance(item, int):
                 self.table.release_key(item)
-            elif item.id in self.table and not item.answered:
+            elif item.id in self.table and not item.has_response:
                 self._check_request(now, item)
 
     def _check_request(self, now: float, request: Request) -> None:
--- a/saltcart/decision/drain.py
+++ b/saltcart/decision/drain.py
@@ -5,7 +5,7 @@
 from saltcart.decision.settings import Settings
 
 ACCEPT_SHARE = 0.9  # share of the drain grace in which arriving requests still run
-FINAL_ANSWER_SWEEPS = 3  # number of sweeps before the stop by which every request is answered
+FINAL_RESPONSE_SWEEPS = 3  # number of sweeps before the stop by which every request has its response
 
 
 class Drain:
@@ -20,15 +20,15 @@
         self.settings = settings
         self.objective = objective
         self.accept_until = float("inf")  # requests that arrive later do not run
-        self.answer_by = float("inf")  # every request is answered by then
+        self.respond_by = float("inf")  # every request has its response by then
         self.is_withdrawing = False  # clients should send no more requests to this server
 
     def start(self, now: float, stop_in: float, sweep_interval: float) -> None:
         """Set the deadlines for a server that will be stopped in ``stop_in`` seconds."""
         self.accept_until = now + ACCEPT_SHARE * self.settings.drain_grace
-        self.answer_by = now + max(0.0, stop_in - FINAL_ANSWER_SWEEPS * sweep_interval)
+        self.respond_by = now + max(0.0, stop_in - FINAL_RESPONSE_SWEEPS * sweep_interval)
 
     def update(self, now: float) -> None:
         """Decide whether the server withdraws from its clients."""
-        withdraw_at = min(self.accept_until, self.answer_by - self.objective)
+        withdraw_at = min(self.accept_until, self.respond_by - self.objective)
         self.is_withdrawing = now >= withdraw_at - self.settings.signal_lifetime / 2
--- a/saltcart/decision/events.py
+++ b/saltcart/decision/events.py
@@ -13,7 +13,7 @@
 
 
 class RequestArrived(NamedTuple):
-    """A request has been read and needs exactly one final answer."""
+    """A request has been read and needs exactly one final response."""
 
     id: int
     class_index: int  # into ``Settings.classes``
@@ -27,7 +27,7 @@
     is_retry: bool = False
     is_write: bool = False
     balancer: int = 0
-    repeat_of: int | None = None  # an earlier attempt of this request, or a read with the same answer
+    repeat_of: int | None = None  # an earlier attempt of this request, or a read with the same response
     has_reservation: bool = False  # a retry at its reserved time: exempt from the early shedding of its class
 
 
@@ -71,8 +71,8 @@
     tenants: tuple[TenantSpec, ...]
 
 
-class WorkersRestarted(NamedTuple):
-    """The workers were restarted ``age`` seconds ago; the host reports each interrupted run as finished."""
+class PoolRestarted(NamedTuple):
+    """The pool was restarted ``age`` seconds ago; the host reports each interrupted run as finished."""
 
     starts_cold: bool
     age: float
@@ -106,6 +106,6 @@
     | DrainStarted
     | TenantsChanged
     | PredecessorLoad
-    | WorkersRestarted
+    | PoolRestarted
     | TimerFired
 )
--- a/saltcart/decision/request.py
+++ b/saltcart/decision/request.py
@@ -30,11 +30,11 @@
     """A live request.  Times are in seconds on the controller's clock."""
 
     __slots__ = (
-        "answered",
         "arrived_at",
         "broken_calls",
         "class_index",
         "due_at",
+        "has_response",
         "has_run",
         "id",
         "left_cores_at",
@@ -60,8 +60,8 @@
         Args:
             event: The arrival of the request.
             now: Current time.
-            due_at: Time by which its final answer must be sent.
-            objective_at: Time until which an answer earns the full priority weight.
+            due_at: Time by which its final response must be sent.
+            objective_at: Time until which a response earns the full priority weight.
             tenant: Its tenant, if known.
         """
         self.id = event.id
@@ -72,7 +72,7 @@
         self.tenant = tenant
         self.state = HELD
         self.has_run = False
-        self.answered = False  # also True once its caller has gone: no final answer is due
+        self.has_response = False  # also True once its caller has gone: no final response is due
         self.arrived_at = now - event.unread_seconds
         self.read_at = now
         self.started_at = now
--- a/saltcart/decision/settings.py
+++ b/saltcart/decision/settings.py
@@ -48,13 +48,13 @@
 
     name: str
     effect: Effect
-    latency_objective: float  # an answer within this time earns the full priority weight
+    latency_objective: float  # a response within this time earns the full priority weight
     deadline: float  # the total time for which a client waits
     priority_weight: float
-    late_weight_share: float = 0.0  # share of the weight that an answer after the objective earns
+    late_weight_share: float = 0.0  # share of the weight that a response after the objective earns
     key_window: float = 0.0  # how long after the first attempt a retry with its idempotency key may arrive
     calls_dependency: bool = False
-    skipped_call_weight_share: float = 0.0  # share of the weight that an answer without the call earns
+    skipped_call_weight_share: float = 0.0  # share of the weight that a response without the call earns
 
     @property
     def requires_call(self) -> bool:
@@ -88,7 +88,7 @@
     classes: tuple[ClassSpec, ...]
     cores: int
     memory_kb: float
-    answer_slack: float  # how long after its deadline a final answer may still be sent
+    answer_slack: float  # how long after its deadline a final response may still be sent
     drain_grace: float  # requests that arrive later than this after the start of a drain must not run
     # Concurrent requests per core that a warm server survives, as a mean over max_running_window.
     max_running_per_core: float
@@ -108,7 +108,7 @@
     abandoned_call_seconds: float = 0.0  # how long an abandoned call may occupy the dependency
     run_memory_factor: float = 1.0  # memory of a running request divided by that of a held one
     key_entry_kb: float = 0.0  # memory of one remembered idempotency key
-    read_freshness_seconds: float = 0.0  # how long the answer to a read may be reused for other requests
+    read_freshness_seconds: float = 0.0  # how long the response to a read may be reused for other requests
     signal_lifetime: float = 0.0  # how long clients apply an advertised level
     max_retry_after: float = 0.0  # upper bound of Retry-After; 0 where clients are not sent one
     client_idle_timeout: float = 0.0  # clients close connections that were idle for this long
--- a/saltcart/front/connection.py
+++ b/saltcart/front/connection.py
@@ -149,7 +149,7 @@
                 if not self.can_read_request():
                     break
                 if not self.admit_request() or not self.read_message():
-                    # The time limit of a partial request runs even if others were answered just now.
+                    # The time limit of a partial request runs even if responses to others were sent just now.
                     if self.has_partial_request():
                         self.mark_awaiting_request()
                     return
--- a/saltcart/front/fields.py
+++ b/saltcart/front/fields.py
@@ -74,7 +74,8 @@
 ) -> InboundRequest:
     """Build the core's request from the path and the header fields; its times are on the core's clock.
 
-    Every number must lie in its range; otherwise a request could get terms that no valid request gets.
+    Every number must lie in its range: it could otherwise give a request a deadline, size or priority rank
+    that no valid request has.
 
     Args:
         path: The request's path; its last segment is the class, percent-encoded.
--- a/saltcart/importer/modjk.py
+++ b/saltcart/importer/modjk.py
@@ -102,6 +102,7 @@
         settings = self.resolve(worker)
 
         def value(key: str, default: str) -> str:
+            """Return a property of the worker, or the default if it is not set."""
             return settings[key].value if key in settings else default
 
         if not settings:
--- a/saltcart/locality/demand.py
+++ b/saltcart/locality/demand.py
@@ -1,4 +1,4 @@
-"""Estimates demand in requests per second and tells real changes of it from random variation."""
+"""Estimates demand in requests per second and distinguishes real changes from random variation."""
 
 from __future__ import annotations
 
--- a/saltcart/locality/load_reports.py
+++ b/saltcart/locality/load_reports.py
@@ -154,9 +154,9 @@
     def summary(self, now: float) -> ZoneSummary:
         """Return the summary of the reports that are not stale.
 
-        The own zone's grade is derived from its members' outcomes at all instances together: many instances
-        that each observe too little of a member to judge it observe enough in sum, and notice its recovery
-        long before each instance would alone.
+        The own zone's grade is derived from its members' outcomes at all instances together: instances
+        that each observe too few outcomes to judge a member observe enough together, and detect its recovery
+        long before any of them would alone.
         """
         stale = self.settings.stale
         self.reports = {
--- a/saltcart/locality/outlier_detection.py
+++ b/saltcart/locality/outlier_detection.py
@@ -107,14 +107,14 @@
         self.capacity_shares: dict[str, float] = {}  # by host, where their zones report less than 1
 
     def record_outcome(
-        self, now: float, host: str, good: bool, seconds: float, connection_refused: bool = False
+        self, now: float, host: str, is_success: bool, seconds: float, connection_refused: bool = False
     ) -> None:
         """Count the outcome of an attempt at a member.
 
         Args:
             now: Monotonic time in seconds.
             host: The member.
-            good: Whether the attempt succeeded.
+            is_success: Whether the attempt succeeded.
             seconds: Duration of the attempt.
             connection_refused: Whether the member refused the connection.  This is stronger evidence than
                 other failures, which the request itself may have caused.
@@ -122,13 +122,13 @@
         endpoint = self.endpoints.get(host)
         if endpoint is None:
             return
-        endpoint.recent_outcomes.add(now, good, not good, seconds)
+        endpoint.recent_outcomes.add(now, is_success, not is_success, seconds)
         endpoint_good, endpoint_bad, endpoint_seconds = self.unreported_by_endpoint.get(host, NO_OUTCOMES)
-        outcomes = endpoint_good + good, endpoint_bad + (not good), endpoint_seconds + seconds
+        outcomes = endpoint_good + is_success, endpoint_bad + (not is_success), endpoint_seconds + seconds
         self.unreported_by_endpoint[host] = outcomes
         zone = self.zone_of[host]
         zone_good, zone_bad = self.unreported_outcomes[zone]
-        if good:
+        if is_success:
             self.unreported_outcomes[zone] = zone_good + 1, zone_bad
             endpoint.record_success(now)
             return
@@ -193,8 +193,9 @@
 
         Due are members whose ejection has ended without a good outcome since then, members of the own zone
         that are reported to have lost capacity, and all of the own zone's while it is not fully trusted:
-        without requests, a zone would seem healthy for lack of evidence.  Members of other zones are tried
-        rarely, as their own zones' instances try them; trials from everywhere would be a load of their own.
+        without requests, a zone would seem healthy for lack of evidence.  Members of other zones get
+        few trials, as the instances in their own zones send them trials; trials from all zones would
+        overload them.
         The member with the oldest trial comes first.
 
         Args:
--- a/saltcart/locality/plan_proposal.py
+++ b/saltcart/locality/plan_proposal.py
@@ -20,7 +20,7 @@
 from saltcart.locality.zone_trust import FALL_THRESHOLD, WHOLE_SHARE, ZoneTrust, next_trust
 
 MAX_RESERVE_USED = 0.7  # share of the capacity above ``limit`` that may be in use before requests are moved
-MIN_HOME_GAIN = 0.15  # share of a zone's requests; moving fewer back home does not justify a new plan
+MIN_HOME_GAIN = 0.15  # share of a zone's requests; moving fewer back to it does not justify a new plan
 REJECTION_THRESHOLD = 50  # thousandths of a zone's requests; from it on, zones are filled beyond ``limit``
 SPILLOVER_DRAIN_SECONDS = 10.0  # after a zone's spillover has left, before its own requests may leave too
 MIN_INTERVAL = 0.5  # seconds between two plans, even when a zone fails
@@ -114,8 +114,8 @@
 ) -> bool:
     """Whether the previous plan is close enough to the rows that would be best now.
 
-    It is while no zone is too full and the rows would neither keep notably more requests at home nor reject
-    notably fewer.
+    It is while no zone is too full and the rows would neither keep notably more requests in
+    their own zones nor reject notably fewer.
     """
     gain = round(MIN_HOME_GAIN * WHOLE_SHARE)
     for origin in range(len(planned_capacity)):
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -299,14 +299,14 @@
         return self.load(host) * self.outliers.slowness(host, typical_duration)
 
     def record_outcome(
-        self, now: float, host: str, good: bool, seconds: float, connection_refused: bool = False
+        self, now: float, host: str, is_success: bool, seconds: float, connection_refused: bool = False
     ) -> None:
         """Count the outcome of an attempt at a member; see ``OutlierDetector.record_outcome``."""
-        self.outliers.record_outcome(now, host, good, seconds, connection_refused)
+        self.outliers.record_outcome(now, host, is_success, seconds, connection_refused)
 
     # ---- metrics and administration API -------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics."""
         row = self.plan.row(self.own_zone)
         return [
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -4,7 +4,7 @@
 passes in datagrams and the time, and takes the outgoing datagrams; the protocol has neither a socket nor a
 clock.
 
-- Each interval one member is probed.  Without an answer the ping is sent once more, then ``helpers`` other
+- Each interval one member is probed.  Without an ack the ping is sent once more, then ``helpers`` other
   members probe indirectly, then the member becomes a suspect (``probing``).
 - Each datagram to a suspect carries the suspicion, and the suspect refutes it with a higher incarnation;
   otherwise it is declared dead (``suspicion_tracker``).
@@ -276,7 +276,7 @@
 
     # ---- metrics and state --------------------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics that operators are shown, by name."""
         states = [MemberState(record.state) for record in self.view]
         return [
--- a/saltcart/membership/messages.py
+++ b/saltcart/membership/messages.py
@@ -30,7 +30,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    """The answer to a probe, direct or indirect."""
+    """The acknowledgement of a probe, direct or indirect."""
 
     sequence: int
 
@@ -44,7 +44,7 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
-    """A helper's report that its indirect probe got no answer either."""
+    """A helper's report that its indirect probe was not acknowledged either."""
 
     sequence: int
 
--- a/saltcart/membership/probing.py
+++ b/saltcart/membership/probing.py
@@ -16,12 +16,12 @@
 class Probe:
     """A probe by this member that is in progress."""
 
-    __slots__ = ("helper_count", "incarnation", "is_answered", "nack_count", "name")
+    __slots__ = ("helper_count", "incarnation", "is_acked", "nack_count", "name")
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name = name
         self.incarnation = incarnation
-        self.is_answered = False
+        self.is_acked = False
         self.helper_count = 0
         self.nack_count = 0
 
@@ -83,14 +83,14 @@
     def _resend_ping(self, sequence: int) -> None:
         probe = self.probes[sequence]
         target = self.context.view.get(probe.name)
-        if not probe.is_answered and target is not None:
+        if not probe.is_acked and target is not None:
             self.outbox.send(target.address, target.name, Ping(sequence))
 
     def _request_indirect_probes(self, sequence: int) -> None:
         context = self.context
         probe = self.probes[sequence]
         target = context.view.get(probe.name)
-        if probe.is_answered or target is None or not target.is_present:
+        if probe.is_acked or target is None or not target.is_present:
             del self.probes[sequence]
             return
         excluded = {probe.name, context.own_record.name}
@@ -107,7 +107,7 @@
     def _finish_probe(self, sequence: int) -> None:
         probe = self.probes.pop(sequence)
         target = self.context.view.get(probe.name)
-        if probe.is_answered or target is None or not target.is_present:
+        if probe.is_acked or target is None or not target.is_present:
             return
         if target.incarnation != probe.incarnation:
             return
@@ -119,22 +119,22 @@
     # ---- received messages --------------------------------------------------------------------
 
     def on_ping(self, sender: MemberRecord, sequence: int) -> None:
-        """Answer a probe."""
+        """Acknowledge a probe."""
         self.outbox.send(sender.address, sender.name, Ack(sequence))
 
     def on_ack(self, sequence: int) -> None:
-        """Record the answer to a probe, or forward it to the member that requested the indirect probe."""
+        """Record the ack of a probe, or forward it to the member that requested the indirect probe."""
         indirect = self.indirect_probes.pop(sequence, None)
         if indirect is not None:
             self.outbox.send(indirect.requester_address, "", Ack(indirect.requester_sequence))
             return
         probe = self.probes.get(sequence)
-        if probe is not None and not probe.is_answered:
-            probe.is_answered = True
+        if probe is not None and not probe.is_acked:
+            probe.is_acked = True
             self.context.health.adjust(-1)
 
     def on_nack(self, sequence: int) -> None:
-        """Count a helper whose indirect probe got no answer."""
+        """Count a helper whose indirect probe was not acknowledged."""
         probe = self.probes.get(sequence)
         if probe is not None:
             probe.nack_count += 1
--- a/saltcart/net/composer.py
+++ b/saltcart/net/composer.py
@@ -121,7 +121,7 @@
     def supply_reply(self, request_id: bytes, reply: bytes) -> None:
         """Do nothing: no run waits for a call that the decision module admits."""
 
-    def skip_call(self, request_id: bytes, notice: int) -> None:
+    def skip_call(self, request_id: bytes, notice_number: int) -> None:
         """Do nothing: no run waits for a call that the decision module admits."""
 
     def poll_gauges(self) -> None:
@@ -140,7 +140,7 @@
         now = self._monotonic_time()
         self._carry_out_all(self.engine.shorten_deadlines(now, now + seconds))
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return gauges of each dependency: calls in flight, allowed and waiting, retries, circuit state."""
         gauges = list[tuple[str, int]]()
         for name, dependency in self.engine.dependencies.items():
--- a/saltcart/net/listener.py
+++ b/saltcart/net/listener.py
@@ -17,7 +17,7 @@
 
     Args:
         listener: The listener that accepted it.
-        limit: Most unread bytes that the buffer may hold.
+        limit: Maximum number of unread bytes in the buffer.
     """
 
     LINGER_SECONDS = 0.2  # for a client that is still sending to read why it was cut off
@@ -58,7 +58,7 @@
         self.listener.clear_state(self)
 
     def mark_idle(self) -> None:
-        """Record that the request was answered and no other has begun."""
+        """Record that the response was sent and no other request has begun."""
         self._set_state(self.listener.idle)
 
     def _set_state(self, connections: dict[ServerConnection, None]) -> None:
@@ -101,7 +101,7 @@
         super().close()
 
     def _has_unsent_data(self) -> bool:
-        """Whether the write buffer holds data that the peer has no room to receive yet."""
+        """Whether the write buffer holds data that could not be sent yet, as the peer has not read enough."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def _abort_later(self) -> None:
@@ -121,7 +121,7 @@
         listen_address: The address to listen on.
         make_connection: Returns a new connection object, for asyncio to connect.
         idle_timeout: Returns the seconds after which an idle connection is closed.
-        max_connections: Most connections.
+        max_connections: Limit of the number of open connections.
         inherited_descriptor: A descriptor that listens already, used instead of ``listen_address``.  It is
             duplicated, and the original stays open, because the caller owns it.
         reuse_port: Whether another process may listen on the same address during a takeover.
@@ -131,9 +131,9 @@
     REQUEST_TIMEOUT_SECONDS = 2.0  # to receive a whole request, from its first byte or the connection's start
     NEW_CONNECTION_GRACE_SECONDS = 0.25  # a new connection is about to send its request
     LISTEN_BACKLOG = 1024
-    # Connections accepted beyond the bound while others are taken over; they use reserved descriptors.
+    # Connections accepted beyond the limit while others are taken over; they use reserved descriptors.
     TAKEOVER_EXTRA_CONNECTIONS = 32
-    # A flood must not exceed the bound on connections by far before it is counted.
+    # A flood must not exceed the limit of connections by far before it is counted.
     MAX_ACCEPTS_PER_ITERATION = 8
 
     def __init__(
@@ -156,7 +156,7 @@
         # Set once another process takes over: passes it a connection with the unprocessed bytes read from it,
         # and returns whether that succeeded.
         self.pass_connection: Callable[[ServerConnection, bytes], bool] | None = None
-        # Connections that the predecessor still holds; they count against the same bound.
+        # Connections that the predecessor still holds; they count against the same limit.
         self.predecessor_connections = 0
         self.loop = asyncio.get_running_loop()
         self.connections: set[ServerConnection] = set()
@@ -233,8 +233,8 @@
 
         Args:
             sock: The socket of the connection.
-            data: What the other process has read of the next request.
-            was_idle: Whether the connection was idle, rather than awaiting a request.
+            data: The part of the next request that the other process has read.
+            was_idle: Whether the connection was idle rather than awaiting a request.
             state_age: Seconds for which it was idle or awaited a request.
         """
         connection = self.make_connection(self)
@@ -256,12 +256,12 @@
             connection.close()
 
     def add(self, new: ServerConnection) -> None:
-        """Add a new connection, or abort it if the bound is reached and no other can be evicted."""
-        # While connections are taken over from the predecessor, new ones must not be refused because of them.
-        bound = self.max_connections + (
+        """Add a new connection, or abort it if the limit is reached and no other can be evicted."""
+        # While connections are taken over from the predecessor, new ones must not be aborted because of them.
+        limit = self.max_connections + (
             self.TAKEOVER_EXTRA_CONNECTIONS if self.predecessor_connections else 0
         )
-        if len(self.connections) + self.predecessor_connections >= bound and not self._evict_one():
+        if len(self.connections) + self.predecessor_connections >= limit and not self._evict_one():
             new.abort()  # nothing was read from it, so its client can safely retry
             return
         self.connections.add(new)
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -196,12 +196,12 @@
     def _on_name_taken(self, record: MemberRecord) -> None:
         self.log("member-name-taken", name=record.name, address=record.address)
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics that operators are shown, by name."""
         if self.member is None:
             return []
         driver_metrics = [("member.malformed", self.malformed_count), ("member.unsent", self.unsent_count)]
-        return self.member.figures() + driver_metrics
+        return self.member.metrics() + driver_metrics
 
     def state(self) -> dict[str, object]:
         """Return the view as the administration API shows it; empty before ``open``."""
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -92,7 +92,7 @@
         self.link.complete_address_change()
 
     def closed(self) -> None:
-        """Tell the session that its connection is lost."""
+        """Record in the session that its connection is lost."""
         if self.is_current():
             self.link.session.close_link()
 
@@ -167,7 +167,7 @@
                 if self.liveness.record_bound(asyncio.get_running_loop().time(), age):
                     self.log("pool-restarted", age=age)
                     self.session.reset()
-                    self.events.pool_replaced(not is_warm, age)
+                    self.events.pool_restarted(not is_warm, age)
                 self.events.pool_started(not is_warm, age)
             case wire.UncertainRun(request_id):
                 self.events.run_uncertain(request_id)
@@ -210,7 +210,7 @@
         self._send(self.session.supply_reply(request_id, reply))
 
     def skip_call(self, request_id: bytes, notice_number: int) -> None:
-        """Resume a run without the call that the notice of this number requested."""
+        """Resume a run without the call that the pool's notice of this number requested."""
         self._send(self.session.skip_call(request_id, notice_number))
 
     def poll_gauges(self) -> None:
--- a/saltcart/retry_storm/controller.py
+++ b/saltcart/retry_storm/controller.py
@@ -255,7 +255,7 @@
             + self.reservations.size_bytes()
         )
 
-    def figures(self, now: float) -> list[tuple[str, int]]:
+    def metrics(self, now: float) -> list[tuple[str, int]]:
         """Return the metrics, by name."""
         detector = self.detector
         return [
@@ -276,6 +276,6 @@
         """Return the state that the administration API shows."""
         top_tenants = self.retrying_tenants.top()
         return {
-            **{name.removeprefix("storm."): value for name, value in self.figures(now)},
+            **{name.removeprefix("storm."): value for name, value in self.metrics(now)},
             "amplifiers": [{"tenant": name, "tries": round(count)} for name, count in top_tenants],
         }
--- a/saltcart/simulator_adapter.py
+++ b/saltcart/simulator_adapter.py
@@ -165,8 +165,8 @@
             return {"verb": "releaseKey", "msgId": request_id}
         case actions.JoinAttempt(request_id):
             return {"verb": "answerFrom", "msgId": request_id}
-        case actions.SetHealth(is_healthy, answer_from_cache):
-            return {"verb": "setHealth", "on": is_healthy, "cheap": answer_from_cache}
+        case actions.SetHealth(is_healthy, respond_from_cache):
+            return {"verb": "setHealth", "on": is_healthy, "cheap": respond_from_cache}
         case actions.AdvertiseLevel(level):
             return {"verb": "say", "level": level}
         case actions.SetIdleTimeout(seconds):
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -319,7 +319,7 @@
         candidates = [host for host in candidates if self.backoff_until.get(host, 0.0) <= now] or candidates
         return min(self.rng.choice(candidates), self.rng.choice(candidates), key=self._estimated_load)
 
-    def record_outcome(self, now: float, host: str, good: bool, connection_refused: bool) -> None:
+    def record_outcome(self, now: float, host: str, is_success: bool, connection_refused: bool) -> None:
         """Count the outcome of an attempt at a member.
 
         After a refused connection, the member is in backoff until this instance's staggered time.  A good
@@ -330,13 +330,13 @@
                 host, StaggeredBackoff(FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
             )
             self.backoff_until[host] = backoff.record_failure(now, position_of(self.name, self.present))
-        elif good and host in self.backoffs:
+        elif is_success and host in self.backoffs:
             del self.backoffs[host]
             self.backoff_until.pop(host, None)
 
     # ---- metrics and administration API -------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics."""
         return [
             ("fleet.class", self.own_class),
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -35,7 +35,7 @@
 BATCH_DELAY_SECONDS = 0.002
 # A release may stop both processes at once; the predecessor needs time to notice that its successor is gone.
 MIN_RETIRE_SECONDS = 0.5
-# After a stop notice, a process that has handed over is killed in
+# After the drain notice, a process that has handed over is killed in
 # min(longest deadline, MAX_DEADLINE_WAIT_SECONDS) + KILL_MARGIN_SECONDS.
 MAX_DEADLINE_WAIT_SECONDS = 3.0
 KILL_MARGIN_SECONDS = 0.7
@@ -126,7 +126,7 @@
             await self._wait_for_fronts()
             front = self.fronts[state.front]
             await front.attach_connection(
-                client_socket, state.buffered_bytes, state.is_idle, state.waiting_seconds
+                client_socket, state.buffered_bytes, state.was_idle, state.state_age
             )
         except (OSError, KeyError, TimeoutError, MalformedMessageError) as error:
             client_socket.close()
@@ -201,8 +201,8 @@
         listener = connection.listener
         state = wire.PassedConnection(
             front=next(name for name, front in self.fronts.items() if front is listener),
-            is_idle=connection in listener.idle,
-            waiting_seconds=asyncio.get_running_loop().time() - connection.state_since,
+            was_idle=connection in listener.idle,
+            state_age=asyncio.get_running_loop().time() - connection.state_since,
             buffered_bytes=buffered_bytes,
         )
         descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -283,7 +283,7 @@
         self.handover_listener = HandoverListener(folder, f"saltcart-{name}", self._on_connected)
         self.predecessor = Predecessor(service, log, fronts, index)
         self.successor = Successor(service, log, fronts)
-        self.retired_at: float | None = None  # time of the stop notice, if it came after the handover
+        self.retired_at: float | None = None  # time of the drain notice, if it came after the handover
         self.seconds_to_stop = 0.0  # from ``retired_at`` until this process is killed
         self.is_closed = False
         self.reopen_task: asyncio.Task[None] | None = None
@@ -324,7 +324,7 @@
         self.successor.hand_over(link)
 
     def _on_successor_lost(self, link: HandoverLink) -> None:
-        """Continue to serve without a successor, or drain if the stop notice has come."""
+        """Continue to serve without a successor, or drain if the drain notice has been received."""
         if self.successor.link is not link or self.is_closed:
             return
         self.successor.cancel_hand_over()
--- a/saltcart/wire/handover.py
+++ b/saltcart/wire/handover.py
@@ -43,8 +43,8 @@
     """The state of a client connection when the predecessor passes it to the successor."""
 
     front: str
-    is_idle: bool  # it has carried a request and has not begun another one
-    waiting_seconds: float  # time since it became idle or began to wait for a whole request
+    was_idle: bool  # its last request had its response, and no other had begun
+    state_age: float  # seconds for which it was idle or awaited a request
     buffered_bytes: bytes  # the part of its next request that the predecessor has read
 
 
@@ -147,7 +147,7 @@
 
 def connection_packet(connection: PassedConnection) -> HandoverPacket:
     """Return the packet for a connection that is passed to the successor."""
-    fields = {"front": connection.front, "rests": connection.is_idle, "age": connection.waiting_seconds}
+    fields = {"front": connection.front, "rests": connection.was_idle, "age": connection.state_age}
     return HandoverPacket(PacketKind.CONNECTION, fields, connection.buffered_bytes)
 
 
@@ -160,8 +160,8 @@
     fields = packet.fields
     return PassedConnection(
         front=str(fields.get("front")),
-        is_idle=fields.get("rests") is True,
-        waiting_seconds=read_number(fields.get("age")),
+        was_idle=fields.get("rests") is True,
+        state_age=read_number(fields.get("age")),
         buffered_bytes=packet.data,
     )
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -117,8 +117,8 @@
         async with asyncio.timeout(WAIT):
             while len({event for event, _ in logged} & {"member-unsent", "member-malformed"}) < 2:
                 await asyncio.sleep(0.005)
-        figures = dict(gossip.figures())
-        assert figures["member.unsent"] >= 1 and figures["member.malformed"] == 1
+        metrics = dict(gossip.metrics())
+        assert metrics["member.unsent"] >= 1 and metrics["member.malformed"] == 1
         assert ("member-unsent", {"peer": "somewhere.invalid:9", "error": "not a loopback address"}) in logged
         transport.close()
         gossip.close()
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -790,8 +790,8 @@
     assert sum(rejected.values()) == pytest.approx(0.4 * 6000, rel=0.05)
     assert rejected[8.0] == 0
     assert rejected[2.0] < 0.03 * arrived[2.0] and rejected[1.0] > 0.75 * arrived[1.0]
-    figures = dict(instance.figures())
-    assert figures["locality.worth_refused"] == pytest.approx(rejected[1.0] + 2 * rejected[2.0], abs=1)
+    metrics = dict(instance.metrics())
+    assert metrics["locality.worth_refused"] == pytest.approx(rejected[1.0] + 2 * rejected[2.0], abs=1)
 
 
 WEIGHTS = st.lists(st.sampled_from((0.5, 1.0, 3.0, 8.0)), min_size=10, max_size=200)
--- a/tests/test_retry_storm.py
+++ b/tests/test_retry_storm.py
@@ -393,7 +393,7 @@
     for n in range(7):
         attempt = controller.record_arrival(100.0 + n, "a", "read", None, None, b"same")
         controller.record_rejection(100.0 + n, attempt.fingerprint)
-    assert dict(controller.figures(107.0))["storm.most_tries"] == 6
+    assert dict(controller.metrics(107.0))["storm.most_tries"] == 6
 
 
 def test_memory_is_bounded_at_a_thousand_rejections_per_second() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -254,9 +254,9 @@
     class RecordingConnection(ServerConnection):
         def opened(self) -> None:
             super().opened()
-            waiting_seconds = self.listener.loop.time() - self.state_since
+            state_age = self.listener.loop.time() - self.state_since
             registrations.append(
-                (self in self.listener.idle, self in self.listener.awaiting_request, waiting_seconds)
+                (self in self.listener.idle, self in self.listener.awaiting_request, state_age)
             )
 
     async def scenario() -> None:
