--- a/saltcart/__main__.py
+++ b/saltcart/__main__.py
@@ -37,10 +37,10 @@
     )
     app, stopped = App(conf, deployment_conf, log), asyncio.Event()
 
-    def begin_drain(seconds_ago: float) -> None:
+    def begin_drain(notice_age: float) -> None:
         """Drain; the process exits when it is done, or soon after the stop timeout."""
-        app.begin_drain(stopped.set, seconds_ago)
-        loop.call_later(conf.stop_timeout + EXIT_DELAY_SECONDS - seconds_ago, stopped.set)
+        app.begin_drain(stopped.set, notice_age)
+        loop.call_later(conf.stop_timeout + EXIT_DELAY_SECONDS - notice_age, stopped.set)
 
     def reload() -> None:
         """Reload the configuration; an error is logged, and the running one stays."""
--- a/saltcart/app.py
+++ b/saltcart/app.py
@@ -334,23 +334,23 @@
         """Whether this process can serve requests."""
         return self.service.controller is not None and bool(self.fronts)
 
-    def begin_drain(self, on_done: Callable[[], None] = lambda: None, seconds_ago: float = 0.0) -> None:
+    def begin_drain(self, on_finished: Callable[[], None] = lambda: None, notice_age: float = 0.0) -> None:
         """Drain, before the process is stopped.
 
         The listeners stay open, as requests that arrive still get responses.  A process that has handed over
         to its successor doesn't drain: it ends the work that it still has.
 
         Args:
-            on_done: Called when a process that has handed over has no work left.
-            seconds_ago: Age of the drain notice.
+            on_finished: Called when a process that has handed over has no work left.
+            notice_age: Seconds since the drain notice was received.
         """
         if self.membership is not None:
             self.membership.leave()
-        seconds_left = max(0.0, self.conf.stop_timeout - seconds_ago)
+        seconds_left = max(0.0, self.conf.stop_timeout - notice_age)
         if self.composer is not None:
             self.composer.shorten_deadlines(seconds_left - STOP_MARGIN_SECONDS)
-        if self.takeover is None or not self.takeover.retire(seconds_left, on_done):
-            self.service.start_drain(seconds_left, seconds_ago)
+        if self.takeover is None or not self.takeover.retire(seconds_left, on_finished):
+            self.service.start_drain(seconds_left, notice_age)
 
     def reload(self, conf: Config) -> None:
         """Move to the addresses of a new configuration; requests, runs and notice numbers are kept.
--- a/saltcart/core/decision_loop.py
+++ b/saltcart/core/decision_loop.py
@@ -89,12 +89,13 @@
         """Fire a timer of the controller with the last polled gauges, and poll the next without waiting."""
         sweep_interval = 0.0 if self.controller is None else self.controller.sweep_interval
         if self.clock.now > self.gauges_polled_at + max(GAUGE_LIFETIME_SECONDS, 2 * sweep_interval):
-            self.gauges = {}  # without a link, outdated gauges of idle cores must not admit more work
+            # Without a connection to the pool, outdated gauges of idle cores must not admit more work.
+            self.gauges = {}
         self.feed(TimerFired(token, **self.gauges))
         self.ports.workers.poll_gauges()
 
     def load(self) -> PredecessorLoad:
-        """Return the load of runs on the cores and in memory."""
+        """Return the load of the runs on the cores and the memory."""
         return PredecessorLoad() if self.controller is None else self.controller.load()
 
     def held_count(self) -> int:
--- a/saltcart/core/draining.py
+++ b/saltcart/core/draining.py
@@ -8,7 +8,7 @@
 
 
 class DrainState:
-    """The drain before a stop, and the withdrawal from the list of servers by operators."""
+    """The drain before a stop, and the withdrawal from the endpoint list by operators."""
 
     def __init__(self, ports: Ports, drain_grace: float) -> None:
         """Start out neither draining nor withdrawn.
--- a/saltcart/core/idempotency_keys.py
+++ b/saltcart/core/idempotency_keys.py
@@ -45,13 +45,13 @@
 
 
 class KeyTable:
-    """Idempotency keys within a bound in bytes; an attempt whose key exceeds the bound must not run."""
+    """Idempotency keys up to a limit in bytes; an attempt whose key exceeds the limit must not run."""
 
     def __init__(self, max_bytes: int, read_grace: float) -> None:
         """Create an empty table.
 
         Args:
-            max_bytes: The bound on the memory of all records.
+            max_bytes: Limit of the memory of all records.
             read_grace: Seconds after its arrival within which an attempt may still be read.
         """
         self.max_bytes = max_bytes
@@ -64,7 +64,7 @@
         return len(self.records)
 
     def is_full(self) -> bool:
-        """Whether one more key would exceed the bound."""
+        """Whether one more key would exceed the limit."""
         return self.used_bytes + RECORD_BYTES + MAX_RESULT_BYTES + ATTEMPT_ID_BYTES > self.max_bytes
 
     def find(self, key: Key, arrived_at: float) -> KeyRecord | None:
@@ -96,7 +96,7 @@
         record.counted_bytes = size
 
     def adopt(self, record: KeyRecord) -> None:
-        """Add a record of the predecessor, even beyond the bound, because its run may have started."""
+        """Add a record of the predecessor, even beyond the limit, because its run may have started."""
         self.records[record.key] = record
         self.update_used_bytes(record)
 
--- a/saltcart/core/messages.py
+++ b/saltcart/core/messages.py
@@ -28,7 +28,7 @@
     load_level: float | None = None  # of this server, as advertised to clients
     back_off_seconds: float = 0.0  # for which the client should not use this server
     retry_after_seconds: float = 0.0  # until this request may be retried; 0 if no time was set
-    is_final: bool = False  # asks the client not to retry on another server
+    is_final: bool = False  # the client should not retry on another server
     skipped_dependencies: tuple[str, ...] = ()  # whose replies are missing from a partial response
     cached_dependencies: tuple[str, ...] = ()  # whose replies were replaced by cached ones
 
--- a/saltcart/core/ports.py
+++ b/saltcart/core/ports.py
@@ -44,7 +44,7 @@
         """Resume a paused run."""
 
     def supply_reply(self, request_id: bytes, reply: bytes) -> None:
-        """Pass the reply to its call to a waiting run."""
+        """Pass the dependency's reply to the run that waits for it."""
 
     def skip_call(self, request_id: bytes, notice_number: int) -> None:
         """Resume a run without the call that the pool's notice of this number requested."""
@@ -71,7 +71,7 @@
 
 
 class Registration(Protocol):
-    """The list of servers from which clients choose."""
+    """The registration of this server in the endpoint list, from which clients choose servers."""
 
     def set_accepting(self, is_accepting: bool) -> None:
         """Report whether the service accepts requests."""
@@ -169,7 +169,7 @@
     """Events from the worker pool to the core."""
 
     def pool_started(self, starts_cold: bool, age: float) -> None:
-        """Handle a new link to the pool.
+        """Handle a new connection to the pool.
 
         Args:
             starts_cold: Whether the pool started cold and has to warm up.
@@ -214,7 +214,7 @@
         """
 
     def run_uncertain(self, request_id: bytes) -> None:
-        """Handle a link lost while starting a run that must not start twice; it may or may not have begun."""
+        """Handle a connection lost while starting a run that must not start twice; it may have begun."""
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
         """Handle the values of the gauges, in the order of their names in the settings."""
--- a/saltcart/core/run_tracker.py
+++ b/saltcart/core/run_tracker.py
@@ -67,7 +67,7 @@
             self._record_success(request, seconds)
         request.phase = HELD  # nothing of it is left in the pool
         self.loop.feed(event)
-        self.lifecycle.fail(request)  # in case the decision module left it without a response
+        self.lifecycle.fail(request)  # if the decision module has left it without a response
 
     def _is_paused(self, request: PendingRequest) -> bool:
         can_pause = self.preemption is Preemption.PAUSE
@@ -95,7 +95,7 @@
         self.loop.feed(CallRequested(request.number))
 
     def run_uncertain(self, request_id: bytes) -> None:
-        """Handle a link lost while starting a run that must not start twice; it may or may not have begun."""
+        """Handle a connection lost while starting a run that must not start twice; it may have begun."""
         self._suspend(request_id)
         self.run_finished(request_id, Outcome.FAILED, 0.0, b"")
 
--- a/saltcart/core/service.py
+++ b/saltcart/core/service.py
@@ -56,7 +56,7 @@
             seed: The seed of the decision module's random numbers.
             clock: Returns the time in seconds; it advances steadily.
             log: Writes log events.
-            max_key_bytes: The bound on the memory of idempotency keys with their results.
+            max_key_bytes: Limit of the memory of idempotency keys with their results.
             seconds_ahead: Returns by how many seconds ``clock`` is ahead of the Unix clock, in which peers
                 express times.
         """
@@ -267,7 +267,7 @@
     # ---- events from the pool and the dependency ----------------------------------------------
 
     def pool_started(self, starts_cold: bool, age: float) -> None:
-        """Handle a new link to the pool; the first one starts the decision module."""
+        """Handle a new connection to the pool; the first one starts the decision module."""
         now = self.clock.read()
         self.log("pool-started", cold=starts_cold, age=age, again=self.controller is not None)
         if self.controller is not None:
@@ -314,7 +314,7 @@
         self.runs.call_requested(request_id, notice_number, body)
 
     def run_uncertain(self, request_id: bytes) -> None:
-        """Handle a link lost while starting a run that must not start twice."""
+        """Handle a connection lost while starting a run that must not start twice."""
         self.runs.run_uncertain(request_id)
 
     def gauges_polled(self, values: tuple[float, ...]) -> None:
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -60,7 +60,7 @@
         self.idle_timeout = IdleTimeout(settings)
         self.attempt_ages = [AttemptAgeEstimator(spec.deadline) for spec in settings.classes]
         self.wheel = TimingWheel[Request | int](self.sweep_interval)  # requests, and ids of reserved keys
-        self.workers_started_at = 0.0
+        self.pool_started_at = 0.0
         self.last_completion_at = 0.0
         self.predecessor = events.PredecessorLoad()
         self.actions: list[actions.Action] = []
@@ -99,7 +99,7 @@
     # ---- server lifecycle ---------------------------------------------------------------------
 
     def _on_started(self, now: float, _: events.Started) -> None:
-        self.workers_started_at = now
+        self.pool_started_at = now
         self.last_completion_at = now
         self.scheduler.limiter.period_started_at = now
         self.wheel.start(now)
@@ -123,7 +123,7 @@
         self.settings = replace(self.settings, starts_cold=event.starts_cold)
         self.scheduler.limiter = ConcurrencyLimiter(self.settings)
         self.scheduler.limiter.period_started_at = now
-        self.workers_started_at = now - event.age
+        self.pool_started_at = now - event.age
         self.last_completion_at = now
 
     # ---- arrivals -----------------------------------------------------------------------------
@@ -177,7 +177,7 @@
     # ---- runs ---------------------------------------------------------------------------------
 
     def _fill_slots(self, now: float) -> None:
-        age = now - self.workers_started_at
+        age = now - self.pool_started_at
         for request, decision in self.scheduler.decide(now, age, self.predecessor):
             if decision is RunDecision.REJECT:
                 self._finish(request, reject=True)
@@ -305,7 +305,7 @@
         if now >= self.drain.respond_by:
             for request in list(self.table.requests.values()):
                 self._finish(request, reject=True)
-        age = now - self.workers_started_at
+        age = now - self.pool_started_at
         self.scheduler.limiter.update(now, age, event.cpu_busy, self.held_count(), self.period)
         self._update_pressure(now)
         if now >= self.next_period_at:
--- a/saltcart/decision/run_scheduler.py
+++ b/saltcart/decision/run_scheduler.py
@@ -61,7 +61,7 @@
 
         Args:
             now: Current time.
-            age: Seconds since the workers started.
+            age: Seconds since the worker pool started.
             predecessor: Load that the predecessor process still has on the same cores and memory.
         """
         counts = self.table.counts
--- a/saltcart/locality/failover_plan.py
+++ b/saltcart/locality/failover_plan.py
@@ -32,8 +32,8 @@
 
     Attributes:
         made_at: Time of the last move, in Unix seconds.
-        rows: For each zone, thousandths of its requests by target zone.  What a row lacks to the whole is
-            rejected; a zone without a row keeps all of its requests.
+        rows: For each zone, thousandths of its requests by target zone.  If a row sums to less than
+            the whole, the rest is rejected; a zone without a row keeps all of its requests.
         trust: Trust that is less than full or was reduced recently.
     """
 
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -151,7 +151,7 @@
     # ---- messages to other instances ----------------------------------------------------------
 
     def tick(self, now: float, unix_time: float) -> None:
-        """Send what is due: the report to the zone's leader, or the leader's summary and plan.
+        """Send the messages that are due: the report to the zone's leader, or the leader's summary and plan.
 
         Args:
             now: Monotonic time in seconds.
--- a/saltcart/membership/anti_entropy.py
+++ b/saltcart/membership/anti_entropy.py
@@ -36,7 +36,7 @@
             context.call_after(0.0, self._join, 0)
 
     def _sync(self) -> None:
-        """Compare views with a present member, and try a dead member or an unknown seed."""
+        """Compare views with a present member, and contact a dead member or an unknown seed."""
         context = self.context
         context.call_after(context.jittered(context.settings.sync_every), self._sync)
         context.view.forget(context.now - context.settings.forget_after)
@@ -89,7 +89,7 @@
     # ---- received messages --------------------------------------------------------------------
 
     def on_view_digest(self, sender: MemberRecord, digest: int) -> None:
-        """Answer with the digests of the buckets if the sender's view differs."""
+        """Reply with the digests of the buckets if the sender's view differs."""
         view = self.context.view
         if digest != view.digest and not self._defers_comparison():
             self.outbox.send(sender.address, sender.name, BucketDigests(list(view.digests)))
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -8,7 +8,7 @@
   members probe indirectly, then the member becomes a suspect (``probing``).
 - Each datagram to a suspect carries the suspicion, and the suspect refutes it with a higher incarnation;
   otherwise it is declared dead (``suspicion_tracker``).
-- Updates are piggybacked on probes and their answers, those sent least often first, and are also gossiped in
+- Updates are piggybacked on probes and their acks, those sent least often first, and are also gossiped in
   datagrams of their own while there are any (``dissemination``).
 - Periodically two members compare their digests and exchange the records that differ (``anti_entropy``).
 """
@@ -148,7 +148,7 @@
             self._handle_message(sender, datagram.message)
 
     def leave(self, now: float) -> None:
-        """Report that this member leaves; it answers probes until its process ends."""
+        """Report that this member leaves; it acknowledges probes until its process ends."""
         self.context.now = now
         if self.context.is_leaving or self.is_superseded:
             return
--- a/saltcart/membership/suspicion.py
+++ b/saltcart/membership/suspicion.py
@@ -62,7 +62,7 @@
 class LocalHealth:
     """Score of a member's own health; while it is above 0, the member waits longer before it accuses others.
 
-    Failed probes, helpers that do not answer and the need to refute a suspicion raise the score; successful
+    Failed probes, helpers that do not respond and the need to refute a suspicion raise the score; successful
     probes lower it.
     """
 
--- a/saltcart/membership/suspicion_tracker.py
+++ b/saltcart/membership/suspicion_tracker.py
@@ -55,7 +55,7 @@
         if suspicion is None:
             return
         if not suspicion.own_probe_failed:
-            suspicion.own_probe_failed = True  # removes the extra time that a member without an own probe has
+            suspicion.own_probe_failed = True  # ends the extra time given until an own probe has failed
             self._set_timer(target.name, suspicion)
         self.confirm(report)
         if suspicion.ends_at() <= self.context.now:
@@ -64,7 +64,7 @@
             self._keep_probing(target.name, suspicion)
 
     def start(self, report: MemberRecord) -> None:
-        """Start a suspicion of a member that the view has as a new suspect."""
+        """Start a suspicion of a member that has just become a suspect in the view."""
         context = self.context
         settings = self.context.settings
         others = context.view.present_count - 2  # neither this member nor the suspect
--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -44,11 +44,11 @@
 
 
 class Announcer:
-    """Registration port: keeps this server's entry in the list alive, from the first state that is set.
+    """Registration port: keeps this server's entry in the endpoint list, from the first state that is set.
 
     Args:
         peer: The address of the announce service.
-        name: The name of this server in the list.
+        name: The name of this server in the endpoint list.
         log: Event log.
     """
 
--- a/saltcart/net/base.py
+++ b/saltcart/net/base.py
@@ -15,7 +15,7 @@
     """A connection with one receive buffer; subclasses implement ``opened``, ``received`` and ``closed``.
 
     Args:
-        limit: Most unread bytes that the buffer may hold.
+        limit: Maximum number of unread bytes in the buffer.
     """
 
     transport: asyncio.Transport | None = None
@@ -136,7 +136,7 @@
     def change_address(self, peer: str) -> None:
         """Reconnect to another address.
 
-        What the old connection had not delivered yet is requested again on the new one.
+        Data that the old connection had not delivered yet is requested again on the new one.
         """
         if parse_address(peer) == self.peer:
             return
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -58,7 +58,7 @@
         self.client, self.peer, self.parser = client, client.peer, wire.ReplyParser()
         self.call: IndexCall | None = None
         self.stall_timer: asyncio.TimerHandle | None = None
-        # The request whose call it carried last: a duplicate reply must not answer that request's next call.
+        # The request of the last call: a duplicate reply must not be taken for that to its next call.
         self.last_request_id = b""
         self.last_used_at = 0.0
 
@@ -106,7 +106,7 @@
         peer: The address of the proxy.
         events: Receives the ends of calls.
         log: Event log.
-        max_connections: Most connections, including those being established; further calls wait for one.
+        max_connections: Limit of connections, including those being established; further calls wait.
     """
 
     def __init__(self, peer: str, events: DependencyCallEvents, log: Log, max_connections: int = 64) -> None:
@@ -120,7 +120,7 @@
         self.connections = set[IndexConnection]()
         self.connect_tasks = set[asyncio.Task[None]]()
         self.idle: list[IndexConnection] = []  # connections, least recently used first
-        self.waiting_calls = deque[IndexCall]()  # wait for a connection within the bound
+        self.waiting_calls = deque[IndexCall]()  # until the limit of connections permits another
         self.sweeper = PeriodicTask(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     # ---- dependency calls port ----------------------------------------------------------------
--- a/saltcart/net/membership_driver.py
+++ b/saltcart/net/membership_driver.py
@@ -128,7 +128,7 @@
         self.flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Count a send error, such as a closed port; the failure detector needs no other notice of it."""
+        """Count a send error, such as a closed port; the failure detector relies on its probes."""
         self.unsent_count += 1
 
     def flush(self) -> None:
--- a/saltcart/net/pool.py
+++ b/saltcart/net/pool.py
@@ -10,12 +10,12 @@
 from saltcart.wire import pool as wire
 from saltcart.wire.errors import MalformedMessageError
 
-# A link on which nothing is received for the timeout, although the pool is polled, is dead: the peer has gone
-# without closing it.  An interval between two polls counts as at most MAX_COUNTED_INTERVAL_SECONDS, so that a
-# pause of the machine does not count as silence of the pool.
+# A connection on which nothing is received for the timeout, although the pool is polled, is dead: the peer
+# has gone without closing it.  An interval between two polls counts as at most MAX_COUNTED_INTERVAL_SECONDS,
+# so that a pause of the machine does not count as silence of the pool.
 SILENCE_TIMEOUT_SECONDS, MAX_COUNTED_INTERVAL_SECONDS = 2.0, 0.1
 AGE_TOLERANCE_SECONDS = 1.0  # a pool that is younger than expected by more than this was restarted
-# Before the next link is opened, the old one has this long to confirm the runs that were requested on it.
+# Before the next connection is opened, the old one has this long to confirm the runs requested on it.
 UNCERTAIN_RUNS_TIMEOUT_SECONDS = 0.3
 OUTCOMES = {
     b"PASS": Outcome.SUCCEEDED,
@@ -30,24 +30,24 @@
 
     def __init__(self) -> None:
         self.is_bound = False  # the pool was up once; before that it may be silent for any time
-        # ``previous_received_at``: the last time at which data arrived on a link before the current one.
+        # ``previous_received_at``: when data last arrived on a connection before the current one.
         self.pool_age = self.bound_at = self.received_at = self.previous_received_at = 0.0
         self.silent_seconds = self.polled_at = 0.0
 
     def record_connected(self) -> None:
-        """Record that a new link was connected."""
+        """Record that a new connection was established."""
         self.silent_seconds, self.previous_received_at = 0.0, self.received_at
 
     def record_received(self, now: float) -> None:
-        """Record that data arrived on the link."""
+        """Record that data arrived on the connection."""
         self.silent_seconds, self.received_at = 0.0, now
 
     def record_bound(self, now: float, age: float) -> bool:
-        """Record that the pool reported its age on a new link.
+        """Record that the pool reported its age on a new connection.
 
         Returns:
-            Whether the pool is another one than that of the previous link.  The same pool is at least as old
-            as the previous one was when data last arrived from it.
+            Whether the pool was restarted since the previous connection.  Otherwise it is at least as old as
+            it was when data last arrived on that connection.
         """
         is_restarted = (
             self.is_bound
@@ -71,7 +71,7 @@
     def opened(self) -> None:
         """Bind to the pool."""
         self.link.liveness.record_connected()
-        self.send(self.link.session.open_link())
+        self.send(self.link.session.open_connection())
 
     def received(self) -> None:
         """Handle the messages of the pool, or abort the connection after a malformed one."""
@@ -87,14 +87,14 @@
                     self.link.handle_message(message)
         except MalformedMessageError as error:
             self.link.log("pool-malformed", error=str(error))
-            self.link.session.close_link()
+            self.link.session.close_connection()
             self.abort()
         self.link.complete_address_change()
 
     def closed(self) -> None:
         """Record in the session that its connection is lost."""
         if self.is_current():
-            self.link.session.close_link()
+            self.link.session.close_connection()
 
 
 class PoolLink(Link):
@@ -124,7 +124,7 @@
         """
         if parse_address(peer) == self.peer and self.next_address is None:
             return
-        self.session.close_link()  # commands are queued until the new connection is bound
+        self.session.close_connection()  # commands are queued until the new connection is bound
         self.next_address = peer
         if self.address_change_timer is None:
             self.address_change_timer = asyncio.get_running_loop().call_later(
@@ -161,8 +161,8 @@
                 self.events.gauges_polled(gauges)
             case wire.Blocked(request_id, notice_number, body):
                 self.events.call_requested(request_id, notice_number, body)
-            case wire.Finished(request_id, ending, seconds, result):
-                self.events.run_finished(request_id, OUTCOMES.get(ending, Outcome.FAILED), seconds, result)
+            case wire.Finished(request_id, status, seconds, result):
+                self.events.run_finished(request_id, OUTCOMES.get(status, Outcome.FAILED), seconds, result)
             case wire.Bound(is_warm, age):
                 if self.liveness.record_bound(asyncio.get_running_loop().time(), age):
                     self.log("pool-restarted", age=age)
@@ -206,7 +206,7 @@
         self._send(self.session.resume(request_id))
 
     def supply_reply(self, request_id: bytes, reply: bytes) -> None:
-        """Pass the reply to its call to a waiting run."""
+        """Pass the dependency's reply to the run that waits for it."""
         self._send(self.session.supply_reply(request_id, reply))
 
     def skip_call(self, request_id: bytes, notice_number: int) -> None:
--- a/saltcart/net/signals.py
+++ b/saltcart/net/signals.py
@@ -13,7 +13,7 @@
     """Handle signals on the running event loop.
 
     The loop runs a handler only after the iteration in which the signal arrived, but the time to drain counts
-    from the signal itself.  So a plain signal handler notes the time.
+    from the signal itself.  So a plain signal handler records the time.
 
     Args:
         signal_numbers: The signals to handle.
--- a/saltcart/takeover.py
+++ b/saltcart/takeover.py
@@ -65,7 +65,7 @@
     async def take_over(self, link: HandoverLink, pool_is_up: asyncio.Event) -> None:
         """Take over from the predecessor as soon as this process can serve.
 
-        Returns once the predecessor has handed over, is gone, or has not answered in time.  In the last two
+        Returns once the predecessor has handed over, is gone, or has not responded in time.  In the last two
         cases, new keys fail for as long as they may have run in the predecessor.
         """
         self.link = link
--- a/saltcart/wire/pool.py
+++ b/saltcart/wire/pool.py
@@ -1,8 +1,8 @@
 """The worker pool's protocol: lines of words, some followed by a body of stated length.
 
-``PoolSession`` outlives the links (connections) that it runs over. It keeps the number of the last notice
-read, drops repeated notices, and resends commands that a lost link may have dropped, unless that could start
-a run a second time.
+``PoolSession`` outlives the connections that it uses. It keeps the number of the last notice read, drops
+repeated notices, and resends commands that a lost connection may have dropped, unless that could start a run
+a second time.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 
 class Bound(NamedTuple):
-    """The pool accepted the link and is ready."""
+    """The pool accepted the connection and is ready."""
 
-    is_loaded: bool  # False if the pool starts cold
+    is_warm: bool  # False if the pool starts cold
     age: float  # seconds since the pool started
 
 
@@ -71,7 +71,7 @@
     verb: bytes
     request_id: bytes
     notice_number: int  # of the call that the command is about, or 0
-    must_run_once: bool  # must not be sent twice: a lost link does not prove that it did not arrive
+    must_run_once: bool  # not sent twice: it may have arrived although the connection was lost
     is_sent: bool
     data: bytes
 
@@ -79,13 +79,13 @@
 class PoolSession:
     """The service's side of the protocol.
 
-    Methods that return bytes return what must be sent on the link. While the link is not ready they return
-    nothing, and the command is sent once the link is ready.
+    Methods that return bytes return data to send on the connection. While the connection is not ready they
+    return nothing, and the command is sent once it is ready.
     """
 
     def __init__(self) -> None:
         self.last_notice = 0  # number of the last notice that was read
-        self.is_ready = False  # the current link is bound and the notices that it replays have been read
+        self.is_ready = False  # the current connection is bound, and its replayed notices have been read
         self.last_poll = 0  # number of polls sent so far
         self.unconfirmed: deque[Command] = deque()
         # By request id, the number of the notice of the call that its run waits for.
@@ -95,14 +95,14 @@
 
     # ---- sending ------------------------------------------------------------------------------
 
-    def open_link(self) -> bytes:
-        """Start to use a new link."""
+    def open_connection(self) -> bytes:
+        """Start to use a new connection."""
         self.is_ready, self.replay_poll = False, 0
         self.reader.reset()
         return b"bind %d\r\n" % self.last_notice
 
-    def close_link(self) -> None:
-        """Stop sending on the link; commands wait for the next one."""
+    def close_connection(self) -> None:
+        """Stop sending on the connection; commands wait for the next one."""
         self.is_ready = False
 
     def reset(self) -> None:
@@ -123,7 +123,7 @@
         must_run_once: bool = False,
         notice_number: int = 0,
     ) -> bytes:
-        """Record a command as unconfirmed, and return it if the link is ready."""
+        """Record a command as unconfirmed, and return it if the connection is ready."""
         self.unconfirmed.append(
             Command(self.last_poll, verb, request_id, notice_number, must_run_once, self.is_ready, data)
         )
@@ -140,7 +140,7 @@
         """
         data = b"spawn %b %b %d\r\n%b\r\n" % (request_id, class_name, len(body), body)
         sent = self._command(b"spawn", request_id, data, must_run_once)
-        # The reply to the poll confirms the spawn; if the link is lost before it, the run is uncertain.
+        # The reply to the poll confirms the spawn; if the connection is lost first, the run is uncertain.
         return sent + self.poll() if must_run_once else sent
 
     def suspend(self, request_id: bytes) -> bytes:
@@ -152,12 +152,12 @@
         return self._command(b"proceed", request_id, b"proceed %b\r\n" % request_id)
 
     def supply_reply(self, request_id: bytes, reply: bytes) -> bytes:
-        """Pass the reply to its call to a waiting run."""
+        """Pass the dependency's reply to the run that waits for it."""
         data = b"supply %b %d\r\n%b\r\n" % (request_id, len(reply), reply)
         return self._command(b"supply", request_id, data, notice_number=self.call_notices.pop(request_id, 0))
 
     def skip_call(self, request_id: bytes, notice_number: int) -> bytes:
-        """Resume a run without the call that the notice of this number requested."""
+        """Resume a run without the call that the pool's notice of this number requested."""
         self.call_notices.pop(request_id, None)
         return self._command(
             b"pass",
@@ -174,7 +174,7 @@
         return b"poll %d\r\n" % self.last_poll
 
     def forget_run(self, request_id: bytes) -> None:
-        """Drop the commands for a run that ended, so that none of them is sent again on a new link."""
+        """Drop the commands for a run that ended, so that none of them is sent again on a new connection."""
         self.call_notices.pop(request_id, None)
         if any(c.request_id == request_id for c in self.unconfirmed):
             self.unconfirmed = deque(c for c in self.unconfirmed if c.request_id != request_id)
@@ -185,7 +185,7 @@
         """Yield the complete messages; a ``bytes`` item must be sent at once.
 
         Raises:
-            MalformedMessageError: The data is malformed; the link must be closed.
+            MalformedMessageError: The data is malformed; the connection must be closed.
         """
         while (found := self.reader.next(buffer)) is not None:
             yield from self._message(*found)
@@ -210,7 +210,7 @@
             if len(words) != (6 if verb == b"finished" else 4):
                 raise MalformedMessageError(f"{verb[:20]!r}: wrong number of fields")
             notice_number, request_id = parse_number(words, 1), words[2]
-            if notice_number <= self.last_notice:  # a new link also replays notices that were read already
+            if notice_number <= self.last_notice:  # a new connection also replays notices already read
                 return
             self.last_notice = notice_number
             if verb == b"blocked":
@@ -226,7 +226,7 @@
                     break
                 self.unconfirmed.popleft()
             if not self.is_ready and poll_number == self.replay_poll:
-                # By now all notices that the previous link missed have been read.
+                # By now all notices that the previous connection missed have been read.
                 self.is_ready = True
                 yield from self._resend_unconfirmed()
             yield Polled(tuple(self._parse_float(words, index) for index in range(2, len(words))))
@@ -248,7 +248,7 @@
             raise MalformedMessageError(f"{verb[:20]!r}: unknown message")
 
     def _resend_unconfirmed(self) -> Iterator[Message | bytes]:
-        """Resend the commands that the previous link may have dropped.
+        """Resend the commands that the previous connection may have dropped.
 
         A run that must not start twice is reported as uncertain instead, if its start was sent.
         """
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -217,7 +217,7 @@
     harness.service.pool_started(True, 2.0)
     assert harness.service.is_healthy and harness.service.controller is not None
     assert harness.service.controller.settings.starts_cold
-    assert harness.service.controller.workers_started_at == harness.now - 2.0
+    assert harness.service.controller.pool_started_at == harness.now - 2.0
 
 
 def test_accounts_are_counted_together_without_configured_tenants() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -237,17 +237,17 @@
         buffer.write(data)
         return list(session.messages(buffer))
 
-    assert session.open_link() == b"bind 0\r\n"
+    assert session.open_connection() == b"bind 0\r\n"
     receive(b"bound EMPTY 0\r\npolled 1\r\n")
     assert session.spawn(b"a", b"c", b"x", False) and session.poll() == b"poll 2\r\n"
     receive(b"polled 2\r\nblocked 1 a 0\r\n\r\n")  # confirms the spawn of run a
     session.supply_reply(b"a", b"r")
     sent = [session.spawn(b"b", b"c", b"x", False), session.spawn(b"k", b"c", b"x", True)]
     assert all(sent)
-    session.close_link()
+    session.close_connection()
     assert session.spawn(b"l", b"c", b"x", True) == b""  # not sent on the lost link, so it may be sent later
     assert sent[1].endswith(b"poll 3\r\n")  # a poll follows at once, to confirm the spawn
-    assert session.open_link() == b"bind 1\r\n"
+    assert session.open_connection() == b"bind 1\r\n"
     assert receive(b"bound EMPTY 9\r\n") == [pool.Bound(False, 0.009), b"poll 4\r\n"]
     # Run a waits at its second call by now, which must not be given the reply to the first.
     results = receive(b"blocked 2 a 0\r\n\r\npolled 4\r\n")
