--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -16,7 +16,7 @@
 from saltcart.composition.quantile_sketch import QuantileSketch
 from saltcart.composition.timeout_policy import TimeoutPolicy
 from saltcart.decision.outcome import Outcome
-from saltcart.lab import offices
+from saltcart.lab import composition_scenarios
 from saltcart.lab.budgets import FULL, QUICK, Play
 
 VARIANTS = ("whole", "no price", "survivors", "no breaker", "no second", "gradient")
@@ -79,7 +79,7 @@
 
 def play(job: tuple[int, str, float, int]) -> float:
     number, variant, seconds, seed = job
-    day = offices.days(seconds)[number]
+    day = composition_scenarios.days(seconds)[number]
     if variant == "oracle":
         return Play(day, variant, seconds, seed).run().earned
     game = Play(day, "budgets", seconds, seed)
@@ -89,7 +89,7 @@
 
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
     seconds = QUICK if quick else FULL
-    names, columns = [day.name for day in offices.days(seconds)], ("oracle", *VARIANTS)
+    names, columns = [day.name for day in composition_scenarios.days(seconds)], ("oracle", *VARIANTS)
     jobs = [(n, variant, seconds, seed) for n in range(len(names)) for variant in columns]
     with ProcessPoolExecutor() as pool:
         earned = dict(zip([(names[j[0]], j[1]) for j in jobs], pool.map(play, jobs)))
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -42,10 +42,10 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect, Settings
 from saltcart.field_reader import FieldReader
-from saltcart.lab import offices
+from saltcart.lab import composition_scenarios
+from saltcart.lab.composition_scenarios import Day
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.events import Events, Ticks, host
-from saltcart.lab.offices import Day
 from saltcart.platform_settings import read_settings
 
 RATE = 60.0  # requests a second
@@ -228,11 +228,13 @@
         self.day, self.seconds, self.tally = day, seconds, CompositionFigures()
         rng = np.random.default_rng([seed, 7])
         count = int(seconds * rate)
-        self.settings: Settings = read_settings(FieldReader(offices.SETTINGS, "settings"))
+        self.settings: Settings = read_settings(FieldReader(composition_scenarios.SETTINGS, "settings"))
         if policy == "oracle":
             self.settings = replace(self.settings, cores=SLOTS)
         self.arrivals = np.sort(rng.random(count) * seconds).tolist()
-        self.kinds = rng.choice(len(offices.CLASSES), count, p=offices.MIX).tolist()
+        self.kinds = rng.choice(
+            len(composition_scenarios.CLASSES), count, p=composition_scenarios.MIX
+        ).tolist()
         self.ranks, self.leaves = rng.random(count).tolist(), rng.random((count, 2)).tolist()
         self.events = events = Events()
         self.origin = events.now
@@ -247,7 +249,7 @@
         plans = office_plans(self.settings)
         self.places = {
             name: ModelDependency(name, *place, count, seed, events.now)
-            for name, place in offices.PLACES.items()
+            for name, place in composition_scenarios.PLACES.items()
         }
         for name, trouble in day.troubles.items():
             self.places[name].troubles.append(trouble)
@@ -335,7 +337,7 @@
 
 
 def office_plans(settings: Settings, addresses: dict[str, str] | None = None) -> CompositionSpec:
-    raw = offices.tables(addresses)
+    raw = composition_scenarios.tables(addresses)
     plans = read_plans({k: raw[k] for k in ("dependency", "plan")}, [u["name"] for u in raw["upstream"]])
     check_classes(plans, settings.classes)
     return plans
@@ -343,7 +345,7 @@
 
 def play(job: tuple[int, str, float, int]) -> CompositionFigures:
     number, policy, seconds, seed = job
-    return Play(offices.days(seconds)[number], policy, seconds, seed).run()
+    return Play(composition_scenarios.days(seconds)[number], policy, seconds, seed).run()
 
 
 def run(
@@ -351,7 +353,7 @@
 ) -> tuple[list[list[str]], dict[str, Any], dict[str, dict[str, CompositionFigures]]]:
     """The table, the figures and all that was seen, by day and policy."""
     seconds = QUICK if quick else FULL
-    names = [day.name for day in offices.days(seconds)]
+    names = [day.name for day in composition_scenarios.days(seconds)]
     jobs = [(n, policy, seconds, seed) for n in range(len(names)) for policy in POLICIES]
     with ProcessPoolExecutor() as pool:
         tallies = dict(zip([(names[j[0]], j[1]) for j in jobs], pool.map(play, jobs)))
@@ -410,11 +412,11 @@
 
     The processor time is that of the whole loop, so it is the desk's and a little more.
     """
-    settings = read_settings(FieldReader(offices.SETTINGS, "settings"))
+    settings = read_settings(FieldReader(composition_scenarios.SETTINGS, "settings"))
     desk, rng = CompositionEngine(office_plans(settings), seed, settings.classes), random.Random(seed)
     replies, number, sent = list[tuple[float, int, bytes]](), itertools.count(), 0
     peaks, begun, now = list[int](), time.process_time(), 1_000.0
-    kinds = rng.choices(offices.CLASSES, offices.MIX, k=1000)
+    kinds = rng.choices(composition_scenarios.CLASSES, composition_scenarios.MIX, k=1000)
     orders: list[CompositionAction] = []
     for n in range(runs):
         now += 1 / RATE
@@ -426,7 +428,7 @@
         for order in orders:
             if isinstance(order, SendCall):
                 sent += 1
-                took = offices.PLACES[order.dependency].median * (0.5 + rng.random())
+                took = composition_scenarios.PLACES[order.dependency].median * (0.5 + rng.random())
                 heapq.heappush(replies, (now + took, next(number), order.id))
         orders = []
         if n % (runs // 4) == runs // 4 - 1:
--- a/saltcart/lab/sockets.py
+++ b/saltcart/lab/sockets.py
@@ -10,7 +10,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from saltcart.lab import offices
+from saltcart.lab import composition_scenarios
 from saltcart.lab.budgets import Play
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.faults import programs
@@ -28,24 +28,26 @@
 
 async def play(seed: int) -> dict[str, float]:
     """Shares of the offered worth that were earned: on sockets and in the model."""
-    day = offices.days(SECONDS)[SLOW]
+    day = composition_scenarios.days(SECONDS)[SLOW]
     model = Play(day, "budgets", SECONDS, seed, SOCKET_RATE)
     loop = asyncio.get_running_loop()
     origin = loop.time() + 3600  # set at the start; scripts are asked from then on alone
     places = {
         name: ModelDependency(name, *place, len(model.arrivals), seed, origin)
-        for name, place in offices.PLACES.items()
+        for name, place in composition_scenarios.PLACES.items()
     }
     for name, trouble in day.troubles.items():
         places[name].troubles.append(trouble)
     stand_ins: dict[str, StandIn] = {
-        name: (IndexStandIn if name in offices.INDEX else AjpStandIn)(Model(place, loop.time))
+        name: (IndexStandIn if name in composition_scenarios.INDEX else AjpStandIn)(Model(place, loop.time))
         for name, place in places.items()
     }
 
     def make(number: int, folder: Path) -> Program:
-        config = {"listen": "127.0.0.1:0", "seed": f"{seed:x}", "settings": offices.SETTINGS}
-        return Program("lab", folder, config, offices.tables({n: s.address for n, s in stand_ins.items()}))
+        config = {"listen": "127.0.0.1:0", "seed": f"{seed:x}", "settings": composition_scenarios.SETTINGS}
+        return Program(
+            "lab", folder, config, composition_scenarios.tables({n: s.address for n, s in stand_ins.items()})
+        )
 
     async with AsyncExitStack() as stack:
         for stand_in in stand_ins.values():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,17 +10,17 @@
 
 from saltcart.cli import cli
 from saltcart.decision.outcome import Outcome
-from saltcart.lab import offices, report, sketches
+from saltcart.lab import composition_scenarios, report, sketches
 from saltcart.lab.budgets import CompositionFigures, Play, deciding_cost
 from saltcart.lab.dependency import ModelDependency, Trouble
 from saltcart.lab.events import Events, Ticks
 
 SECONDS = 12.0
-DAYS = [day.name for day in offices.days(SECONDS)]
+DAYS = [day.name for day in composition_scenarios.days(SECONDS)]
 
 
 def play(day: str, policy: str, seed: int = 1, presses: bool | None = None) -> CompositionFigures:
-    game = Play(offices.days(SECONDS)[DAYS.index(day)], policy, SECONDS, seed)
+    game = Play(composition_scenarios.days(SECONDS)[DAYS.index(day)], policy, SECONDS, seed)
     if presses is not None:
         game.runs.presses = presses
     return game.run()
