--- a/examples/dependencies.py
+++ b/examples/dependencies.py
@@ -14,22 +14,22 @@
 import itertools
 import sys
 
-from saltcart.lab.standins import Act, AjpStandIn, Asked, IndexStandIn, StandIn
+from saltcart.lab.standins import AjpStandIn, IndexStandIn, ReceivedCall, ScriptedReply, StandIn
 
 COUNT = itertools.count(1)
 
 
-def tariff(asked: Asked) -> Act:
-    return Act(after=0.03, body=b'{"rate":0.045}')
+def tariff(call: ReceivedCall) -> ScriptedReply:
+    return ScriptedReply(delay=0.03, body=b'{"rate":0.045}')
 
 
-def archive(asked: Asked) -> Act:
-    return Act(after=30.0 if next(COUNT) % 3 == 0 else 0.05, body=b'{"entries":2}')
+def archive(call: ReceivedCall) -> ScriptedReply:
+    return ScriptedReply(delay=30.0 if next(COUNT) % 3 == 0 else 0.05, body=b'{"entries":2}')
 
 
-def ledger(asked: Asked) -> Act:
-    print("entered", asked.body.decode(), flush=True)
-    return Act(after=0.05, body=b'{"number":"LJ-1"}')
+def ledger(call: ReceivedCall) -> ScriptedReply:
+    print("entered", call.body.decode(), flush=True)
+    return ScriptedReply(delay=0.05, body=b'{"number":"LJ-1"}')
 
 
 async def main(port: int) -> None:
--- a/saltcart/cli.py
+++ b/saltcart/cli.py
@@ -88,8 +88,8 @@
 ) -> None:
     """Run the experiment NAME; its last line is one JSON object."""
     from saltcart.lab import report
-    from saltcart.lab.experiments import EXPERIMENTS, Choice
+    from saltcart.lab.experiments import EXPERIMENTS, ExperimentOptions
 
     if name not in EXPERIMENTS:
         raise click.UsageError(f"no such experiment: {name}; there are {', '.join(EXPERIMENTS)}")
-    click.echo(report.figures(EXPERIMENTS[name](Choice(quick, seed, sockets, plot, nodes))))
+    click.echo(report.figures(EXPERIMENTS[name](ExperimentOptions(quick, seed, sockets, plot, nodes))))
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -45,7 +45,7 @@
 from saltcart.lab import composition_scenarios
 from saltcart.lab.composition_scenarios import Day
 from saltcart.lab.dependency import ModelDependency
-from saltcart.lab.events import Events, Ticks, host
+from saltcart.lab.events import DueTimer, EventQueue, start_service_timer
 from saltcart.platform_settings import read_settings
 
 RATE = 60.0  # requests a second
@@ -158,7 +158,7 @@
 
     def __init__(
         self,
-        events: Events,
+        events: EventQueue,
         service: Service,
         desk: CompositionEngine,
         places: dict[str, ModelDependency],
@@ -166,7 +166,7 @@
     ) -> None:
         self.events, self.service, self.desk, self.places, self.tally = events, service, desk, places, tally
         self.presses, self.orders = True, ActionQueue(self._carry_out)
-        self.ticks = Ticks(events, desk.next_timer_at, lambda: self.do(desk.tick, events.now))
+        self.ticks = DueTimer(events, desk.next_timer_at, lambda: self.do(desk.tick, events.now))
 
     def do(self, call: Callable[..., list[CompositionAction]], *args: Any) -> None:
         self.orders(call(*args))
@@ -236,7 +236,7 @@
             len(composition_scenarios.CLASSES), count, p=composition_scenarios.MIX
         ).tolist()
         self.ranks, self.leaves = rng.random(count).tolist(), rng.random((count, 2)).tolist()
-        self.events = events = Events()
+        self.events = events = EventQueue()
         self.origin = events.now
         self.service = Service(
             self.settings,
@@ -264,7 +264,7 @@
     def run(self) -> CompositionFigures:
         begun, events, tally = time.perf_counter(), self.events, self.tally
         self.service.pool_started(False, 100.0)
-        host(events, self.service)
+        start_service_timer(events, self.service)
         stop = self.seconds / 2 if self.day.drain else float("inf")
         for n, at in enumerate(self.arrivals):
             if at < stop:
--- a/saltcart/lab/clocks.py
+++ b/saltcart/lab/clocks.py
@@ -6,13 +6,13 @@
 from collections.abc import Generator
 from typing import Any
 
-from saltcart.lab.events import Events
+from saltcart.lab.events import EventQueue
 
 CHAINS = 100  # at once, each of events a little apart
 
 
 def own(count: int) -> float:
-    events, left = Events(0.0), [count]
+    events, left = EventQueue(0.0), [count]
 
     def step(apart: float) -> None:
         left[0] -= 1
--- a/saltcart/lab/events.py
+++ b/saltcart/lab/events.py
@@ -10,7 +10,7 @@
 from saltcart.core.service import Service
 
 
-class Events:
+class EventQueue:
     """Simulated time in seconds; what is due at one moment runs in the order in which it was asked for."""
 
     def __init__(self, start: float = 1_000.0) -> None:
@@ -32,10 +32,10 @@
         self.now = until
 
 
-class Ticks:
+class DueTimer:
     """Rings something that says when it is next due, as the event loop's timer does in the service."""
 
-    def __init__(self, events: Events, due: Callable[[], float | None], ring: Callable[[], None]) -> None:
+    def __init__(self, events: EventQueue, due: Callable[[], float | None], ring: Callable[[], None]) -> None:
         self.events, self.due, self.ring = events, due, ring
         self.armed = float("inf")
 
@@ -54,9 +54,9 @@
         self.arm()
 
 
-def host(events: Events, service: Service) -> Ticks:
+def start_service_timer(events: EventQueue, service: Service) -> DueTimer:
     """The core's timers by the model's clock."""
-    ticks = Ticks(events, service.next_due, service.tick)
+    ticks = DueTimer(events, service.next_due, service.tick)
     service.timers.on_earlier_due = ticks.arm
     ticks.arm()
     return ticks
--- a/saltcart/lab/experiments.py
+++ b/saltcart/lab/experiments.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Choice:
+class ExperimentOptions:
     """How an experiment is to be run."""
 
     quick: bool = False
@@ -28,7 +28,7 @@
     return figures
 
 
-def budgets(choice: Choice) -> dict[str, Any]:
+def budgets(choice: ExperimentOptions) -> dict[str, Any]:
     """Nine days of failing dependencies, against fixed time-outs, none, and an oracle."""
     from saltcart.lab import budgets as experiment
     from saltcart.lab import sockets
@@ -54,7 +54,7 @@
     return figures
 
 
-def storm(choice: Choice) -> dict[str, Any]:
+def storm(choice: ExperimentOptions) -> dict[str, Any]:
     """A room of a third of the nodes goes and comes back cold, while clients repeat without limit."""
     from saltcart.lab import storm as experiment
     from saltcart.lab import storm_sockets
@@ -69,7 +69,7 @@
     return figures
 
 
-def members(choice: Choice) -> dict[str, Any]:
+def members(choice: ExperimentOptions) -> dict[str, Any]:
     """Real processes that keep a view of each other while they are killed, paused and cut off."""
     from saltcart.lab import membership
 
@@ -79,7 +79,7 @@
     return told(rows, figures)
 
 
-def zones(choice: Choice) -> dict[str, Any]:
+def zones(choice: ExperimentOptions) -> dict[str, Any]:
     """Zones that fall, slow down, are cut off and flap, in a model of thousands and with real processes."""
     from saltcart.lab import nearness
 
@@ -89,49 +89,49 @@
     return told(rows, figures)
 
 
-def subsets(choice: Choice) -> dict[str, Any]:
+def subsets(choice: ExperimentOptions) -> dict[str, Any]:
     """Who connects to whom, as hundreds of instances and upstreams come and go; shared limits; turns."""
     from saltcart.lab import subsets as experiment
 
     return told(*experiment.run(choice.quick, choice.seed))
 
 
-def views(choice: Choice) -> dict[str, Any]:
+def views(choice: ExperimentOptions) -> dict[str, Any]:
     """Membership's data structures beside plain ones: bytes and time."""
     from saltcart.lab import views as experiment
 
     return told(*experiment.run(choice.quick, choice.seed))
 
 
-def sketch(choice: Choice) -> dict[str, Any]:
+def sketch(choice: ExperimentOptions) -> dict[str, Any]:
     """The quantile sketch beside a plain sorted window: bytes, error, time."""
     from saltcart.lab import sketches
 
     return told(*sketches.run(choice.quick, choice.seed))
 
 
-def ablations(choice: Choice) -> dict[str, Any]:
+def ablations(choice: ExperimentOptions) -> dict[str, Any]:
     """The budgets with one part taken out, or put another way, on the same nine days."""
     from saltcart.lab import ablations as experiment
 
     return told(*experiment.run(choice.quick, choice.seed))
 
 
-def filters(choice: Choice) -> dict[str, Any]:
+def filters(choice: ExperimentOptions) -> dict[str, Any]:
     """The filter of refused work beside a plain dict: bytes, error, time."""
     from saltcart.lab import filters as experiment
 
     return told(*experiment.run(choice.quick, choice.seed))
 
 
-def clock(choice: Choice) -> dict[str, Any]:
+def clock(choice: ExperimentOptions) -> dict[str, Any]:
     """The model's event clock beside simpy's: events a second."""
     from saltcart.lab import clocks
 
     return told(*clocks.run(choice.quick))
 
 
-EXPERIMENTS: dict[str, Callable[[Choice], dict[str, Any]]] = {
+EXPERIMENTS: dict[str, Callable[[ExperimentOptions], dict[str, Any]]] = {
     "budgets": budgets,
     "storm": storm,
     "members": members,
--- a/saltcart/lab/faults/subsets.py
+++ b/saltcart/lab/faults/subsets.py
@@ -19,7 +19,7 @@
 from saltcart.lab.faults.links import Links, Relay, Rule
 from saltcart.lab.faults.members import CLASSES, LOOK
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
-from saltcart.lab.standins import Act, AjpStandIn, Asked
+from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
 
 INSTANCES, MEMBERS, FIRST, GROUPS = 12, 8, 10, 2
 CAPACITY = 12.0  # requests a second of one member, as the deployment says
@@ -50,9 +50,9 @@
         self.stand_ins: list[AjpStandIn] = []
         self.programs: list[Program] = []
 
-    def script(self, asked: Asked) -> Act:
+    def script(self, asked: ReceivedCall) -> ScriptedReply:
         self.came[int(time.time())] += 1
-        return Act("ok", 0.01)
+        return ScriptedReply("ok", 0.01)
 
     def make(self, number: int, folder: Path) -> Program:
         members = [{"host": s.address, "capacity": CAPACITY} for s in self.stand_ins]
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -19,7 +19,7 @@
 from saltcart.lab.faults.links import Links, Relay, Rule
 from saltcart.lab.faults.members import CLASSES, LOOK
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
-from saltcart.lab.standins import Act, AjpStandIn, Asked
+from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
 from saltcart.lab.zones import agreement
 
 MEMBERS = 3  # of a zone
@@ -105,15 +105,15 @@
     def script(self, process: int, member: int) -> Any:
         site = self.sites[member]
 
-        def act(asked: Asked) -> Act:
+        def act(asked: ReceivedCall) -> ScriptedReply:
             if (process, member) in self.cut:
-                return Act("silent")
+                return ScriptedReply("silent")
             now = time.time()
             site.came[int(now - self.begun)] += 1
             begin = max(now, site.free_at)
             site.free_at = begin + site.slow / CAPACITY
             site.did[process] += 1
-            return Act("ok", begin - now + TOOK * site.slow, b"%d" % site.zone)
+            return ScriptedReply("ok", begin - now + TOOK * site.slow, b"%d" % site.zone)
 
         return act
 
--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from saltcart.lab.events import Events, Ticks
+from saltcart.lab.events import DueTimer, EventQueue
 from saltcart.membership.member import Member
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.messages import Datagram
@@ -55,7 +55,7 @@
     """Members of one kind or the other, and what happens between them."""
 
     def __init__(self, day: Day, seed: int) -> None:
-        self.day, self.events, self.luck = day, Events(1_000.0), random.Random(seed)
+        self.day, self.events, self.luck = day, EventQueue(1_000.0), random.Random(seed)
         self.begun = self.events.now
         self.up = [True] * day.members
         self.packets, self.before_crash = 0, 0
@@ -134,14 +134,14 @@
         self.place = {f"h:{n}": n for n in range(day.members)}
         roster = MembershipSnapshot(MemberRecord(f"m{n}", f"h:{n}", 1) for n in range(day.members))
         self.members: list[Member] = []
-        self.ticks: list[Ticks] = []
+        self.ticks: list[DueTimer] = []
         for n in range(day.members):
             made = Member(
                 conf, f"m{n}", f"h:{n}", random.Random(self.luck.random()), self.events.now, 1, roster
             )
             made.on_changed = lambda change, n=n: self._changed(n, change)  # type: ignore[misc]
             self.members.append(made)
-            ticks = Ticks(self.events, made.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
+            ticks = DueTimer(self.events, made.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
             made.context.timers.on_earlier_due = ticks.arm
             self.ticks.append(ticks)
             ticks.arm()
--- a/saltcart/lab/sockets.py
+++ b/saltcart/lab/sockets.py
@@ -15,7 +15,7 @@
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.faults import programs
 from saltcart.lab.faults.programs import Program, call, fleet
-from saltcart.lab.standins import AjpStandIn, IndexStandIn, Model, StandIn
+from saltcart.lab.standins import AjpStandIn, IndexStandIn, ModelScript, StandIn
 
 SECONDS, SOCKET_RATE = 16.0, 40.0
 SLOW = 1  # the number of the ninefold day
@@ -39,7 +39,9 @@
     for name, trouble in day.troubles.items():
         places[name].troubles.append(trouble)
     stand_ins: dict[str, StandIn] = {
-        name: (IndexStandIn if name in composition_scenarios.INDEX else AjpStandIn)(Model(place, loop.time))
+        name: (IndexStandIn if name in composition_scenarios.INDEX else AjpStandIn)(
+            ModelScript(place, loop.time)
+        )
         for name, place in places.items()
     }
 
--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -1,7 +1,7 @@
 """Scripted dependencies on loopback, over AJP and the index's lines: shared by the tests and the experiments.
 
-A script is asked about each call and says what becomes of it; the stand-in keeps to the wire.  ``Model``
-scripts a stand-in with a dependency of the model, so that the sockets' day has the model's own draws.
+A script decides how each call ends; the stand-in implements the protocol.  ``ModelScript`` uses a dependency
+of the model as the script, so that an experiment on sockets has the same random draws as the model.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 from saltcart.wire.lines import LineReader, number
 
 
-class Asked(NamedTuple):
-    """One call as it came; ``within``: milliseconds that its sender waits."""
+class ReceivedCall(NamedTuple):
+    """One call as it came; ``timeout_ms``: milliseconds that its sender waits."""
 
-    ident: bytes
-    account: bytes
+    call_id: bytes
+    tenant: bytes
     body: bytes
-    within: int
+    timeout_ms: int
 
 
-class Act(NamedTuple):
+class ScriptedReply(NamedTuple):
     """What becomes of a call, ``after`` seconds: ok, error, refuse, drop, or silent."""
 
     kind: str = "ok"
-    after: float = 0.0
+    delay: float = 0.0
     body: bytes = b'{"ok":1}'
 
 
-Script = Callable[[Asked], Act]
+Script = Callable[[ReceivedCall], ScriptedReply]
 
 
 class StandIn:
     """A listening dependency; remembers all that it was asked, and what was given up."""
 
     def __init__(self, script: Script) -> None:
-        self.script, self.asked, self.given_up = script, list[Asked](), list[bytes]()
+        self.script, self.received_calls, self.cancelled_calls = script, list[ReceivedCall](), list[bytes]()
         self.connections = set[StandInConnection]()
-        self.replied = 0  # replies that were due, whether or not anybody still heard them
+        self.reply_count = 0  # replies that were due, whether or not anybody still heard them
         self.address, self.port = "", 0
 
     async def __aenter__(self) -> Self:
@@ -76,20 +76,20 @@
     def closed(self) -> None:
         self.owner.connections.discard(self)
 
-    def take(self, asked: Asked) -> None:
-        self.owner.asked.append(asked)
+    def take(self, asked: ReceivedCall) -> None:
+        self.owner.received_calls.append(asked)
         act = self.owner.script(asked)
         if act.kind != "silent":
-            asyncio.get_running_loop().call_later(act.after, self._act, asked, act)
+            asyncio.get_running_loop().call_later(act.delay, self._act, asked, act)
 
-    def _act(self, asked: Asked, act: Act) -> None:
-        self.owner.replied += 1
+    def _act(self, asked: ReceivedCall, act: ScriptedReply) -> None:
+        self.owner.reply_count += 1
         if act.kind == "drop":
             self.abort()
         else:
             self.send(self.answer(asked, act))
 
-    def answer(self, asked: Asked, act: Act) -> bytes:
+    def answer(self, asked: ReceivedCall, act: ScriptedReply) -> bytes:
         raise NotImplementedError
 
 
@@ -116,7 +116,7 @@
                     case ajp.ForwardRequest():
                         named = message.headers
                         self.take(
-                            Asked(
+                            ReceivedCall(
                                 named[b"request-id"],
                                 named.get(b"account", b""),
                                 message.body,
@@ -126,7 +126,7 @@
         except MalformedMessageError:
             self.abort()
 
-    def answer(self, asked: Asked, act: Act) -> bytes:
+    def answer(self, asked: ReceivedCall, act: ScriptedReply) -> bytes:
         return ajp.response(self.STATUS[act.kind], b"R", [], act.body if act.kind == "ok" else b"", True)
 
 
@@ -147,33 +147,33 @@
             while (found := self.reader.next(self.buffer)) is not None:
                 words, body = found
                 if words[0] == b"GET":
-                    self.take(Asked(words[1], b"", body, number(words, 2)))
+                    self.take(ReceivedCall(words[1], b"", body, number(words, 2)))
                 else:
-                    self.owner.given_up.append(words[1])
+                    self.owner.cancelled_calls.append(words[1])
         except MalformedMessageError:
             self.abort()
 
-    def answer(self, asked: Asked, act: Act) -> bytes:
+    def answer(self, asked: ReceivedCall, act: ScriptedReply) -> bytes:
         if act.kind == "ok":
-            return b"%b HIT %d\r\n%b\r\n" % (asked.ident, len(act.body), act.body)
-        return b"%b %b\r\n" % (asked.ident, self.ENDS[act.kind])
+            return b"%b HIT %d\r\n%b\r\n" % (asked.call_id, len(act.body), act.body)
+        return b"%b %b\r\n" % (asked.call_id, self.ENDS[act.kind])
 
 
-class Model:
+class ModelScript:
     """A script out of the model: the same draws and troubles, by the clock that is given."""
 
     def __init__(self, place: ModelDependency, clock: Callable[[], float]) -> None:
         self.place, self.clock = place, clock
 
-    def __call__(self, asked: Asked) -> Act:
+    def __call__(self, asked: ReceivedCall) -> ScriptedReply:
         sent = orjson.loads(asked.body)
         request = sent["n"] if "n" in sent else sent["request"]["n"]
-        acts, now = [Act("silent")], self.clock()
+        acts, now = [ScriptedReply("silent")], self.clock()
         self.place.call(
             now,
             request,
             lambda when, outcome: acts.append(
-                Act("ok" if outcome is Outcome.SUCCEEDED else "error", when - now)
+                ScriptedReply("ok" if outcome is Outcome.SUCCEEDED else "error", when - now)
             ),
         )
         return acts[-1]
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -28,7 +28,7 @@
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec, Effect, LoadSignal, Preemption, Settings, TenantSpec
-from saltcart.lab.events import Events, host
+from saltcart.lab.events import EventQueue, start_service_timer
 from saltcart.retry_storm.capacity import WarmUpCurve
 from saltcart.retry_storm.controller import RetryStormController
 from saltcart.retry_storm.settings import StormSettings
@@ -163,7 +163,7 @@
                 events.now - (0.0 if cold else 100.0),
             )
             service.ports.storm_control = self.damper
-        host(events, service)
+        start_service_timer(events, service)
 
     def _turned_away(self, service: Service, action: Reject, decide: Callable[..., None]) -> None:
         """Whatever the module gives up is looked at again a tenth of a second later: it must be answered."""
@@ -335,7 +335,7 @@
     """The nodes and the clients of one day under one policy."""
 
     def __init__(self, day: Day, policy: str, seed: int) -> None:
-        self.day, self.policy, self.seed, self.events = day, policy, seed, Events(0.0)
+        self.day, self.policy, self.seed, self.events = day, policy, seed, EventQueue(0.0)
         rng = np.random.default_rng([seed, day.nodes])
         rate = PER_NODE * day.nodes
         self.tenants: tuple[TenantSpec, ...] = ()
--- a/saltcart/lab/storm_sockets.py
+++ b/saltcart/lab/storm_sockets.py
@@ -22,7 +22,7 @@
 
 from saltcart.decision.settings import Effect
 from saltcart.lab.faults.programs import Program, call, fleet, request, settings, start_all
-from saltcart.lab.standins import Act, AjpStandIn, Asked
+from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
 from saltcart.lab.storm import CLASSES, HURRY, KEYED, recovered
 
 NODES, CORES, WORK, LOAD = 4, 2, 0.08, 0.65
@@ -50,7 +50,7 @@
         self.life += 1
         self.born, self.cores = time.time() - (0.0 if cold else COLD_SPAN), [0.0] * CORES
 
-    def __call__(self, asked: Asked) -> Act:
+    def __call__(self, asked: ReceivedCall) -> ScriptedReply:
         number, now = int(orjson.loads(asked.body)["n"]), time.time()
         key = self.life, number
         window = CLASSES[1].key_window
@@ -61,7 +61,7 @@
         begin = max(now, self.cores[0])
         took = self.works[abs(number)] / speed
         heapq.heapreplace(self.cores, begin + took)
-        return Act("ok", begin + took - now)
+        return ScriptedReply("ok", begin + took - now)
 
 
 @dataclass
--- a/tests/test_composed_responses.py
+++ b/tests/test_composed_responses.py
@@ -18,15 +18,15 @@
 from saltcart.app import App
 from saltcart.config import ConfigError
 from saltcart.deployment import read
-from saltcart.lab.standins import Act, AjpStandIn, Asked, IndexStandIn, Script, StandIn
+from saltcart.lab.standins import AjpStandIn, IndexStandIn, ReceivedCall, Script, ScriptedReply, StandIn
 from tests.standins import AjpClient, HttpClient, raw_config, running, until
 
 ROOT = Path(__file__).resolve().parent.parent
 TOKEN = "sixteen-characters-of-it"
 
 
-def ok(asked: Asked) -> Act:
-    return Act()
+def ok(call: ReceivedCall) -> ScriptedReply:
+    return ScriptedReply()
 
 
 class Site:
@@ -120,8 +120,10 @@
 
 def test_both_fronts_send_the_composed_response_and_name_skipped_dependencies() -> None:
     async def test() -> None:
-        silent = Act("silent")
-        async with site(archive=lambda asked: silent if asked.body.startswith(b"partial") else Act()) as s:
+        silent = ScriptedReply("silent")
+        async with site(
+            archive=lambda call: silent if call.body.startswith(b"partial") else ScriptedReply()
+        ) as s:
             clients = [
                 await HttpClient(s.app.addresses["http"]).open(),
                 await AjpClient(s.app.addresses["ajp"]).open(),
@@ -136,7 +138,9 @@
             for answer in answers:
                 assert answer.status == 200 and answer.headers[b"left-out"] == b"archive"
                 assert orjson.loads(answer.body) == {"tariff": {"ok": 1}, "archive": None}
-            await until(lambda: len(s.archive.given_up) == 2)  # the calls without a reply are cancelled
+            await until(
+                lambda: len(s.archive.cancelled_calls) == 2
+            )  # the calls without a reply are cancelled
             figures = await vars_of(s.app)
             assert "balancer.fulfilled.read:4|c" in figures and "balancer.partial.read:2|c" in figures
             assert "balancer.dependency.archive.used:0|g" in figures
@@ -162,7 +166,7 @@
 
 def test_a_partial_response_keeps_a_timeout_shorter_than_the_objective() -> None:
     async def test() -> None:
-        async with site(archive=lambda asked: Act("silent")) as s:
+        async with site(archive=lambda call: ScriptedReply("silent")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             answer = await client.ask(1, budget="700")  # the decision module ends it three sweeps earlier
             assert (answer.status, answer.headers[b"left-out"]) == (200, b"archive")
@@ -175,35 +179,41 @@
         async with site() as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             await client.ask(1, "oddaja", key="k", budget="900")
-            assert 500 < s.tariff.asked[0].within <= 900 and s.ledger.asked[0].within <= 900
-            assert orjson.loads(s.ledger.asked[0].body) == {"request": "x", "answers": {"tariff": {"ok": 1}}}
-            assert s.tariff.asked[0].account == b"acme"
+            assert (
+                500 < s.tariff.received_calls[0].timeout_ms <= 900
+                and s.ledger.received_calls[0].timeout_ms <= 900
+            )
+            assert orjson.loads(s.ledger.received_calls[0].body) == {
+                "request": "x",
+                "answers": {"tariff": {"ok": 1}},
+            }
+            assert s.tariff.received_calls[0].tenant == b"acme"
 
     run_test(test)
 
 
 def test_a_write_whose_connection_breaks_fails_and_is_not_sent_again_by_a_retry() -> None:
     async def test() -> None:
-        async with site(ledger=lambda asked: Act("drop")) as s:
+        async with site(ledger=lambda call: ScriptedReply("drop")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             first = await client.ask(1, "oddaja", key="k")
             again = await client.ask(2, "oddaja", key="k")
             assert (first.status, again.status) == (500, 500)
-            assert len(s.ledger.asked) == 1  # it may have had its effect
+            assert len(s.ledger.received_calls) == 1  # it may have had its effect
 
     run_test(test)
 
 
 def test_a_retry_joins_the_write_in_progress() -> None:
     async def test() -> None:
-        async with site(ledger=lambda asked: Act(after=0.2, body=b"entered")) as s:
+        async with site(ledger=lambda call: ScriptedReply(delay=0.2, body=b"entered")) as s:
             clients = [await HttpClient(s.app.addresses["http"]).open() for _ in range(3)]
             clients[0].send(1, "oddaja", key="k")
-            await until(lambda: len(s.ledger.asked) == 1)
+            await until(lambda: len(s.ledger.received_calls) == 1)
             answers = await asyncio.gather(clients[0].answer(), clients[1].ask(2, "oddaja", key="k"))
             late = await clients[2].ask(3, "oddaja", key="k")
             assert [(a.status, a.body) for a in (*answers, late)] == [(200, b"entered")] * 3
-            assert len(s.ledger.asked) == 1 and len(s.tariff.asked) == 1
+            assert len(s.ledger.received_calls) == 1 and len(s.tariff.received_calls) == 1
 
     run_test(test)
 
@@ -211,12 +221,12 @@
 def test_a_request_without_its_write_releases_its_idempotency_key() -> None:
     async def test() -> None:
         bad = [True]
-        async with site(tariff=lambda asked: Act("error" if bad[0] else "ok"), attempts=0.0) as s:
+        async with site(tariff=lambda call: ScriptedReply("error" if bad[0] else "ok"), attempts=0.0) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             assert (await client.ask(1, "oddaja", key="k")).status == 500
             bad[0] = False
             assert (await client.ask(2, "oddaja", key="k")).status == 200
-            assert len(s.ledger.asked) == 1
+            assert len(s.ledger.received_calls) == 1
 
     run_test(test)
 
@@ -231,7 +241,7 @@
             for n in range(4):
                 answer = await client.ask(1 + n)
                 assert (answer.status, answer.headers.get(b"left-out")) == (200, None)
-            assert len(s.spare.asked) == 4 and s.state("tariff")["moot"] >= 1
+            assert len(s.spare.received_calls) == 4 and s.state("tariff")["moot"] >= 1
 
     run_test(test)
 
@@ -239,26 +249,30 @@
 def test_replies_after_the_deadline_are_ignored() -> None:
     async def test() -> None:
         slow = [True]
-        async with site(archive=lambda asked: Act(after=1.3 if slow[0] else 0.0, body=b'"late"')) as s:
+        async with site(
+            archive=lambda call: ScriptedReply(delay=1.3 if slow[0] else 0.0, body=b'"late"')
+        ) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             first = await client.ask(1, body=b"a")
             slow[0] = False
             assert (first.status, first.headers.get(b"left-out")) == (200, b"archive")
-            await until(lambda: s.archive.replied == 1)
+            await until(lambda: s.archive.reply_count == 1)
             second = await client.ask(2, body=b"b")
-            assert orjson.loads(second.body)["archive"] == "late" and len(s.archive.asked) == 2
+            assert orjson.loads(second.body)["archive"] == "late" and len(s.archive.received_calls) == 2
 
     run_test(test)
 
 
 def test_a_client_disconnect_cancels_the_calls() -> None:
     async def test() -> None:
-        async with site(tariff=lambda asked: Act("silent"), archive=lambda asked: Act("silent")) as s:
+        async with site(
+            tariff=lambda call: ScriptedReply("silent"), archive=lambda call: ScriptedReply("silent")
+        ) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             client.send(1)
-            await until(lambda: len(s.archive.asked) == len(s.tariff.asked) == 1)
+            await until(lambda: len(s.archive.received_calls) == len(s.tariff.received_calls) == 1)
             client.drop()
-            await until(lambda: s.archive.given_up == [s.archive.asked[0].ident])
+            await until(lambda: s.archive.cancelled_calls == [s.archive.received_calls[0].call_id])
             await until(
                 lambda: not s.tariff.connections
             )  # AJP has no cancellation, so the connection is closed
@@ -269,10 +283,10 @@
 
 def test_a_drain_during_a_run_still_ends_with_a_partial_response() -> None:
     async def test() -> None:
-        async with site(archive=lambda asked: Act("silent")) as s:
+        async with site(archive=lambda call: ScriptedReply("silent")) as s:
             client = await HttpClient(s.app.addresses["http"]).open()
             client.send(1)
-            await until(lambda: len(s.archive.asked) == 1)
+            await until(lambda: len(s.archive.received_calls) == 1)
             s.app.conf = type(s.app.conf)(
                 **{**{f: getattr(s.app.conf, f) for f in s.app.conf.__slots__}, "stop_after": 0.5}
             )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 from saltcart.lab import composition_scenarios, report, sketches
 from saltcart.lab.budgets import CompositionFigures, Play, deciding_cost
 from saltcart.lab.dependency import ModelDependency, Trouble
-from saltcart.lab.events import Events, Ticks
+from saltcart.lab.events import DueTimer, EventQueue
 
 SECONDS = 12.0
 DAYS = [day.name for day in composition_scenarios.days(SECONDS)]
@@ -93,13 +93,13 @@
 
 
 def test_events_run_in_order_and_a_tick_never_rings_early() -> None:
-    events, seen, due = Events(0.0), list[float](), [3.0]
+    events, seen, due = EventQueue(0.0), list[float](), [3.0]
 
     def ring() -> None:
         seen.append(events.now)
         due.clear()
 
-    ticks = Ticks(events, lambda: due[0] if due else None, ring)
+    ticks = DueTimer(events, lambda: due[0] if due else None, ring)
     ticks.arm()
     due[0] = 2.0
     ticks.arm()  # moved forward: rings once, at the earlier time
