--- a/saltcart/lab/dependency.py
+++ b/saltcart/lab/dependency.py
@@ -84,3 +84,8 @@
         heapq.heapreplace(self.workers, max(now, self.workers[0]) + fate.busy)
         self.done[request] += fate.outcome is Outcome.SUCCEEDED
         told(now + fate.took, fate.outcome)
+
+
+def request_of(ident: bytes) -> int:
+    """The number of the request that a try belongs to: a repeat's lies a fixed step above it."""
+    return int(ident, 16) % (1 << 32)
