--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -1,7 +1,7 @@
-"""What each part of the budgets is worth: the nine days with one part taken out or put another way.
+"""Experiment on the mechanisms of composed responses: the nine scenarios with one mechanism off or replaced.
 
-``gradient`` limits calls by delay, the other well-known way: the limit follows the ratio of the least
-delay to the present one, with the square root of the limit as the queue that is allowed.
+``gradient`` limits concurrent calls by their duration, another well-known method: the limit follows the ratio
+of the shortest duration to the current one, and allows for a queue of the square root of the limit.
 """
 
 from __future__ import annotations
@@ -17,83 +17,116 @@
 from saltcart.composition.timeout_policy import TimeoutPolicy
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import composition_scenarios
-from saltcart.lab.budgets import FULL, QUICK, Play
+from saltcart.lab.budgets import FULL_SECONDS, QUICK_SECONDS, CompositionSimulation
 
 VARIANTS = ("whole", "no price", "survivors", "no breaker", "no second", "gradient")
 
 
-class Survivors(QuantileSketch):
-    """Calls that were cut off are left out."""
+class CompletedCallsSketch(QuantileSketch):
+    """A sketch of the durations of completed calls alone: it ignores cancelled ones."""
 
     def add(self, now: float, value: float, censored: bool = False) -> None:
+        """Add a value unless it is censored."""
         if not censored:
             super().add(now, value)
 
 
-class NeverOpen(CircuitBreaker):
-    def record_result(self, now: float, ok: bool, probe: bool) -> None:
+class DisabledCircuitBreaker(CircuitBreaker):
+    """A circuit breaker that never opens."""
+
+    def record_result(self, now: float, succeeded: bool, is_probe: bool) -> None:
+        """Ignore the result of a call."""
         return
 
 
-class NoSecond(TimeoutPolicy):
+class NoHedgingPolicy(TimeoutPolicy):
+    """The engine's own policy without hedged requests."""
+
     def hedge_time(
-        self, now: float, part: SubRequest, dependency: DependencyState, other: DependencyState | None
+        self,
+        now: float,
+        sub_request: SubRequest,
+        dependency: DependencyState,
+        fallback: DependencyState | None,
     ) -> float | None:
+        """Return None: there are no hedged requests."""
         return None
 
 
-class Gradient(DependencyState):
-    SMOOTH = 0.1
+class GradientLimitedDependency(DependencyState):
+    """A dependency whose concurrency limit follows the gradient of the call durations."""
+
+    SMOOTHING = 0.1  # share of the way to the target by which each call moves the limit
 
     def record_end(
         self, now: float, attempt: CallAttempt, outcome: Outcome, was_overtaken: bool = False
     ) -> None:
-        before = self.limit.value
+        """Record the end of an attempt, and replace the new limit by that of the gradient."""
+        previous_limit = self.limit.value
         super().record_end(now, attempt, outcome, was_overtaken)
-        took, base = max(1e-4, now - attempt.started_at), getattr(self, "base", 10.0)
+        seconds, shortest = max(1e-4, now - attempt.started_at), getattr(self, "shortest_seconds", 10.0)
         if outcome is Outcome.SUCCEEDED:
-            self.base = base = min(base * 1.001, took)
-        ratio = max(0.5, min(1.0, 2 * base / took))
-        aimed = before * ratio + sqrt(before)
+            # It grows slowly, so that it follows a dependency that has become slower for good.
+            self.shortest_seconds = shortest = min(shortest * 1.001, seconds)
+        gradient = max(0.5, min(1.0, 2 * shortest / seconds))
+        target = previous_limit * gradient + sqrt(previous_limit)
         self.limit.value = max(
-            float(self.limit.minimum), min(float(self.limit.maximum), before + self.SMOOTH * (aimed - before))
+            float(self.limit.minimum),
+            min(float(self.limit.maximum), previous_limit + self.SMOOTHING * (target - previous_limit)),
         )
 
 
-def change(game: Play, variant: str) -> None:
-    desk = game.desk
-    for name, d in desk.dependencies.items():
+def apply_variant(simulation: CompositionSimulation, variant: str) -> None:
+    """Turn off or replace the mechanism of a variant in a simulation that has not started."""
+    engine = simulation.engine
+    for name, dependency in engine.dependencies.items():
         if variant == "survivors":
-            d.durations = Survivors()
+            dependency.durations = CompletedCallsSketch()
         elif variant == "no breaker":
-            d.circuit_breaker = NeverOpen(d.circuit_breaker.rng)
+            dependency.circuit_breaker = DisabledCircuitBreaker(dependency.circuit_breaker.rng)
         elif variant == "gradient":
-            desk.dependencies[name] = Gradient(d.spec, d.circuit_breaker.rng)
+            engine.dependencies[name] = GradientLimitedDependency(
+                dependency.spec, dependency.circuit_breaker.rng
+            )
     if variant == "no price":
-        game.runs.presses = False
+        simulation.worker_pool.releases_slots = False
     elif variant == "no second":
-        desk.timeout_policy = NoSecond(
-            desk.timeout_policy.find_dependency, desk.timeout_policy.rng, desk.timeout_policy.earns_when_late
+        engine.timeout_policy = NoHedgingPolicy(
+            engine.timeout_policy.find_dependency,
+            engine.timeout_policy.rng,
+            engine.timeout_policy.earns_when_late,
         )
 
 
-def play(job: tuple[int, str, float, int]) -> float:
-    number, variant, seconds, seed = job
-    day = composition_scenarios.days(seconds)[number]
+def simulate(job: tuple[int, str, float, int]) -> float:
+    """Return the weight earned by one job: index of the scenario, variant, duration in seconds, seed."""
+    index, variant, seconds, seed = job
+    scenario = composition_scenarios.scenarios(seconds)[index]
     if variant == "oracle":
-        return Play(day, variant, seconds, seed).run().earned
-    game = Play(day, "budgets", seconds, seed)
-    change(game, variant)
-    return game.run().earned
+        return CompositionSimulation(scenario, variant, seconds, seed).run().earned_weight
+    simulation = CompositionSimulation(scenario, "budgets", seconds, seed)
+    apply_variant(simulation, variant)
+    return simulation.run().earned_weight
 
 
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
-    seconds = QUICK if quick else FULL
-    names, columns = [day.name for day in composition_scenarios.days(seconds)], ("oracle", *VARIANTS)
+    """Run the experiment and return the rows of its table and its figures."""
+    seconds = QUICK_SECONDS if quick else FULL_SECONDS
+    names, columns = (
+        [scenario.name for scenario in composition_scenarios.scenarios(seconds)],
+        ("oracle", *VARIANTS),
+    )
     jobs = [(n, variant, seconds, seed) for n in range(len(names)) for variant in columns]
     with ProcessPoolExecutor() as pool:
-        earned = dict(zip([(names[j[0]], j[1]) for j in jobs], pool.map(play, jobs)))
-    kept = {(day, v): earned[day, v] / earned[day, "oracle"] for day in names for v in VARIANTS}
-    rows = [["day", *VARIANTS], *([day, *(f"{kept[day, v]:.3f}" for v in VARIANTS)] for day in names)]
-    figures = {v: round(min(kept[day, v] for day in names), 3) for v in VARIANTS}
+        earned = dict(zip([(names[job[0]], job[1]) for job in jobs], pool.map(simulate, jobs)))
+    oracle_shares = {
+        (name, variant): earned[name, variant] / earned[name, "oracle"]
+        for name in names
+        for variant in VARIANTS
+    }
+    rows = [
+        ["day", *VARIANTS],
+        *([name, *(f"{oracle_shares[name, variant]:.3f}" for variant in VARIANTS)] for name in names),
+    ]
+    figures = {variant: round(min(oracle_shares[name, variant] for name in names), 3) for variant in VARIANTS}
     return rows, {"kept": figures, "seed": seed, "seconds": seconds}
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -1,9 +1,9 @@
-"""The experiment on budgets: nine days, the deciding code and three baselines, on one model.
+"""Experiment on composed responses: nine scenarios under the engine's timeout policy and three baselines.
 
-The core, the decision module and the desk are the service's own.  ``fixed`` gives each stage an equal part of
-the aim, ``none`` waits for each call as long as the caller waits and repeats errors at once; both call
-whatever it costs.  ``oracle`` knows what each call would come to and never lacks a slot: it earns what the
-partial-answer rules permit.
+The core, the decision module and the composition engine are those of the service.  ``fixed`` gives each stage
+an equal share of the time to the objective, ``none`` waits for each call as long as the caller waits and
+retries errors at once; both call without regard to limits.  ``oracle`` knows the result of each call and
+always has a free slot: it earns the most that the rules on partial responses allow.
 """
 
 from __future__ import annotations
@@ -39,124 +39,175 @@
 from saltcart.decision.settings import Effect, Settings
 from saltcart.field_reader import FieldReader
 from saltcart.lab import composition_scenarios
-from saltcart.lab.baseline_timeout_policies import judge_for
-from saltcart.lab.composition_scenarios import Day
-from saltcart.lab.dependency import ModelDependency, request_of
+from saltcart.lab.baseline_timeout_policies import find_timeout_policy
+from saltcart.lab.composition_scenarios import Scenario
+from saltcart.lab.dependency import ModelDependency, request_number
 from saltcart.lab.events import DueTimer, EventQueue, start_service_timer
 from saltcart.platform_settings import read_settings
 
-RATE = 60.0  # requests a second
-QUICK, FULL = 40.0, 240.0  # seconds of a day
-POLICIES = ("budgets", "fixed", "none", "oracle")
-REPEATED = 0.05  # of the keyed requests come a second time, soon after the first
-COST_RUNS, MANY_RUNS = 20_000, 1_000_000  # of the desk alone
-SLOTS = 1000  # the oracle's
-WITHIN = 2.0  # from the notice to drain to the stop, in seconds
+REQUESTS_PER_SECOND = 60.0
+QUICK_SECONDS, FULL_SECONDS = 40.0, 240.0  # duration of a run
+POLICY_NAMES = ("budgets", "fixed", "none", "oracle")
+DUPLICATE_SHARE, DUPLICATE_DELAY_SECONDS = 0.05, 0.2  # of the requests with an idempotency key
+QUICK_COST_RUNS, FULL_COST_RUNS = 20_000, 1_000_000  # runs of the engine alone
+ORACLE_CORES = 1000
+DRAIN_SECONDS = 2.0  # from the start of the drain to the end of the process
 
 
 @dataclass
 class CompositionFigures:
-    """What came of one day under one policy."""
+    """Results of one scenario under one policy; weights are priority weights of requests."""
 
-    offered: float = 0.0
-    earned: float = 0.0
-    by_second: Counter[int] = field(default_factory=Counter)
-    verdicts: Counter[str] = field(default_factory=Counter)
-    late: int = 0
+    offered_weight: float = 0.0
+    earned_weight: float = 0.0
+    earned_weight_by_second: Counter[int] = field(default_factory=Counter)
+    responses_by_status: Counter[str] = field(default_factory=Counter)
+    late_responses: int = 0
     unanswered: int = 0
-    writes_partial: int = 0
-    writes_twice: int = 0
+    partial_writes: int = 0
+    repeated_writes: int = 0
     load_factor: float = 1.0
     calls: int = 0
     requests: int = 0
-    took: float = 0.0  # seconds of real time for the play
+    elapsed_seconds: float = 0.0  # of real time
     median_ms: float = 0.0
     p99_ms: float = 0.0
 
 
-class ModelRuns:
-    """The runs port in the model: the desk's orders carried out on model dependencies."""
+class ModelWorkerPool:
+    """Implements the ``WorkerPool`` port: carries out the engine's actions on simulated dependencies."""
 
     def __init__(
         self,
         events: EventQueue,
         service: Service,
-        desk: CompositionEngine,
-        places: dict[str, ModelDependency],
-        tally: CompositionFigures,
+        engine: CompositionEngine,
+        dependencies: dict[str, ModelDependency],
+        figures: CompositionFigures,
     ) -> None:
-        self.events, self.service, self.desk, self.places, self.tally = events, service, desk, places, tally
-        self.presses, self.orders = True, ActionQueue(self._carry_out)
-        self.ticks = DueTimer(events, desk.next_timer_at, lambda: self.do(desk.tick, events.now))
+        self.events, self.service, self.engine, self.dependencies, self.figures = (
+            events,
+            service,
+            engine,
+            dependencies,
+            figures,
+        )
+        self.releases_slots, self.actions = True, ActionQueue(self._carry_out)
+        self.timer = DueTimer(events, engine.next_timer_at, lambda: self.run_engine(engine.tick, events.now))
 
-    def do(self, call: Callable[..., list[CompositionAction]], *args: Any) -> None:
-        self.orders(call(*args))
-        self.ticks.arm()
+    def run_engine(self, method: Callable[..., list[CompositionAction]], *args: Any) -> None:
+        """Call a method of the engine, carry out the actions that it returns, and set the timer again."""
+        self.actions(method(*args))
+        self.timer.arm()
 
-    def _carry_out(self, order: CompositionAction) -> None:
-        match order:
+    def _carry_out(self, action: CompositionAction) -> None:
+        match action:
             case SendCall():
-                self._send(order)
+                self._send(action)
             case CompositionFinished():
                 self.service.run_finished(
-                    order.id,
-                    order.outcome,
-                    order.seconds,
-                    order.body,
-                    order.skipped_dependencies,
-                    order.cached_dependencies,
+                    action.id,
+                    action.outcome,
+                    action.seconds,
+                    action.body,
+                    action.skipped_dependencies,
+                    action.cached_dependencies,
                 )
             case CancelCall():
-                pass  # the worker goes on with it; its reply finds nobody
-
-    def _send(self, order: SendCall) -> None:
-        self.tally.calls += 1
-        if order.must_run_once and order.request_id in self.desk.runs:
-            replies = self.desk.runs[order.request_id].replies
-            self.tally.writes_partial += any(m is not SubRequestStatus.ANSWERED for m, _ in replies.values())
-        self.places[order.dependency].call(
+                pass  # the dependency still serves the call; the engine ignores its reply
+
+    def _send(self, action: SendCall) -> None:
+        self.figures.calls += 1
+        if action.must_run_once and action.request_id in self.engine.runs:
+            replies = self.engine.runs[action.request_id].replies
+            self.figures.partial_writes += any(
+                status is not SubRequestStatus.ANSWERED for status, _ in replies.values()
+            )
+        self.dependencies[action.dependency].call(
             self.events.now,
-            request_of(order.request_id),
-            lambda when, outcome: self.events.at(when, self._told, order.id, outcome),
+            request_number(action.request_id),
+            lambda when, outcome: self.events.at(when, self._call_finished, action.id, outcome),
         )
 
-    def _told(self, ident: bytes, outcome: Outcome) -> None:
-        self.do(self.desk.call_finished, self.events.now, ident, outcome, b'{"ok":1}')
+    def _call_finished(self, call_id: bytes, outcome: Outcome) -> None:
+        self.run_engine(self.engine.call_finished, self.events.now, call_id, outcome, b'{"ok":1}')
 
     def spawn(
-        self, ident: bytes, klass: str, account: str, body: bytes, once: bool, within: float, aim: float
+        self,
+        request_id: bytes,
+        class_name: str,
+        account: str,
+        body: bytes,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
-        now, (aim, within) = self.events.now, self.service.loop.usable_time(aim, within)
-        self.do(self.desk.start, now, ident, klass, account, body, now + aim, now + within)
+        """Start a composed run."""
+        now, (objective, deadline) = (
+            self.events.now,
+            self.service.loop.usable_time(time_to_objective, time_to_deadline),
+        )
+        self.run_engine(
+            self.engine.start, now, request_id, class_name, account, body, now + objective, now + deadline
+        )
 
-    def suspend(self, ident: bytes) -> None:
-        self.do(self.desk.cancel, self.events.now, ident)
+    def suspend(self, request_id: bytes) -> None:
+        """Cancel a composed run."""
+        self.run_engine(self.engine.cancel, self.events.now, request_id)
 
-    def resume(self, ident: bytes) -> None: ...
-    def supply_reply(self, ident: bytes, reply: bytes) -> None: ...
-    def skip_call(self, ident: bytes, notice: int) -> None: ...
+    def resume(self, request_id: bytes) -> None:
+        """Do nothing: composed runs are never paused."""
 
-    def poll_gauges(self) -> None:
-        self.service.gauges_polled((0.0, 0.0))  # runs that wait leave the cores alone
-        if self.presses:
-            self.do(self.desk.release_slots, self.events.now, self.service.loop.held_count())
+    def supply_reply(self, request_id: bytes, reply: bytes) -> None:
+        """Do nothing: the engine makes the calls of composed runs."""
 
+    def skip_call(self, request_id: bytes, notice_number: int) -> None:
+        """Do nothing: the engine makes the calls of composed runs."""
 
-class Play:
-    """One day under one policy."""
+    def poll_gauges(self) -> None:
+        """Report idle cores, since waiting runs need none, and release slots that other requests need."""
+        self.service.gauges_polled((0.0, 0.0))
+        if self.releases_slots:
+            self.run_engine(self.engine.release_slots, self.events.now, self.service.loop.held_count())
+
+
+class CompositionSimulation:
+    """One run of a scenario under one policy.
+
+    Attributes:
+        scenario: The scenario.
+        arrival_times: When the requests arrive, in seconds since the start of the run, ascending.
+        class_indexes: Classes of the requests, as indexes of ``CLASS_NAMES``.
+        priority_ranks: Priority ranks of the requests.
+        behaviour_draws: Two uniform draws for each request: whether its caller disconnects; whether a
+            duplicate of it is sent, and when its caller disconnects.
+        reply_shares: Share of a response's weight that each dependency's reply is worth, by class.
+        response_counts: Number of responses by request; an abandoned request counts as answered.
+    """
 
-    def __init__(self, day: Day, policy: str, seconds: float, seed: int, rate: float = RATE) -> None:
-        self.day, self.seconds, self.tally = day, seconds, CompositionFigures()
+    def __init__(
+        self,
+        scenario: Scenario,
+        policy_name: str,
+        seconds: float,
+        seed: int,
+        requests_per_second: float = REQUESTS_PER_SECOND,
+    ) -> None:
+        """Draw the requests, and set up the server and its dependencies."""
+        self.scenario, self.seconds, self.figures = scenario, seconds, CompositionFigures()
         rng = np.random.default_rng([seed, 7])
-        count = int(seconds * rate)
+        count = int(seconds * requests_per_second)
         self.settings: Settings = read_settings(FieldReader(composition_scenarios.SETTINGS, "settings"))
-        if policy == "oracle":
-            self.settings = replace(self.settings, cores=SLOTS)
-        self.arrivals = np.sort(rng.random(count) * seconds).tolist()
-        self.kinds = rng.choice(
-            len(composition_scenarios.CLASSES), count, p=composition_scenarios.MIX
+        if policy_name == "oracle":
+            self.settings = replace(self.settings, cores=ORACLE_CORES)
+        self.arrival_times = np.sort(rng.random(count) * seconds).tolist()
+        self.class_indexes = rng.choice(
+            len(composition_scenarios.CLASS_NAMES), count, p=composition_scenarios.CLASS_SHARES
         ).tolist()
-        self.ranks, self.leaves = rng.random(count).tolist(), rng.random((count, 2)).tolist()
+        self.priority_ranks, self.behaviour_draws = (
+            rng.random(count).tolist(),
+            rng.random((count, 2)).tolist(),
+        )
         self.events = events = EventQueue()
         self.origin = events.now
         self.service = Service(
@@ -167,118 +218,146 @@
             lambda event, **fields: None,
             max_key_bytes=1 << 30,
         )
-        plans = office_plans(self.settings)
-        self.places = {
-            name: ModelDependency(name, *place, count, seed, events.now)
-            for name, place in composition_scenarios.PLACES.items()
+        plans = read_composition_plans(self.settings)
+        self.dependencies = {
+            name: ModelDependency(name, *profile, count, seed, events.now)
+            for name, profile in composition_scenarios.DEPENDENCY_PROFILES.items()
+        }
+        for name, fault_plan in scenario.fault_plans.items():
+            self.dependencies[name].fault_plans.append(fault_plan)
+        self.engine = CompositionEngine(plans, seed, self.settings.classes)
+        self.engine.timeout_policy = find_timeout_policy(
+            policy_name, self.engine.timeout_policy, self.dependencies
+        )
+        self.worker_pool = ModelWorkerPool(events, self.service, self.engine, self.dependencies, self.figures)
+        self.service.ports.workers, self.worker_pool.releases_slots = (
+            self.worker_pool,
+            policy_name == "budgets",
+        )
+        self.reply_shares = {
+            plan.class_name: {call.dependency: call.worth for call in plan.calls()} for plan in plans.plan
         }
-        for name, trouble in day.troubles.items():
-            self.places[name].troubles.append(trouble)
-        self.desk = CompositionEngine(plans, seed, self.settings.classes)
-        self.desk.timeout_policy = judge_for(policy, self.desk.timeout_policy, self.places)
-        self.runs = ModelRuns(events, self.service, self.desk, self.places, self.tally)
-        self.service.ports.workers, self.runs.presses = self.runs, policy == "budgets"
-        self.worths = {p.class_name: {c.dependency: c.worth for c in p.calls()} for p in plans.plan}
-        self.histogram = HdrHistogram(1, 60_000_000, 3)
-        self.answered = Counter[int]()
+        self.histogram = HdrHistogram(1, 60_000_000, 3)  # of response times in microseconds
+        self.response_counts = Counter[int]()
 
     def run(self) -> CompositionFigures:
-        begun, events, tally = time.perf_counter(), self.events, self.tally
+        """Run the scenario to its end and return the results."""
+        real_start, events, figures = time.perf_counter(), self.events, self.figures
         self.service.pool_started(False, 100.0)
         start_service_timer(events, self.service)
-        stop = self.seconds / 2 if self.day.drain else float("inf")
-        for n, at in enumerate(self.arrivals):
-            if at < stop:
-                events.at(self.origin + at, self._arrive, n, 0)
-        if self.day.drain:
+        stop = self.seconds / 2 if self.scenario.drains else float("inf")
+        for n, arrival_time in enumerate(self.arrival_times):
+            if arrival_time < stop:
+                events.at(self.origin + arrival_time, self._arrive, n, 0)
+        if self.scenario.drains:
             events.at(self.origin + stop, self._drain)
         events.run(self.origin + self.seconds + 6)
-        tally.requests = sum(1 for a in self.arrivals if a < stop)
-        tally.unanswered = sum(self.answered[n] == 0 for n in range(tally.requests))
-        tally.writes_twice = sum(tries > 1 for tries in self.places["knjiga"].tries.values())
-        tally.took = time.perf_counter() - begun
-        for name in self.day.troubles:
-            counts = self.desk.dependencies[name].counts
-            tally.load_factor = max(tally.load_factor, 1 + counts["further"] / max(1, counts["first"]))
-        tally.median_ms = self.histogram.get_value_at_percentile(50) / 1000
-        tally.p99_ms = self.histogram.get_value_at_percentile(99) / 1000
-        return tally
+        figures.requests = sum(1 for arrival_time in self.arrival_times if arrival_time < stop)
+        figures.unanswered = sum(self.response_counts[n] == 0 for n in range(figures.requests))
+        figures.repeated_writes = sum(
+            attempts > 1 for attempts in self.dependencies["knjiga"].attempt_counts.values()
+        )
+        figures.elapsed_seconds = time.perf_counter() - real_start
+        for name in self.scenario.fault_plans:
+            counts = self.engine.dependencies[name].counts
+            figures.load_factor = max(figures.load_factor, 1 + counts["further"] / max(1, counts["first"]))
+        figures.median_ms = self.histogram.get_value_at_percentile(50) / 1000
+        figures.p99_ms = self.histogram.get_value_at_percentile(99) / 1000
+        return figures
 
     def _drain(self) -> None:
-        self.service.start_drain(WITHIN)
-        self.runs.do(
-            self.desk.shorten_deadlines, self.events.now, self.events.now + WITHIN - STOP_MARGIN_SECONDS
+        self.service.start_drain(DRAIN_SECONDS)
+        self.worker_pool.run_engine(
+            self.engine.shorten_deadlines,
+            self.events.now,
+            self.events.now + DRAIN_SECONDS - STOP_MARGIN_SECONDS,
         )
 
-    def _arrive(self, n: int, nth: int) -> None:
-        now, spec = self.events.now, self.settings.classes[self.kinds[n]]
-        keyed = spec.effect is Effect.IDEMPOTENT_BY_KEY
-        ident = b"%016x" % (n + (nth << 32))
-        ask = InboundRequest(
-            ident,
+    def _arrive(self, n: int, copy: int) -> None:
+        """Submit request ``n``: the original if ``copy`` is 0, else a duplicate with the same key."""
+        now, spec = self.events.now, self.settings.classes[self.class_indexes[n]]
+        has_key = spec.effect is Effect.IDEMPOTENT_BY_KEY
+        request_id = b"%016x" % (n + (copy << 32))
+        request = InboundRequest(
+            request_id,
             spec.name,
             "",
             now,
             spec.deadline,
             10.0,
-            self.ranks[n],
-            idempotency_key=b"k%d" % n if keyed else None,
+            self.priority_ranks[n],
+            idempotency_key=b"k%d" % n if has_key else None,
             body=b'{"n":%d}' % n,
         )
-        gone, chance = self.leaves[n]
-        if not nth:
-            self.tally.offered += spec.priority_weight
-            if keyed and chance < REPEATED:
-                self.events.at(now + 0.2, self._arrive, n, 1)
-        number = self.service.submit(ask, lambda answer: self._answered(n, nth, now, answer))
-        if gone < self.day.leaving and not nth:
-            self.events.at(now + 0.05 + chance * spec.latency_objective / 2, self._leave, n, number)
-
-    def _leave(self, n: int, number: int) -> None:
-        if not self.answered[n]:
-            self.answered[n] += 1  # nothing is owed any more
+        disconnect_draw, draw = self.behaviour_draws[n]
+        if not copy:
+            self.figures.offered_weight += spec.priority_weight
+            if has_key and draw < DUPLICATE_SHARE:
+                self.events.at(now + DUPLICATE_DELAY_SECONDS, self._arrive, n, 1)
+        number = self.service.submit(request, lambda response: self._finish(n, copy, now, response))
+        if disconnect_draw < self.scenario.abandoned_share and not copy:
+            self.events.at(now + 0.05 + draw * spec.latency_objective / 2, self._disconnect, n, number)
+
+    def _disconnect(self, n: int, number: int) -> None:
+        if not self.response_counts[n]:
+            self.response_counts[n] += 1  # no response is due any more
             self.service.abandon(number)
 
-    def _answered(self, n: int, nth: int, begun: float, answer: FinalResponse) -> None:
-        spec, took = self.settings.classes[self.kinds[n]], self.events.now - begun
-        tally = self.tally
-        tally.verdicts["partial" if answer.skipped_dependencies else answer.status.value] += 1
-        tally.late += took > spec.deadline + self.settings.answer_slack
-        tally.writes_partial += bool(answer.skipped_dependencies) and spec.effect is not Effect.SAFE
-        if nth:
+    def _finish(self, n: int, copy: int, arrived_at: float, response: FinalResponse) -> None:
+        spec, seconds = self.settings.classes[self.class_indexes[n]], self.events.now - arrived_at
+        figures = self.figures
+        figures.responses_by_status[
+            "partial" if response.skipped_dependencies else response.status.value
+        ] += 1
+        figures.late_responses += seconds > spec.deadline + self.settings.answer_slack
+        figures.partial_writes += bool(response.skipped_dependencies) and spec.effect is not Effect.SAFE
+        if copy:
             return
-        self.answered[n] += 1
-        self.histogram.record_value(max(1, int(took * 1e6)))
-        if answer.status.value == "served" and took <= spec.latency_objective:
-            worth = spec.priority_weight * (
-                1 - sum(self.worths[spec.name][name] for name in answer.skipped_dependencies)
+        self.response_counts[n] += 1
+        self.histogram.record_value(max(1, int(seconds * 1e6)))
+        if response.status.value == "served" and seconds <= spec.latency_objective:
+            weight = spec.priority_weight * (
+                1 - sum(self.reply_shares[spec.name][name] for name in response.skipped_dependencies)
             )
-            tally.earned += worth
-            tally.by_second[int(begun - self.origin)] += worth
+            figures.earned_weight += weight
+            figures.earned_weight_by_second[int(arrived_at - self.origin)] += weight
 
 
-def office_plans(settings: Settings, addresses: dict[str, str] | None = None) -> CompositionSpec:
-    raw = composition_scenarios.tables(addresses)
-    plans = read_plans({k: raw[k] for k in ("dependency", "plan")}, [u["name"] for u in raw["upstream"]])
+def read_composition_plans(settings: Settings, addresses: dict[str, str] | None = None) -> CompositionSpec:
+    """Return the plans of the scenarios, checked against the classes of the settings."""
+    tables = composition_scenarios.deployment_tables(addresses)
+    plans = read_plans(
+        {key: tables[key] for key in ("dependency", "plan")},
+        [upstream["name"] for upstream in tables["upstream"]],
+    )
     check_classes(plans, settings.classes)
     return plans
 
 
-def play(job: tuple[int, str, float, int]) -> CompositionFigures:
-    number, policy, seconds, seed = job
-    return Play(composition_scenarios.days(seconds)[number], policy, seconds, seed).run()
+def simulate(job: tuple[int, str, float, int]) -> CompositionFigures:
+    """Run one job of the experiment: index of the scenario, policy, duration in seconds, seed."""
+    index, policy_name, seconds, seed = job
+    return CompositionSimulation(
+        composition_scenarios.scenarios(seconds)[index], policy_name, seconds, seed
+    ).run()
 
 
 def run(
     quick: bool, seed: int
 ) -> tuple[list[list[str]], dict[str, Any], dict[str, dict[str, CompositionFigures]]]:
-    """The table, the figures and all that was seen, by day and policy."""
-    seconds = QUICK if quick else FULL
-    names = [day.name for day in composition_scenarios.days(seconds)]
-    jobs = [(n, policy, seconds, seed) for n in range(len(names)) for policy in POLICIES]
+    """Run the experiment.
+
+    Returns:
+        The rows of the table, the figures, and the results by scenario and policy.
+    """
+    seconds = QUICK_SECONDS if quick else FULL_SECONDS
+    names = [scenario.name for scenario in composition_scenarios.scenarios(seconds)]
+    jobs = [(n, policy_name, seconds, seed) for n in range(len(names)) for policy_name in POLICY_NAMES]
     with ProcessPoolExecutor() as pool:
-        tallies = dict(zip([(names[j[0]], j[1]) for j in jobs], pool.map(play, jobs)))
-    seen = {name: {p: tallies[name, p] for p in POLICIES} for name in names}
+        finished = dict(zip([(names[job[0]], job[1]) for job in jobs], pool.map(simulate, jobs)))
+    results = {
+        name: {policy_name: finished[name, policy_name] for policy_name in POLICY_NAMES} for name in names
+    }
     rows = [
         [
             "day",
@@ -294,78 +373,90 @@
             "load",
         ]
     ]
-    for name, by_policy in seen.items():
-        for policy, t in by_policy.items():
-            v = t.verdicts
+    for name, by_policy in results.items():
+        for policy_name, result in by_policy.items():
+            responses = result.responses_by_status
             rows.append(
                 [
                     name,
-                    policy,
-                    f"{kept(by_policy, policy):.3f}",
-                    f"{t.earned / t.offered:.3f}",
-                    *(str(v[k]) for k in ("served", "partial", "refused", "failed")),
-                    f"{t.median_ms:.0f}",
-                    f"{t.p99_ms:.0f}",
-                    f"{t.load_factor:.2f}",
+                    policy_name,
+                    f"{share_of_oracle(by_policy, policy_name):.3f}",
+                    f"{result.earned_weight / result.offered_weight:.3f}",
+                    *(str(responses[status]) for status in ("served", "partial", "refused", "failed")),
+                    f"{result.median_ms:.0f}",
+                    f"{result.p99_ms:.0f}",
+                    f"{result.load_factor:.2f}",
                 ]
             )
-    cost = deciding_cost(COST_RUNS if quick else MANY_RUNS, seed)
-    ours = [by_policy["budgets"] for by_policy in seen.values()]
+    cost = measure_engine_cost(QUICK_COST_RUNS if quick else FULL_COST_RUNS, seed)
+    own_results = [by_policy["budgets"] for by_policy in results.values()]
     figures = {
-        "kept": least(seen, "budgets"),
-        "kept_fixed": least(seen, "fixed"),
-        "kept_none": least(seen, "none"),
-        "writes_partial": sum(t.writes_partial for t in ours),
-        "writes_twice": sum(t.writes_twice for t in ours),
-        "late": sum(t.late + t.unanswered for t in ours),
-        "load_factor": round(max(t.load_factor for t in ours), 3),
+        "kept": least_share_of_oracle(results, "budgets"),
+        "kept_fixed": least_share_of_oracle(results, "fixed"),
+        "kept_none": least_share_of_oracle(results, "none"),
+        "writes_partial": sum(result.partial_writes for result in own_results),
+        "writes_twice": sum(result.repeated_writes for result in own_results),
+        "late": sum(result.late_responses + result.unanswered for result in own_results),
+        "load_factor": round(max(result.load_factor for result in own_results), 3),
         **cost,
-        "requests_per_s": round(sum(t.requests for t in ours) / sum(t.took for t in ours)),
-        "by_day": {name: round(kept(by_policy, "budgets"), 3) for name, by_policy in seen.items()},
+        "requests_per_s": round(
+            sum(result.requests for result in own_results)
+            / sum(result.elapsed_seconds for result in own_results)
+        ),
+        "by_day": {
+            name: round(share_of_oracle(by_policy, "budgets"), 3) for name, by_policy in results.items()
+        },
         "seed": seed,
         "seconds": seconds,
     }
-    return rows, figures, seen
+    return rows, figures, results
 
 
-def deciding_cost(runs: int, seed: int) -> dict[str, Any]:
-    """The desk alone, through ``runs`` runs one after the other: processor time and memory.
+def measure_engine_cost(run_count: int, seed: int) -> dict[str, Any]:
+    """Measure processor time and memory of the composition engine alone.
 
-    The processor time is that of the whole loop, so it is the desk's and a little more.
+    The processor time is that of the whole loop, which is a little more than the engine's.
     """
     settings = read_settings(FieldReader(composition_scenarios.SETTINGS, "settings"))
-    desk, rng = CompositionEngine(office_plans(settings), seed, settings.classes), random.Random(seed)
-    replies, number, sent = list[tuple[float, int, bytes]](), itertools.count(), 0
-    peaks, begun, now = list[int](), time.process_time(), 1_000.0
-    kinds = rng.choices(composition_scenarios.CLASSES, composition_scenarios.MIX, k=1000)
-    orders: list[CompositionAction] = []
-    for n in range(runs):
-        now += 1 / RATE
+    engine, rng = (
+        CompositionEngine(read_composition_plans(settings), seed, settings.classes),
+        random.Random(seed),
+    )
+    replies, sequence, sent_count = list[tuple[float, int, bytes]](), itertools.count(), 0
+    peaks_kb, cpu_start, now = list[int](), time.process_time(), 1_000.0
+    class_names = rng.choices(composition_scenarios.CLASS_NAMES, composition_scenarios.CLASS_SHARES, k=1000)
+    actions: list[CompositionAction] = []
+    for n in range(run_count):
+        now += 1 / REQUESTS_PER_SECOND
         while replies and replies[0][0] <= now:
-            when, _, ident = heapq.heappop(replies)
-            orders += desk.tick(when) + desk.call_finished(when, ident, Outcome.SUCCEEDED, b'{"ok":1}')
-        orders += desk.tick(now)
-        orders += desk.start(now, b"%016x" % n, kinds[n % 1000], "", b'{"n":1}', now + 1, now + 2)
-        for order in orders:
-            if isinstance(order, SendCall):
-                sent += 1
-                took = composition_scenarios.PLACES[order.dependency].median * (0.5 + rng.random())
-                heapq.heappush(replies, (now + took, next(number), order.id))
-        orders = []
-        if n % (runs // 4) == runs // 4 - 1:
-            peaks.append(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)
-    took = time.process_time() - begun
+            when, _, call_id = heapq.heappop(replies)
+            actions += engine.tick(when) + engine.call_finished(when, call_id, Outcome.SUCCEEDED, b'{"ok":1}')
+        actions += engine.tick(now)
+        actions += engine.start(now, b"%016x" % n, class_names[n % 1000], "", b'{"n":1}', now + 1, now + 2)
+        for action in actions:
+            if isinstance(action, SendCall):
+                sent_count += 1
+                seconds = composition_scenarios.DEPENDENCY_PROFILES[action.dependency].median * (
+                    0.5 + rng.random()
+                )
+                heapq.heappush(replies, (now + seconds, next(sequence), action.id))
+        actions = []
+        if n % (run_count // 4) == run_count // 4 - 1:
+            peaks_kb.append(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)
+    cpu_seconds = time.process_time() - cpu_start
     return {
-        "us_per_call": round(1e6 * took / sent, 1),
-        "cost_runs": runs,
-        "runs_left_open": len(desk.runs),
-        "memory_growth_kb": peaks[-1] - peaks[0],
+        "us_per_call": round(1e6 * cpu_seconds / sent_count, 1),
+        "cost_runs": run_count,
+        "runs_left_open": len(engine.runs),
+        "memory_growth_kb": peaks_kb[-1] - peaks_kb[0],
     }
 
 
-def kept(by_policy: dict[str, CompositionFigures], policy: str) -> float:
-    return by_policy[policy].earned / by_policy["oracle"].earned
+def share_of_oracle(by_policy: dict[str, CompositionFigures], policy_name: str) -> float:
+    """Return the earned weight as a share of what the oracle earned in the same scenario."""
+    return by_policy[policy_name].earned_weight / by_policy["oracle"].earned_weight
 
 
-def least(seen: dict[str, dict[str, CompositionFigures]], policy: str) -> float:
-    return round(min(kept(by_policy, policy) for by_policy in seen.values()), 3)
+def least_share_of_oracle(results: dict[str, dict[str, CompositionFigures]], policy_name: str) -> float:
+    """Return the least share over the scenarios."""
+    return round(min(share_of_oracle(by_policy, policy_name) for by_policy in results.values()), 3)
--- a/saltcart/lab/composition_scenarios.py
+++ b/saltcart/lab/composition_scenarios.py
@@ -1,12 +1,15 @@
-"""The site of the budgets experiment: classes, plans and dependencies, for the model and for sockets."""
+"""Settings, dependencies, plans and fault scenarios of the experiments on composed responses.
+
+The simulation and the experiment on sockets share them.
+"""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from saltcart.lab.dependency import Trouble
+from saltcart.lab.dependency import FaultPlan
 
-CORES = 16
+CORES = 16  # of the simulated server
 SETTINGS: dict[str, Any] = {
     "services": [
         {"name": "pregled-statusa", "effect": "read_like", "onTime": 0.8, "deadline": 2.5, "worth": 1.0},
@@ -34,57 +37,71 @@
     "limits": {},
     "quantum": 0.005,
 }
-CLASSES = ("pregled-statusa", "izracun-dajatev", "oddaja")
-MIX = (0.45, 0.35, 0.2)  # of the requests
+CLASS_NAMES = ("pregled-statusa", "izracun-dajatev", "oddaja")
+CLASS_SHARES = (0.45, 0.35, 0.2)  # of the requests, in the order of CLASS_NAMES
+
 
+class DependencyProfile(NamedTuple):
+    """Capacity and service times of a dependency without faults.
 
-class Place(NamedTuple):
-    """A dependency's own strength: workers, and the median and spread (log) of its times in seconds."""
+    Attributes:
+        workers: Number of calls that are served concurrently.
+        median: Median service time in seconds.
+        spread: Standard deviation of the logarithm of the service time.
+    """
 
     workers: int
     median: float
     spread: float
 
 
-PLACES = {
-    "tarifa": Place(64, 0.03, 0.4),
-    "tarifa-2": Place(32, 0.05, 0.4),
-    "kvote": Place(64, 0.04, 0.4),
-    "kvote-2": Place(32, 0.06, 0.4),
-    "tveganje": Place(64, 0.06, 0.5),
-    "arhiv": Place(64, 0.05, 0.5),
-    "knjiga": Place(64, 0.08, 0.4),
+DEPENDENCY_PROFILES = {
+    "tarifa": DependencyProfile(64, 0.03, 0.4),
+    "tarifa-2": DependencyProfile(32, 0.05, 0.4),
+    "kvote": DependencyProfile(64, 0.04, 0.4),
+    "kvote-2": DependencyProfile(32, 0.06, 0.4),
+    "tveganje": DependencyProfile(64, 0.06, 0.5),
+    "arhiv": DependencyProfile(64, 0.05, 0.5),
+    "knjiga": DependencyProfile(64, 0.08, 0.4),
 }
-INDEX = ("arhiv",)  # speak the index's lines, the others AJP
+INDEX_DEPENDENCIES = ("arhiv",)  # called over the index protocol; the others are called over AJP
 
 
-def tables(addresses: dict[str, str] | None = None) -> dict[str, Any]:
-    """The tables of a deployment file; ``addresses`` says where the dependencies are."""
-    at = addresses or dict.fromkeys(PLACES, "127.0.0.1:1")
+def deployment_tables(addresses: dict[str, str] | None = None) -> dict[str, Any]:
+    """Return the tables of a deployment file.
+
+    Args:
+        addresses: Addresses as HOST:PORT by dependency; None for the simulation, which connects to none.
+    """
+    address_of = addresses or dict.fromkeys(DEPENDENCY_PROFILES, "127.0.0.1:1")
     dependencies: list[dict[str, Any]] = [
-        {"name": name, "kind": "index", "address": at[name]}
-        if name in INDEX
+        {"name": name, "kind": "index", "address": address_of[name]}
+        if name in INDEX_DEPENDENCIES
         else {"name": name, "upstream": name}
-        for name in PLACES
+        for name in DEPENDENCY_PROFILES
     ]
-    for d in dependencies:
-        if f"{d['name']}-2" in PLACES:
-            d["fallback"] = f"{d['name']}-2"
-    tariff = {"dependency": "tarifa"}
+    for dependency in dependencies:
+        if f"{dependency['name']}-2" in DEPENDENCY_PROFILES:
+            dependency["fallback"] = f"{dependency['name']}-2"
+    tariff_call = {"dependency": "tarifa"}
     return {
-        "upstream": [{"name": name, "members": [{"host": at[name]}]} for name in PLACES if name not in INDEX],
+        "upstream": [
+            {"name": name, "members": [{"host": address_of[name]}]}
+            for name in DEPENDENCY_PROFILES
+            if name not in INDEX_DEPENDENCIES
+        ],
         "dependency": dependencies,
         "plan": [
             {
                 "class": "pregled-statusa",
                 "partial": True,
-                "stage": [{"call": [tariff, {"dependency": "arhiv", "required": False, "worth": 0.25}]}],
+                "stage": [{"call": [tariff_call, {"dependency": "arhiv", "required": False, "worth": 0.25}]}],
             },
             {
                 "class": "izracun-dajatev",
                 "partial": True,
                 "stage": [
-                    {"call": [tariff, {"dependency": "kvote", "required": False, "worth": 0.2}]},
+                    {"call": [tariff_call, {"dependency": "kvote", "required": False, "worth": 0.2}]},
                     {
                         "call": [
                             {"dependency": "tveganje", "required": False, "worth": 0.3, "hedge": True},
@@ -97,7 +114,7 @@
                 "class": "oddaja",
                 "answer": "knjiga",
                 "stage": [
-                    {"call": [tariff, {"dependency": "kvote"}]},
+                    {"call": [tariff_call, {"dependency": "kvote"}]},
                     {"call": [{"dependency": "knjiga", "write": True, "repeat": False, "sends": "answers"}]},
                 ],
             },
@@ -105,26 +122,43 @@
     }
 
 
-class Day(NamedTuple):
-    """One day: where the trouble is, how many callers leave, whether the server drains in its middle."""
+class Scenario(NamedTuple):
+    """A run of the experiment.
+
+    Attributes:
+        name: Label in the results.
+        fault_plans: Faults by dependency.
+        abandoned_share: Share of the callers that disconnect before their response.
+        drains: Whether the server drains in the middle of the run.
+    """
 
     name: str
-    troubles: dict[str, Trouble]
-    leaving: float = 0.0
-    drain: bool = False
+    fault_plans: dict[str, FaultPlan]
+    abandoned_share: float = 0.0
+    drains: bool = False
+
 
+def scenarios(seconds: float) -> list[Scenario]:
+    """Return the nine scenarios.
 
-def days(seconds: float) -> list[Day]:
-    """The nine days; trouble fills the middle of each."""
-    a, b = 0.2 * seconds, 0.8 * seconds
+    Args:
+        seconds: Duration of a run; the faults last from a fifth to four fifths of it.
+    """
+    start, end = 0.2 * seconds, 0.8 * seconds
     return [
-        Day("calm", {}),
-        Day("slow", {"tveganje": Trouble(a, b, slower=9)}),
-        Day("two slow", {"tveganje": Trouble(a, b, slower=9), "kvote": Trouble(a, b, slower=9)}),
-        Day("silent", {"kvote": Trouble(a, b, silent=True)}),
-        Day("flapping", {"tveganje": Trouble(a, b, flap=1.0)}),
-        Day("late", {"arhiv": Trouble(a, b, late=3.0)}),
-        Day("errors", {"kvote": Trouble(a, b, errors=0.5)}),
-        Day("leaving", {"tveganje": Trouble(a, b, slower=9)}, leaving=0.3),
-        Day("drain", {"tveganje": Trouble(a, b, slower=9)}, drain=True),
+        Scenario("calm", {}),
+        Scenario("slow", {"tveganje": FaultPlan(start, end, slowdown_factor=9)}),
+        Scenario(
+            "two slow",
+            {
+                "tveganje": FaultPlan(start, end, slowdown_factor=9),
+                "kvote": FaultPlan(start, end, slowdown_factor=9),
+            },
+        ),
+        Scenario("silent", {"kvote": FaultPlan(start, end, is_silent=True)}),
+        Scenario("flapping", {"tveganje": FaultPlan(start, end, flap_seconds=1.0)}),
+        Scenario("late", {"arhiv": FaultPlan(start, end, extra_delay=3.0)}),
+        Scenario("errors", {"kvote": FaultPlan(start, end, error_share=0.5)}),
+        Scenario("leaving", {"tveganje": FaultPlan(start, end, slowdown_factor=9)}, abandoned_share=0.3),
+        Scenario("drain", {"tveganje": FaultPlan(start, end, slowdown_factor=9)}, drains=True),
     ]
--- a/saltcart/lab/experiments.py
+++ b/saltcart/lab/experiments.py
@@ -34,7 +34,7 @@
     from saltcart.lab import sockets
 
     if choice.sockets:
-        seen = asyncio.run(sockets.play(choice.seed))
+        seen = asyncio.run(sockets.run(choice.seed))
         print(report.table([["", "share of worth"], *([k, f"{seen[k]:.3f}"] for k in ("sockets", "model"))]))
         return {k: round(v, 4) for k, v in seen.items()} | {"seed": choice.seed}
     rows, figures, days = experiment.run(choice.quick, choice.seed)
@@ -44,8 +44,10 @@
             choice.plot,
             {
                 day: {
-                    policy: [t.by_second[s] for s in range(int(figures["seconds"]))]
-                    for policy, t in by_policy.items()
+                    policy: [
+                        result.earned_weight_by_second[second] for second in range(int(figures["seconds"]))
+                    ]
+                    for policy, result in by_policy.items()
                 }
                 for day, by_policy in days.items()
             },
