--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -1,4 +1,4 @@
-"""Scripted dependencies on loopback, over AJP and the index's lines: shared by the tests and the experiments.
+"""Stand-ins for dependencies on loopback, over AJP and the index protocol, for tests and experiments.
 
 A script decides how each call ends; the stand-in implements the protocol.  ``ModelScript`` uses a dependency
 of the model as the script, so that an experiment on sockets has the same random draws as the model.
@@ -21,7 +21,14 @@
 
 
 class ReceivedCall(NamedTuple):
-    """One call as it came; ``timeout_ms``: milliseconds that its sender waits."""
+    """A call as received.
+
+    Attributes:
+        call_id: Identifies the call.
+        tenant: The tenant of the call; empty if it has none.
+        body: Body of the call.
+        timeout_ms: Milliseconds for which the caller waits.
+    """
 
     call_id: bytes
     tenant: bytes
@@ -30,7 +37,13 @@
 
 
 class ScriptedReply(NamedTuple):
-    """What becomes of a call, ``after`` seconds: ok, error, refuse, drop, or silent."""
+    """The reply to a call.
+
+    Attributes:
+        kind: "ok", "error" or "refuse" for a reply, "drop" to abort the connection, "silent" for no reply.
+        delay: Seconds from the call to the reply.
+        body: Body of an "ok" reply.
+    """
 
     kind: str = "ok"
     delay: float = 0.0
@@ -41,71 +54,96 @@
 
 
 class StandIn:
-    """A listening dependency; remembers all that it was asked, and what was given up."""
+    """A listening dependency whose replies a script decides.
+
+    Attributes:
+        script: Returns the reply to each call.
+        received_calls: All calls, in the order of arrival.
+        cancelled_calls: Ids of the calls that the caller cancelled.
+        connections: The open connections.
+        reply_count: Number of replies that were due, whether or not the caller still waited.
+        address: The address as HOST:PORT, once it listens.
+        port: The port to listen on; 0 for any free one.
+    """
 
     def __init__(self, script: Script) -> None:
         self.script, self.received_calls, self.cancelled_calls = script, list[ReceivedCall](), list[bytes]()
         self.connections = set[StandInConnection]()
-        self.reply_count = 0  # replies that were due, whether or not anybody still heard them
+        self.reply_count = 0
         self.address, self.port = "", 0
 
     async def __aenter__(self) -> Self:
+        """Start to listen."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self.make, "127.0.0.1", self.port)
+        self.server = await loop.create_server(self.make_connection, "127.0.0.1", self.port)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Stop to listen, and abort all connections."""
         self.server.close()
         for connection in list(self.connections):
             connection.abort()
 
-    def make(self) -> StandInConnection:
+    def make_connection(self) -> StandInConnection:
+        """Return the protocol object for a new connection."""
         raise NotImplementedError
 
 
 class StandInConnection(Connection):
+    """A connection from a caller; subclasses parse the calls and encode the replies."""
+
     def __init__(self, owner: StandIn) -> None:
         super().__init__()
         self.owner = owner
 
     def opened(self) -> None:
+        """Register the connection with its stand-in."""
         self.owner.connections.add(self)
 
     def closed(self) -> None:
+        """Remove the connection from its stand-in."""
         self.owner.connections.discard(self)
 
-    def take(self, asked: ReceivedCall) -> None:
-        self.owner.received_calls.append(asked)
-        act = self.owner.script(asked)
-        if act.kind != "silent":
-            asyncio.get_running_loop().call_later(act.delay, self._act, asked, act)
+    def receive_call(self, call: ReceivedCall) -> None:
+        """Record a call, and schedule the reply that the script returns."""
+        self.owner.received_calls.append(call)
+        reply = self.owner.script(call)
+        if reply.kind != "silent":
+            asyncio.get_running_loop().call_later(reply.delay, self._reply, call, reply)
 
-    def _act(self, asked: ReceivedCall, act: ScriptedReply) -> None:
+    def _reply(self, call: ReceivedCall, reply: ScriptedReply) -> None:
         self.owner.reply_count += 1
-        if act.kind == "drop":
+        if reply.kind == "drop":
             self.abort()
         else:
-            self.send(self.answer(asked, act))
+            self.send(self.encode_reply(call, reply))
 
-    def answer(self, asked: ReceivedCall, act: ScriptedReply) -> bytes:
+    def encode_reply(self, call: ReceivedCall, reply: ScriptedReply) -> bytes:
+        """Return the bytes of a reply of the kind "ok", "error" or "refuse"."""
         raise NotImplementedError
 
 
 class AjpStandIn(StandIn):
-    def make(self) -> StandInConnection:
+    """A stand-in that is called over AJP."""
+
+    def make_connection(self) -> StandInConnection:
+        """Return the protocol object for a new connection."""
         return AjpStandInConnection(self)
 
 
 class AjpStandInConnection(StandInConnection):
-    STATUS: ClassVar = {"ok": 200, "error": 500, "refuse": 503}
+    """An AJP connection from a caller."""
+
+    HTTP_STATUSES: ClassVar = {"ok": 200, "error": 500, "refuse": 503}
 
     def __init__(self, owner: StandIn) -> None:
         super().__init__(owner)
         self.parser = ajp.RequestParser(1 << 16)
 
     def received(self) -> None:
+        """Handle the messages in the buffer; a malformed one aborts the connection."""
         try:
             while (message := self.parser.next(self.buffer)) is not None:
                 match message:
@@ -114,66 +152,83 @@
                     case ajp.MoreBody(data):
                         self.send(data)
                     case ajp.ForwardRequest():
-                        named = message.headers
-                        self.take(
+                        headers = message.headers
+                        self.receive_call(
                             ReceivedCall(
-                                named[b"request-id"],
-                                named.get(b"account", b""),
+                                headers[b"request-id"],
+                                headers.get(b"account", b""),
                                 message.body,
-                                int(named[b"budget-ms"]),
+                                int(headers[b"budget-ms"]),
                             )
                         )
         except MalformedMessageError:
             self.abort()
 
-    def answer(self, asked: ReceivedCall, act: ScriptedReply) -> bytes:
-        return ajp.response(self.STATUS[act.kind], b"R", [], act.body if act.kind == "ok" else b"", True)
+    def encode_reply(self, call: ReceivedCall, reply: ScriptedReply) -> bytes:
+        """Return an AJP response; only an "ok" reply has a body."""
+        return ajp.response(
+            self.HTTP_STATUSES[reply.kind], b"R", [], reply.body if reply.kind == "ok" else b"", True
+        )
 
 
 class IndexStandIn(StandIn):
-    def make(self) -> StandInConnection:
+    """A stand-in that is called over the index protocol."""
+
+    def make_connection(self) -> StandInConnection:
+        """Return the protocol object for a new connection."""
         return IndexStandInConnection(self)
 
 
 class IndexStandInConnection(StandInConnection):
-    ENDS: ClassVar = {"error": b"BROKEN", "refuse": b"SHED"}
+    """A connection of the index protocol from a caller."""
+
+    ERROR_WORDS: ClassVar = {"error": b"BROKEN", "refuse": b"SHED"}
 
     def __init__(self, owner: StandIn) -> None:
         super().__init__(owner)
         self.reader = LineReader(lambda words: number(words, 3) if words[0] == b"GET" else None)
 
     def received(self) -> None:
+        """Handle the lines in the buffer, each a call or a cancellation; a malformed one aborts."""
         try:
-            while (found := self.reader.next(self.buffer)) is not None:
-                words, body = found
+            while (line := self.reader.next(self.buffer)) is not None:
+                words, body = line
                 if words[0] == b"GET":
-                    self.take(ReceivedCall(words[1], b"", body, number(words, 2)))
+                    self.receive_call(ReceivedCall(words[1], b"", body, number(words, 2)))
                 else:
                     self.owner.cancelled_calls.append(words[1])
         except MalformedMessageError:
             self.abort()
 
-    def answer(self, asked: ReceivedCall, act: ScriptedReply) -> bytes:
-        if act.kind == "ok":
-            return b"%b HIT %d\r\n%b\r\n" % (asked.call_id, len(act.body), act.body)
-        return b"%b %b\r\n" % (asked.call_id, self.ENDS[act.kind])
+    def encode_reply(self, call: ReceivedCall, reply: ScriptedReply) -> bytes:
+        """Return a line of the index protocol; only an "ok" reply has a body."""
+        if reply.kind == "ok":
+            return b"%b HIT %d\r\n%b\r\n" % (call.call_id, len(reply.body), reply.body)
+        return b"%b %b\r\n" % (call.call_id, self.ERROR_WORDS[reply.kind])
 
 
 class ModelScript:
-    """A script out of the model: the same draws and troubles, by the clock that is given."""
-
-    def __init__(self, place: ModelDependency, clock: Callable[[], float]) -> None:
-        self.place, self.clock = place, clock
-
-    def __call__(self, asked: ReceivedCall) -> ScriptedReply:
-        sent = orjson.loads(asked.body)
-        request = sent["n"] if "n" in sent else sent["request"]["n"]
-        acts, now = [ScriptedReply("silent")], self.clock()
-        self.place.call(
+    """A script that replies as a simulated dependency would, with its draws and faults."""
+
+    def __init__(self, dependency: ModelDependency, clock: Callable[[], float]) -> None:
+        """Create a script.
+
+        Args:
+            dependency: The simulated dependency.
+            clock: Returns the time of a call, in seconds on the clock of the dependency's origin.
+        """
+        self.dependency, self.clock = dependency, clock
+
+    def __call__(self, call: ReceivedCall) -> ScriptedReply:
+        """Return the reply to a call, whose body has the number of its request."""
+        payload = orjson.loads(call.body)
+        request = payload["n"] if "n" in payload else payload["request"]["n"]
+        replies, now = [ScriptedReply("silent")], self.clock()
+        self.dependency.call(
             now,
             request,
-            lambda when, outcome: acts.append(
+            lambda when, outcome: replies.append(
                 ScriptedReply("ok" if outcome is Outcome.SUCCEEDED else "error", when - now)
             ),
         )
-        return acts[-1]
+        return replies[-1]
