--- a/saltcart/cli.py
+++ b/saltcart/cli.py
@@ -92,4 +92,4 @@
 
     if name not in EXPERIMENTS:
         raise click.UsageError(f"no such experiment: {name}; there are {', '.join(EXPERIMENTS)}")
-    click.echo(report.figures(EXPERIMENTS[name](ExperimentOptions(quick, seed, sockets, plot, nodes))))
+    click.echo(report.format_figures(EXPERIMENTS[name](ExperimentOptions(quick, seed, sockets, plot, nodes))))
--- a/saltcart/lab/__init__.py
+++ b/saltcart/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: the service's own deciding code in a model, at sizes that sockets don't reach."""
+"""Experiments: the service's own decision code in simulations, at sizes that real processes don't reach."""
--- a/saltcart/lab/clocks.py
+++ b/saltcart/lab/clocks.py
@@ -1,4 +1,4 @@
-"""The model's own event clock beside simpy: the same chain of timed events on both."""
+"""Experiment on the event queue of the simulations: its throughput compared with that of simpy."""
 
 from __future__ import annotations
 
@@ -8,44 +8,47 @@
 
 from saltcart.lab.events import EventQueue
 
-CHAINS = 100  # at once, each of events a little apart
+CHAIN_COUNT = 100  # concurrent chains of events, each with its own interval
 
 
-def own(count: int) -> float:
-    events, left = EventQueue(0.0), [count]
+def measure_event_queue(count: int) -> float:
+    """Return the events per second of processor time on ``EventQueue``."""
+    events, remaining = EventQueue(0.0), [count]
 
-    def step(apart: float) -> None:
-        left[0] -= 1
-        if left[0] > 0:
-            events.at(events.now + apart, step, apart)
+    def step(interval: float) -> None:
+        remaining[0] -= 1
+        if remaining[0] > 0:
+            events.at(events.now + interval, step, interval)
 
-    begun = time.process_time()
-    for n in range(CHAINS):
+    cpu_start = time.process_time()
+    for n in range(CHAIN_COUNT):
         events.at(0.0, step, 0.01 + n / 10_000)
-    while left[0] > 0:
+    while remaining[0] > 0:
         events.run(events.now + 1)
-    return count / (time.process_time() - begun)
+    return count / (time.process_time() - cpu_start)
 
 
-def with_simpy(count: int) -> float:
+def measure_simpy(count: int) -> float:
+    """Return the events per second of processor time on simpy."""
     import simpy
 
-    env, left = simpy.Environment(), [count]
+    environment, remaining = simpy.Environment(), [count]
 
-    def chain(apart: float) -> Generator[Any, Any, Any]:
-        while left[0] > 0:
-            left[0] -= 1
-            yield env.timeout(apart)
+    def run_chain(interval: float) -> Generator[Any, Any, Any]:
+        while remaining[0] > 0:
+            remaining[0] -= 1
+            yield environment.timeout(interval)
 
-    begun = time.process_time()
-    for n in range(CHAINS):
-        env.process(chain(0.01 + n / 10_000))
-    env.run()
-    return count / (time.process_time() - begun)
+    cpu_start = time.process_time()
+    for n in range(CHAIN_COUNT):
+        environment.process(run_chain(0.01 + n / 10_000))
+    environment.run()
+    return count / (time.process_time() - cpu_start)
 
 
 def run(quick: bool) -> tuple[list[list[str]], dict[str, Any]]:
+    """Run the experiment and return the rows of its table and its figures."""
     count = 200_000 if quick else 2_000_000
-    seen = {"own": own(count), "simpy": with_simpy(count)}
-    rows = [["", "events/s"], *([name, f"{rate:,.0f}"] for name, rate in seen.items())]
-    return rows, {f"{name}_events_per_s": round(rate) for name, rate in seen.items()}
+    rates = {"own": measure_event_queue(count), "simpy": measure_simpy(count)}
+    rows = [["", "events/s"], *([name, f"{rate:,.0f}"] for name, rate in rates.items())]
+    return rows, {f"{name}_events_per_s": round(rate) for name, rate in rates.items()}
--- a/saltcart/lab/experiments.py
+++ b/saltcart/lab/experiments.py
@@ -1,4 +1,4 @@
-"""The experiments by name; each prints its table and ends with one JSON object."""
+"""The experiments by name; each prints its table and returns its figures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,15 @@
 
 @dataclass(frozen=True)
 class ExperimentOptions:
-    """How an experiment is to be run."""
+    """Options of a run of an experiment.
+
+    Attributes:
+        quick: Whether to run a shorter version.
+        seed: Seed of the random draws.
+        sockets: Whether to run real processes on loopback, where the experiment supports it.
+        plot: The file to write a plot to; None for no plot.
+        nodes: The only size of the fleet to run; None for all sizes.
+    """
 
     quick: bool = False
     seed: int = 1
@@ -22,115 +30,119 @@
     nodes: int | None = None
 
 
-def told(rows: list[list[str]], figures: dict[str, Any]) -> dict[str, Any]:
-    """Print the table; the figures come last, from the command line."""
-    print(report.table(rows))
+def print_table(rows: list[list[str]], figures: dict[str, Any]) -> dict[str, Any]:
+    """Print the table and return the figures, which the command prints last."""
+    print(report.format_table(rows))
     return figures
 
 
-def budgets(choice: ExperimentOptions) -> dict[str, Any]:
-    """Nine days of failing dependencies, against fixed time-outs, none, and an oracle."""
+def budgets(options: ExperimentOptions) -> dict[str, Any]:
+    """Composed responses with faulty dependencies: time budgets, fixed timeouts, no timeouts, an oracle."""
     from saltcart.lab import budgets as experiment
     from saltcart.lab import sockets
 
-    if choice.sockets:
-        seen = asyncio.run(sockets.run(choice.seed))
-        print(report.table([["", "share of worth"], *([k, f"{seen[k]:.3f}"] for k in ("sockets", "model"))]))
-        return {k: round(v, 4) for k, v in seen.items()} | {"seed": choice.seed}
-    rows, figures, days = experiment.run(choice.quick, choice.seed)
-    print(report.table(rows))
-    if choice.plot is not None:
+    if options.sockets:
+        shares = asyncio.run(sockets.run(options.seed))
+        print(
+            report.format_table(
+                [["", "share of worth"], *([name, f"{shares[name]:.3f}"] for name in ("sockets", "model"))]
+            )
+        )
+        return {name: round(value, 4) for name, value in shares.items()} | {"seed": options.seed}
+    rows, figures, results = experiment.run(options.quick, options.seed)
+    print(report.format_table(rows))
+    if options.plot is not None:
         report.plot_lines(
-            choice.plot,
+            options.plot,
             {
-                day: {
+                scenario: {
                     policy: [
                         result.earned_weight_by_second[second] for second in range(int(figures["seconds"]))
                     ]
                     for policy, result in by_policy.items()
                 }
-                for day, by_policy in days.items()
+                for scenario, by_policy in results.items()
             },
             "worth earned",
         )
     return figures
 
 
-def storm(choice: ExperimentOptions) -> dict[str, Any]:
-    """A room of a third of the nodes goes and comes back cold, while clients repeat without limit."""
+def storm(options: ExperimentOptions) -> dict[str, Any]:
+    """Retry storm: a third of the nodes fails and restarts cold while clients retry without limit."""
     from saltcart.lab import storm as experiment
     from saltcart.lab import storm_sockets
 
-    if choice.sockets:
-        rows, figures, worth = storm_sockets.run(choice.seed)
+    if options.sockets:
+        rows, figures, curves = storm_sockets.run(options.seed)
     else:
-        rows, figures, worth = experiment.run(choice.quick, choice.seed, choice.nodes)
-    print(report.table(rows))
-    if choice.plot is not None:
-        report.plot_lines(choice.plot, worth, "share of worth kept")
+        rows, figures, curves = experiment.run(options.quick, options.seed, options.nodes)
+    print(report.format_table(rows))
+    if options.plot is not None:
+        report.plot_lines(options.plot, curves, "share of worth kept")
     return figures
 
 
-def members(choice: ExperimentOptions) -> dict[str, Any]:
-    """Real processes that keep a view of each other while they are killed, paused and cut off."""
+def members(options: ExperimentOptions) -> dict[str, Any]:
+    """Membership of real processes that are killed, paused and partitioned, and of simulated ones."""
     from saltcart.lab import membership
 
-    rows, figures, truth = membership.run(choice.quick, choice.seed)
-    if choice.plot is not None:
-        report.plot_lines(choice.plot, truth, "share of views that are true")
-    return told(rows, figures)
+    rows, figures, agreement = membership.run(options.quick, options.seed)
+    if options.plot is not None:
+        report.plot_lines(options.plot, agreement, "share of views that are true")
+    return print_table(rows, figures)
 
 
-def zones(choice: ExperimentOptions) -> dict[str, Any]:
-    """Zones that fall, slow down, are cut off and flap, in a model of thousands and with real processes."""
+def zones(options: ExperimentOptions) -> dict[str, Any]:
+    """Zones that fail, slow down, are partitioned or flap, in a large simulation and with real processes."""
     from saltcart.lab import nearness
 
-    rows, figures, curves = nearness.run(choice.quick, choice.seed)
-    if choice.plot is not None:
-        report.plot_lines(choice.plot, curves, "share of the troubled work served")
-    return told(rows, figures)
+    rows, figures, curves = nearness.run(options.quick, options.seed)
+    if options.plot is not None:
+        report.plot_lines(options.plot, curves, "share of the troubled work served")
+    return print_table(rows, figures)
 
 
-def subsets(choice: ExperimentOptions) -> dict[str, Any]:
-    """Who connects to whom, as hundreds of instances and upstreams come and go; shared limits; turns."""
+def subsets(options: ExperimentOptions) -> dict[str, Any]:
+    """Subsets of upstreams as hundreds of instances and upstreams come and go; shared limits; staggering."""
     from saltcart.lab import subsets as experiment
 
-    return told(*experiment.run(choice.quick, choice.seed))
+    return print_table(*experiment.run(options.quick, options.seed))
 
 
-def views(choice: ExperimentOptions) -> dict[str, Any]:
-    """Membership's data structures beside plain ones: bytes and time."""
+def views(options: ExperimentOptions) -> dict[str, Any]:
+    """Data structures of the membership compared with plain ones: bytes and time."""
     from saltcart.lab import views as experiment
 
-    return told(*experiment.run(choice.quick, choice.seed))
+    return print_table(*experiment.run(options.quick, options.seed))
 
 
-def sketch(choice: ExperimentOptions) -> dict[str, Any]:
-    """The quantile sketch beside a plain sorted window: bytes, error, time."""
+def sketch(options: ExperimentOptions) -> dict[str, Any]:
+    """Quantile sketch compared with a sorted window: bytes, error and time."""
     from saltcart.lab import sketches
 
-    return told(*sketches.run(choice.quick, choice.seed))
+    return print_table(*sketches.run(options.quick, options.seed))
 
 
-def ablations(choice: ExperimentOptions) -> dict[str, Any]:
-    """The budgets with one part taken out, or put another way, on the same nine days."""
+def ablations(options: ExperimentOptions) -> dict[str, Any]:
+    """Composed responses with one mechanism off or replaced, in the same nine scenarios."""
     from saltcart.lab import ablations as experiment
 
-    return told(*experiment.run(choice.quick, choice.seed))
+    return print_table(*experiment.run(options.quick, options.seed))
 
 
-def filters(choice: ExperimentOptions) -> dict[str, Any]:
-    """The filter of refused work beside a plain dict: bytes, error, time."""
+def filters(options: ExperimentOptions) -> dict[str, Any]:
+    """Filter of rejected requests compared with a dict: bytes, errors and time."""
     from saltcart.lab import filters as experiment
 
-    return told(*experiment.run(choice.quick, choice.seed))
+    return print_table(*experiment.run(options.quick, options.seed))
 
 
-def clock(choice: ExperimentOptions) -> dict[str, Any]:
-    """The model's event clock beside simpy's: events a second."""
+def clock(options: ExperimentOptions) -> dict[str, Any]:
+    """Event queue of the simulations compared with simpy: events per second."""
     from saltcart.lab import clocks
 
-    return told(*clocks.run(choice.quick))
+    return print_table(*clocks.run(options.quick))
 
 
 EXPERIMENTS: dict[str, Callable[[ExperimentOptions], dict[str, Any]]] = {
--- a/saltcart/lab/filters.py
+++ b/saltcart/lab/filters.py
@@ -1,4 +1,4 @@
-"""The filter of refused work beside a plain dict on one stream: bytes, errors, time for each try."""
+"""Experiment on the filter of rejected requests: its size, errors and cost compared with those of a dict."""
 
 from __future__ import annotations
 
@@ -10,58 +10,77 @@
 
 from saltcart.retry_storm.sketches import RotatingBloomFilter
 
-RATE, SPAN = 1000.0, 60.0  # refusals a second, and seconds for which they are remembered
-AGAIN = 0.5  # of the tries come again
+ATTEMPTS_PER_SECOND, RETENTION_SECONDS = 1000.0, 60.0
+RETRY_SHARE = 0.5  # of the attempts
+MAX_RETRY_DISTANCE = 5000  # attempts between a retry and the attempt that it repeats
 
 
-class Plain:
-    """Every refused digest with its time, the oldest first: exact."""
+class ExactFilter:
+    """Every digest with the time at which it was added last, the oldest first."""
 
     def __init__(self) -> None:
-        self.at: OrderedDict[int, float] = OrderedDict()
+        self.added_at: OrderedDict[int, float] = OrderedDict()
 
     def add(self, now: float, digest: int) -> None:
-        self.at[digest] = now
-        self.at.move_to_end(digest)
-        while self.at and now - next(iter(self.at.values())) > SPAN:
-            self.at.popitem(last=False)
+        """Add a digest, and remove those older than the retention time."""
+        self.added_at[digest] = now
+        self.added_at.move_to_end(digest)
+        while self.added_at and now - next(iter(self.added_at.values())) > RETENTION_SECONDS:
+            self.added_at.popitem(last=False)
 
     def has(self, now: float, digest: int) -> bool:
-        return now - self.at.get(digest, -SPAN - 1) <= SPAN
+        """Return whether a digest was added within the retention time."""
+        return now - self.added_at.get(digest, -RETENTION_SECONDS - 1) <= RETENTION_SECONDS
 
 
-def play(kind: type[Plain] | type[RotatingBloomFilter], count: int, seed: int) -> tuple[int, float, float]:
-    """Bytes held at the end, share of new work that is told as come again, nanoseconds a try."""
+def measure(
+    kind: type[ExactFilter] | type[RotatingBloomFilter], count: int, seed: int
+) -> tuple[int, float, float]:
+    """Measure a filter on a random stream of attempts.
+
+    Returns:
+        The bytes that the filter occupies at the end, the share of new requests that it takes for retries,
+        and the nanoseconds of processor time for each attempt.
+    """
     rng = random.Random(seed)
-    stream, known = list[tuple[int, bool]](), list[int]()
+    stream, digests = list[tuple[int, bool]](), list[int]()
     for _ in range(count):
-        again = bool(known) and rng.random() < AGAIN
-        digest = known[-1 - rng.randrange(min(len(known), 5000))] if again else rng.getrandbits(64)
-        known.append(digest)
-        stream.append((digest, again))
+        is_retry = bool(digests) and rng.random() < RETRY_SHARE
+        digest = (
+            digests[-1 - rng.randrange(min(len(digests), MAX_RETRY_DISTANCE))]
+            if is_retry
+            else rng.getrandbits(64)
+        )
+        digests.append(digest)
+        stream.append((digest, is_retry))
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    table = Plain() if kind is Plain else RotatingBloomFilter(SPAN)
+    size_before = tracemalloc.get_traced_memory()[0]
+    digest_filter = ExactFilter() if kind is ExactFilter else RotatingBloomFilter(RETENTION_SECONDS)
     for n, (digest, _) in enumerate(stream):
-        table.add(n / RATE, digest)
-    size = tracemalloc.get_traced_memory()[0] - before
+        digest_filter.add(n / ATTEMPTS_PER_SECOND, digest)
+    size = tracemalloc.get_traced_memory()[0] - size_before
     tracemalloc.stop()
-    table, wrong, new = (Plain() if kind is Plain else RotatingBloomFilter(SPAN)), 0, 0
-    begun = time.process_time()
-    for n, (digest, again) in enumerate(stream):
-        found = table.has(n / RATE, digest)
-        new += not again
-        wrong += found and not again
-        table.add(n / RATE, digest)
-    took = time.process_time() - begun
-    return size, wrong / new, 1e9 * took / count
+    digest_filter, false_positives, new_requests = (
+        (ExactFilter() if kind is ExactFilter else RotatingBloomFilter(RETENTION_SECONDS)),
+        0,
+        0,
+    )
+    cpu_start = time.process_time()
+    for n, (digest, is_retry) in enumerate(stream):
+        is_found = digest_filter.has(n / ATTEMPTS_PER_SECOND, digest)
+        new_requests += not is_retry
+        false_positives += is_found and not is_retry
+        digest_filter.add(n / ATTEMPTS_PER_SECOND, digest)
+    cpu_seconds = time.process_time() - cpu_start
+    return size, false_positives / new_requests, 1e9 * cpu_seconds / count
 
 
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
+    """Run the experiment and return the rows of its table and its figures."""
     count = 60_000 if quick else 240_000
     rows, figures = [["", "bytes", "wrong", "ns/try"]], dict[str, Any]()
-    for name, kind in (("sketch", RotatingBloomFilter), ("dict", Plain)):
-        size, wrong, cost = play(kind, count, seed)
-        rows.append([name, str(size), f"{wrong:.5f}", f"{cost:.0f}"])
-        figures |= {f"{name}_bytes": size, f"{name}_wrong": round(wrong, 6), f"{name}_ns": round(cost)}
+    for name, kind in (("sketch", RotatingBloomFilter), ("dict", ExactFilter)):
+        size, error, cost = measure(kind, count, seed)
+        rows.append([name, str(size), f"{error:.5f}", f"{cost:.0f}"])
+        figures |= {f"{name}_bytes": size, f"{name}_wrong": round(error, 6), f"{name}_ns": round(cost)}
     return rows, {**figures, "tries": count, "seed": seed}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -157,7 +157,7 @@
 
 
 def test_report_formats_a_table_and_writes_a_plot(tmp_path: Path) -> None:
-    assert report.table([["a", "b"], ["long", "1"]]) == "a     b\nlong  1"
+    assert report.format_table([["a", "b"], ["long", "1"]]) == "a     b\nlong  1"
     file = tmp_path / "plot.png"
     report.plot_lines(file, {"day": {"ours": [1.0, 2.0], "none": [0.5, 0.1]}}, "worth")
     assert file.read_bytes().startswith(b"\x89PNG")
