--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,8 +22,12 @@
 def simulate(
     scenario_name: str, policy_name: str, seed: int = 1, releases_slots: bool | None = None
 ) -> CompositionFigures:
-    scenario = composition_scenarios.scenarios(RUN_SECONDS)[SCENARIO_NAMES.index(scenario_name)]
-    simulation = CompositionSimulation(scenario, policy_name, RUN_SECONDS, seed)
+    simulation = CompositionSimulation(
+        composition_scenarios.scenarios(RUN_SECONDS)[SCENARIO_NAMES.index(scenario_name)],
+        policy_name,
+        RUN_SECONDS,
+        seed,
+    )
     if releases_slots is not None:
         simulation.worker_pool.releases_slots = releases_slots
     return simulation.run()
