--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -17,7 +17,7 @@
 from saltcart.net.base import Connection
 from saltcart.wire import ajp
 from saltcart.wire.errors import MalformedMessageError
-from saltcart.wire.lines import LineReader, number
+from saltcart.wire.lines import LineReader, parse_number
 
 
 class ReceivedCall(NamedTuple):
@@ -140,7 +140,7 @@
 
     def __init__(self, owner: StandIn) -> None:
         super().__init__(owner)
-        self.parser = ajp.RequestParser(1 << 16)
+        self.parser = ajp.AjpRequestParser(1 << 16)
 
     def received(self) -> None:
         """Handle the messages in the buffer; a malformed one aborts the connection."""
@@ -149,7 +149,7 @@
                 match message:
                     case ajp.CPing():
                         self.send(ajp.CPONG_PACKET)
-                    case ajp.MoreBody(data):
+                    case ajp.GetBodyChunkPacket(data):
                         self.send(data)
                     case ajp.ForwardRequest():
                         headers = message.headers
@@ -166,7 +166,7 @@
 
     def encode_reply(self, call: ReceivedCall, reply: ScriptedReply) -> bytes:
         """Return an AJP response; only an "ok" reply has a body."""
-        return ajp.response(
+        return ajp.encode_response(
             self.HTTP_STATUSES[reply.kind], b"R", [], reply.body if reply.kind == "ok" else b"", True
         )
 
@@ -186,7 +186,7 @@
 
     def __init__(self, owner: StandIn) -> None:
         super().__init__(owner)
-        self.reader = LineReader(lambda words: number(words, 3) if words[0] == b"GET" else None)
+        self.reader = LineReader(lambda words: parse_number(words, 3) if words[0] == b"GET" else None)
 
     def received(self) -> None:
         """Handle the lines in the buffer, each a call or a cancellation; a malformed one aborts."""
@@ -194,7 +194,7 @@
             while (line := self.reader.next(self.buffer)) is not None:
                 words, body = line
                 if words[0] == b"GET":
-                    self.receive_call(ReceivedCall(words[1], b"", body, number(words, 2)))
+                    self.receive_call(ReceivedCall(words[1], b"", body, parse_number(words, 2)))
                 else:
                     self.owner.cancelled_calls.append(words[1])
         except MalformedMessageError:
--- a/saltcart/net/index.py
+++ b/saltcart/net/index.py
@@ -74,12 +74,13 @@
         try:
             for reply in self.parser.messages(self.buffer):
                 # Duplicate replies, and replies to cancelled or unknown calls, are ignored.
-                if self.call is not None and reply.ident == self.call.request_id:
-                    self.client.finish_call(self.call, OUTCOMES[reply.end], reply.body)
+                if self.call is not None and reply.request_id == self.call.request_id:
+                    self.client.finish_call(self.call, OUTCOMES[reply.status], reply.body)
         except MalformedMessageError as error:
             self.discard(str(error))
         else:
-            if self.parser.partial(self.buffer):  # if the length is wrong, the missing bytes never arrive
+            # If the length is wrong, the missing bytes never arrive.
+            if self.parser.has_partial_reply(self.buffer):
                 self.stall_timer = asyncio.get_running_loop().call_later(
                     STALLED_REPLY_TIMEOUT_SECONDS, self.discard, "incomplete reply"
                 )
@@ -128,7 +129,7 @@
         """Make a call for a request; an earlier call for it is cancelled."""
         self.cancel_call(request_id)
         call = self.calls[request_id] = IndexCall(
-            request_id, wire.get(request_id, timeout, body), must_run_once
+            request_id, wire.encode_get(request_id, timeout, body), must_run_once
         )
         self._start_call(call)
 
@@ -137,7 +138,7 @@
         call = self.calls.pop(request_id, None)
         if call is not None:
             if call.connection is not None:
-                call.connection.send(wire.stop(request_id))
+                call.connection.send(wire.encode_stop(request_id))
             self._release_call(call)
 
     def change_address(self, peer: str) -> None:
@@ -188,7 +189,7 @@
             if self.idle[n].last_used_at < used_since:
                 break
             # Bytes left over after a good reply may corrupt the next one.
-            if self.idle[n].last_request_id != request_id and not self.idle[n].parser.partial(
+            if self.idle[n].last_request_id != request_id and not self.idle[n].parser.has_partial_reply(
                 self.idle[n].buffer
             ):
                 return self.idle.pop(n)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -364,7 +364,7 @@
 def test_an_old_process_that_does_not_tell_its_keys_leaves_them_in_doubt(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("saltcart.takeover.ANSWER_WAIT", 0.2)
+    monkeypatch.setattr("saltcart.takeover.HANDOVER_TIMEOUT_SECONDS", 0.2)
 
     async def play() -> None:
         old = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -561,7 +561,7 @@
                 write, client.writer.write = client.writer.write, held.append  # type: ignore[assignment, method-assign]
                 client.send(1, body=b"xyz")
                 write(b"".join(held)[:-2])
-                await until(lambda: any(c.partial() for c in listener.connections))  # type: ignore[attr-defined]
+                await until(lambda: any(c.has_partial_request() for c in listener.connections))  # type: ignore[attr-defined]
             else:
                 client.send(1)
                 await until(lambda: pool.spawned == [ident(1)])
--- a/tests/test_retry_storm_integration.py
+++ b/tests/test_retry_storm_integration.py
@@ -241,7 +241,7 @@
             writer.close()
             ping = await AjpClient(app.addresses["ajp"]).open()
             ping.writer.write(ajp.CPING_PACKET)
-            assert isinstance(await ping.message(), ajp.Pong)
+            assert isinstance(await ping.message(), ajp.CPong)
             assert controller.token_bucket.rejected_count == 0
 
     asyncio.run(run_scenario())
@@ -350,10 +350,10 @@
 
 def test_retry_after_is_rounded_up_to_whole_seconds() -> None:
     from saltcart.core.messages import ResponseStatus
-    from saltcart.front.connection import answer_fields
+    from saltcart.front.connection import response_headers
 
     for seconds, header_value in ((0.05, "1"), (1.0, "1"), (1.01, "2")):
-        assert ("Retry-After", header_value) in answer_fields(
+        assert ("Retry-After", header_value) in response_headers(
             FinalResponse(ResponseStatus.REJECTED, retry_after_seconds=seconds)
         )
-    assert not answer_fields(FinalResponse(ResponseStatus.SERVED))
+    assert not response_headers(FinalResponse(ResponseStatus.SERVED))
