--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -17,7 +17,8 @@
 from saltcart.composition.timeout_policy import TimeoutPolicy
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import composition_scenarios
-from saltcart.lab.budgets import FULL_SECONDS, QUICK_SECONDS, CompositionSimulation
+from saltcart.lab.budgets import FULL_SECONDS, QUICK_SECONDS
+from saltcart.lab.composition_simulation import CompositionSimulation
 
 VARIANTS = ("whole", "no price", "survivors", "no breaker", "no second", "gradient")
 
--- a/saltcart/lab/sockets.py
+++ b/saltcart/lab/sockets.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from saltcart.lab import composition_scenarios
-from saltcart.lab.budgets import CompositionSimulation
+from saltcart.lab.composition_simulation import CompositionSimulation
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.faults import programs
 from saltcart.lab.faults.programs import Program, call, fleet
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,8 @@
 from saltcart.cli import cli
 from saltcart.decision.outcome import Outcome
 from saltcart.lab import composition_scenarios, report, sketches
-from saltcart.lab.budgets import CompositionFigures, CompositionSimulation, measure_engine_cost
+from saltcart.lab.budgets import measure_engine_cost
+from saltcart.lab.composition_simulation import CompositionFigures, CompositionSimulation
 from saltcart.lab.dependency import FaultPlan, ModelDependency
 from saltcart.lab.events import DueTimer, EventQueue
 
