--- a/saltcart/lab/ablations.py
+++ b/saltcart/lab/ablations.py
@@ -16,7 +16,7 @@
 from saltcart.composition.quantile_sketch import QuantileSketch
 from saltcart.composition.timeout_policy import TimeoutPolicy
 from saltcart.decision.outcome import Outcome
-from saltcart.lab import composition_scenarios
+from saltcart.lab import composition_scenarios as scenarios
 from saltcart.lab.budgets import FULL_SECONDS, QUICK_SECONDS
 from saltcart.lab.composition_simulation import CompositionSimulation
 
@@ -102,7 +102,7 @@
 def simulate(job: tuple[int, str, float, int]) -> float:
     """Return the weight earned by one job: index of the scenario, variant, duration in seconds, seed."""
     index, variant, seconds, seed = job
-    scenario = composition_scenarios.scenarios(seconds)[index]
+    scenario = scenarios.all_scenarios(seconds)[index]
     if variant == "oracle":
         return CompositionSimulation(scenario, variant, seconds, seed).run().earned_weight
     simulation = CompositionSimulation(scenario, "budgets", seconds, seed)
@@ -114,7 +114,7 @@
     """Run the experiment and return the rows of its table and its figures."""
     seconds = QUICK_SECONDS if quick else FULL_SECONDS
     names, columns = (
-        [scenario.name for scenario in composition_scenarios.scenarios(seconds)],
+        [scenario.name for scenario in scenarios.all_scenarios(seconds)],
         ("oracle", *VARIANTS),
     )
     jobs = [(n, variant, seconds, seed) for n in range(len(names)) for variant in columns]
--- a/saltcart/lab/budgets.py
+++ b/saltcart/lab/budgets.py
@@ -20,7 +20,7 @@
 from saltcart.composition.composition_engine import CompositionEngine
 from saltcart.decision.outcome import Outcome
 from saltcart.field_reader import FieldReader
-from saltcart.lab import composition_scenarios
+from saltcart.lab import composition_scenarios as scenarios
 from saltcart.lab.composition_simulation import (
     REQUESTS_PER_SECOND,
     CompositionFigures,
@@ -37,9 +37,7 @@
 def simulate(job: tuple[int, str, float, int]) -> CompositionFigures:
     """Run one job of the experiment: index of the scenario, policy, duration in seconds, seed."""
     index, policy_name, seconds, seed = job
-    return CompositionSimulation(
-        composition_scenarios.scenarios(seconds)[index], policy_name, seconds, seed
-    ).run()
+    return CompositionSimulation(scenarios.all_scenarios(seconds)[index], policy_name, seconds, seed).run()
 
 
 def run(
@@ -51,7 +49,7 @@
         The rows of the table, the figures, and the results by scenario and policy.
     """
     seconds = QUICK_SECONDS if quick else FULL_SECONDS
-    names = [scenario.name for scenario in composition_scenarios.scenarios(seconds)]
+    names = [scenario.name for scenario in scenarios.all_scenarios(seconds)]
     jobs = [(n, policy_name, seconds, seed) for n in range(len(names)) for policy_name in POLICY_NAMES]
     with ProcessPoolExecutor() as pool:
         finished = dict(zip([(names[job[0]], job[1]) for job in jobs], pool.map(simulate, jobs)))
@@ -117,14 +115,14 @@
 
     The processor time is that of the whole loop, which is a little more than the engine's.
     """
-    settings = read_settings(FieldReader(composition_scenarios.SETTINGS, "settings"))
+    settings = read_settings(FieldReader(scenarios.SETTINGS, "settings"))
     engine, rng = (
         CompositionEngine(read_composition_plans(settings), seed, settings.classes),
         random.Random(seed),
     )
     replies, sequence, sent_count = list[tuple[float, int, bytes]](), itertools.count(), 0
     peaks_kb, cpu_start, now = list[int](), time.process_time(), 1_000.0
-    class_names = rng.choices(composition_scenarios.CLASS_NAMES, composition_scenarios.CLASS_SHARES, k=1000)
+    class_names = rng.choices(scenarios.CLASS_NAMES, scenarios.CLASS_SHARES, k=1000)
     actions: list[CompositionAction] = []
     for n in range(run_count):
         now += 1 / REQUESTS_PER_SECOND
@@ -136,9 +134,7 @@
         for action in actions:
             if isinstance(action, SendCall):
                 sent_count += 1
-                seconds = composition_scenarios.DEPENDENCY_PROFILES[action.dependency].median * (
-                    0.5 + rng.random()
-                )
+                seconds = scenarios.DEPENDENCY_PROFILES[action.dependency].median * (0.5 + rng.random())
                 heapq.heappush(replies, (now + seconds, next(sequence), action.id))
         actions = []
         if n % (run_count // 4) == run_count // 4 - 1:
--- a/saltcart/lab/composition_scenarios.py
+++ b/saltcart/lab/composition_scenarios.py
@@ -67,7 +67,7 @@
 INDEX_DEPENDENCIES = ("arhiv",)  # called over the index protocol; the others are called over AJP
 
 
-def deployment_tables(addresses: dict[str, str] | None = None) -> dict[str, Any]:
+def deployment(addresses: dict[str, str] | None = None) -> dict[str, Any]:
     """Return the tables of a deployment file.
 
     Args:
@@ -138,7 +138,7 @@
     drains: bool = False
 
 
-def scenarios(seconds: float) -> list[Scenario]:
+def all_scenarios(seconds: float) -> list[Scenario]:
     """Return the nine scenarios.
 
     Args:
--- a/saltcart/lab/composition_simulation.py
+++ b/saltcart/lab/composition_simulation.py
@@ -27,15 +27,16 @@
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import Effect, Settings
 from saltcart.field_reader import FieldReader
-from saltcart.lab import composition_scenarios
+from saltcart.lab import composition_scenarios as scenarios
 from saltcart.lab.baseline_timeout_policies import find_timeout_policy
 from saltcart.lab.composition_scenarios import Scenario
 from saltcart.lab.dependency import ModelDependency, request_number
 from saltcart.lab.events import DueTimer, EventQueue, start_service_timer
 from saltcart.platform_settings import read_settings
 
-REQUESTS_PER_SECOND = 60.0
-DUPLICATE_SHARE, DUPLICATE_DELAY_SECONDS = 0.05, 0.2  # of the requests with an idempotency key
+REQUESTS_PER_SECOND = 60.0  # unless another rate is given
+DUPLICATE_SHARE = 0.05  # of the requests with an idempotency key
+DUPLICATE_DELAY_SECONDS = 0.2
 ORACLE_CORES = 1000
 DRAIN_SECONDS = 2.0  # from the start of the drain to the end of the process
 
@@ -158,42 +159,31 @@
 
 
 class CompositionSimulation:
-    """One run of a scenario under one policy.
+    """One run of a scenario under one policy: its requests are drawn first, and arrive at a given rate.
 
     Attributes:
         scenario: The scenario.
         arrival_times: When the requests arrive, in seconds since the start of the run, ascending.
         class_indexes: Classes of the requests, as indexes of ``CLASS_NAMES``.
         priority_ranks: Priority ranks of the requests.
-        behaviour_draws: Two uniform draws for each request: whether its caller disconnects; whether a
+        caller_draws: Two uniform draws for each request: whether its caller disconnects; whether a
             duplicate of it is sent, and when its caller disconnects.
         reply_shares: Share of a response's weight that each dependency's reply is worth, by class.
         response_counts: Number of responses by request; an abandoned request counts as answered.
     """
 
     def __init__(
-        self,
-        scenario: Scenario,
-        policy_name: str,
-        seconds: float,
-        seed: int,
-        requests_per_second: float = REQUESTS_PER_SECOND,
+        self, scenario: Scenario, policy: str, seconds: float, seed: int, rate: float = REQUESTS_PER_SECOND
     ) -> None:
-        """Draw the requests, and set up the server and its dependencies."""
         self.scenario, self.seconds, self.figures = scenario, seconds, CompositionFigures()
         rng = np.random.default_rng([seed, 7])
-        count = int(seconds * requests_per_second)
-        self.settings: Settings = read_settings(FieldReader(composition_scenarios.SETTINGS, "settings"))
-        if policy_name == "oracle":
+        count = int(seconds * rate)
+        self.settings: Settings = read_settings(FieldReader(scenarios.SETTINGS, "settings"))
+        if policy == "oracle":
             self.settings = replace(self.settings, cores=ORACLE_CORES)
         self.arrival_times = np.sort(rng.random(count) * seconds).tolist()
-        self.class_indexes = rng.choice(
-            len(composition_scenarios.CLASS_NAMES), count, p=composition_scenarios.CLASS_SHARES
-        ).tolist()
-        self.priority_ranks, self.behaviour_draws = (
-            rng.random(count).tolist(),
-            rng.random((count, 2)).tolist(),
-        )
+        self.class_indexes = rng.choice(len(scenarios.CLASS_NAMES), count, p=scenarios.CLASS_SHARES).tolist()
+        self.priority_ranks, self.caller_draws = rng.random(count).tolist(), rng.random((count, 2)).tolist()
         self.events = events = EventQueue()
         self.origin = events.now
         self.service = Service(
@@ -207,19 +197,16 @@
         plans = read_composition_plans(self.settings)
         self.dependencies = {
             name: ModelDependency(name, *profile, count, seed, events.now)
-            for name, profile in composition_scenarios.DEPENDENCY_PROFILES.items()
+            for name, profile in scenarios.DEPENDENCY_PROFILES.items()
         }
         for name, fault_plan in scenario.fault_plans.items():
             self.dependencies[name].fault_plans.append(fault_plan)
         self.engine = CompositionEngine(plans, seed, self.settings.classes)
         self.engine.timeout_policy = find_timeout_policy(
-            policy_name, self.engine.timeout_policy, self.dependencies
+            policy, self.engine.timeout_policy, self.dependencies
         )
         self.worker_pool = ModelWorkerPool(events, self.service, self.engine, self.dependencies, self.figures)
-        self.service.ports.workers, self.worker_pool.releases_slots = (
-            self.worker_pool,
-            policy_name == "budgets",
-        )
+        self.service.ports.workers, self.worker_pool.releases_slots = self.worker_pool, policy == "budgets"
         self.reply_shares = {
             plan.class_name: {call.dependency: call.worth for call in plan.calls()} for plan in plans.plan
         }
@@ -275,7 +262,7 @@
             idempotency_key=b"k%d" % n if has_key else None,
             body=b'{"n":%d}' % n,
         )
-        disconnect_draw, draw = self.behaviour_draws[n]
+        disconnect_draw, draw = self.caller_draws[n]
         if not copy:
             self.figures.offered_weight += spec.priority_weight
             if has_key and draw < DUPLICATE_SHARE:
@@ -311,7 +298,7 @@
 
 def read_composition_plans(settings: Settings, addresses: dict[str, str] | None = None) -> CompositionSpec:
     """Return the plans of the scenarios, checked against the classes of the settings."""
-    tables = composition_scenarios.deployment_tables(addresses)
+    tables = scenarios.deployment(addresses)
     plans = read_plans(
         {key: tables[key] for key in ("dependency", "plan")},
         [upstream["name"] for upstream in tables["upstream"]],
--- a/saltcart/lab/sockets.py
+++ b/saltcart/lab/sockets.py
@@ -10,7 +10,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from saltcart.lab import composition_scenarios
+from saltcart.lab import composition_scenarios as scenarios
 from saltcart.lab.composition_simulation import CompositionSimulation
 from saltcart.lab.dependency import ModelDependency
 from saltcart.lab.faults import programs
@@ -30,36 +30,27 @@
 
 async def run(seed: int) -> dict[str, float]:
     """Return the earned shares of the offered weight, on sockets and in the simulation, and other figures."""
-    scenario = composition_scenarios.scenarios(RUN_SECONDS)[SCENARIO_INDEX]
+    scenario = scenarios.all_scenarios(RUN_SECONDS)[SCENARIO_INDEX]
     simulation = CompositionSimulation(scenario, "budgets", RUN_SECONDS, seed, REQUESTS_PER_SECOND)
     loop = asyncio.get_running_loop()
     origin = loop.time() + 3600  # replaced when the requests start; there are no calls before
     dependencies = {
         name: ModelDependency(name, *profile, len(simulation.arrival_times), seed, origin)
-        for name, profile in composition_scenarios.DEPENDENCY_PROFILES.items()
+        for name, profile in scenarios.DEPENDENCY_PROFILES.items()
     }
     for name, fault_plan in scenario.fault_plans.items():
         dependencies[name].fault_plans.append(fault_plan)
     stand_ins: dict[str, StandIn] = {
-        name: (IndexStandIn if name in composition_scenarios.INDEX_DEPENDENCIES else AjpStandIn)(
+        name: (IndexStandIn if name in scenarios.INDEX_DEPENDENCIES else AjpStandIn)(
             ModelScript(dependency, loop.time)
         )
         for name, dependency in dependencies.items()
     }
 
     def make_program(number: int, folder: Path) -> Program:
-        config = {
-            "listen": "127.0.0.1:0",
-            "seed": f"{seed:x}",
-            "settings": composition_scenarios.SETTINGS,
-        }
+        config = {"listen": "127.0.0.1:0", "seed": f"{seed:x}", "settings": scenarios.SETTINGS}
         return Program(
-            "lab",
-            folder,
-            config,
-            composition_scenarios.deployment_tables(
-                {name: stand_in.address for name, stand_in in stand_ins.items()}
-            ),
+            "lab", folder, config, scenarios.deployment({n: s.address for n, s in stand_ins.items()})
         )
 
     async with AsyncExitStack() as stack:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,21 +10,22 @@
 
 from saltcart.cli import cli
 from saltcart.decision.outcome import Outcome
-from saltcart.lab import composition_scenarios, report, sketches
+from saltcart.lab import composition_scenarios as scenarios
+from saltcart.lab import report, sketches
 from saltcart.lab.budgets import measure_engine_cost
 from saltcart.lab.composition_simulation import CompositionFigures, CompositionSimulation
 from saltcart.lab.dependency import FaultPlan, ModelDependency
 from saltcart.lab.events import DueTimer, EventQueue
 
 RUN_SECONDS = 12.0
-SCENARIO_NAMES = [scenario.name for scenario in composition_scenarios.scenarios(RUN_SECONDS)]
+SCENARIO_NAMES = [scenario.name for scenario in scenarios.all_scenarios(RUN_SECONDS)]
 
 
 def simulate(
     scenario_name: str, policy_name: str, seed: int = 1, releases_slots: bool | None = None
 ) -> CompositionFigures:
     simulation = CompositionSimulation(
-        composition_scenarios.scenarios(RUN_SECONDS)[SCENARIO_NAMES.index(scenario_name)],
+        scenarios.all_scenarios(RUN_SECONDS)[SCENARIO_NAMES.index(scenario_name)],
         policy_name,
         RUN_SECONDS,
         seed,
