--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -7,13 +7,13 @@
 import pytest
 
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment, MemberConf, UpstreamConf
+from saltcart.deployment import AjpSettings, Deployment, MemberConf, UpstreamConf
 from saltcart.net import ajp as ajp_driver
 from saltcart.net.ajp import AjpMember, AjpUpstream
 from saltcart.wire import ajp
 from tests.standins import AjpClient, AjpServer, HttpClient, Pool, container_answer, running, until
 
-FRONT = Deployment(ajp=AjpFront("127.0.0.1:0", "s3cret"))
+FRONT = Deployment(ajp=AjpSettings("127.0.0.1:0", "s3cret"))
 
 
 def upstream_deployment(*hosts: str) -> Deployment:
@@ -112,7 +112,7 @@
             earlier_client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
             earlier_client.send(1)
             await until(lambda: len(pool.spawned) == 1)
-            app.leave()
+            app.begin_drain()
             await asyncio.sleep(0.35)
             # Connections are still accepted.
             later_client = await AjpClient(app.addresses["ajp"], b"s3cret").open()
--- a/tests/test_retry_storm_integration.py
+++ b/tests/test_retry_storm_integration.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from saltcart.admin.api import Api
+from saltcart.admin.api import AdminApi
 from saltcart.app import App
 from saltcart.cli import cli
 from saltcart.config import ConfigError
@@ -19,7 +19,7 @@
 from saltcart.decision.actions import Action
 from saltcart.decision.events import Event, RequestArrived
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment, read
+from saltcart.deployment import AjpSettings, Deployment, read_deployment
 from saltcart.lab import storm as lab
 from saltcart.retry_storm.controller import RetryStormController
 from saltcart.retry_storm.settings import StormSettings
@@ -27,7 +27,7 @@
 from tests.fakes import SETTINGS, ServiceHarness
 from tests.standins import AjpClient, HttpClient, Pool, running, until
 
-STORM_DEPLOYMENT = Deployment(ajp=AjpFront("127.0.0.1:0"), storm=StormSettings())
+STORM_DEPLOYMENT = Deployment(ajp=AjpSettings("127.0.0.1:0"), storm=StormSettings())
 
 
 def make_harness(**changed_settings: Any) -> tuple[ServiceHarness, RetryStormController]:
@@ -265,7 +265,7 @@
 
 
 def test_the_administration_api_shows_the_tenants_that_retry_most() -> None:
-    api = Api(ServiceHarness().service, None, "sixteen-characters-of-it", None, lambda: controller)  # type: ignore[arg-type]
+    api = AdminApi(ServiceHarness().service, None, "sixteen-characters-of-it", None, lambda: controller)  # type: ignore[arg-type]
     harness, controller = make_harness()
     begin_storm(controller)
     headers = {b"authorization": b"Bearer sixteen-characters-of-it"}
@@ -278,9 +278,9 @@
 
 @pytest.mark.parametrize(("table", "is_enabled"), [({}, True), ({"enabled": False}, False)])
 def test_the_table_enables_retry_storm_control(table: dict[str, Any], is_enabled: bool) -> None:
-    assert (read({"storm": table}).storm is not None) == is_enabled
+    assert (read_deployment({"storm": table}).storm is not None) == is_enabled
     with pytest.raises(ConfigError, match=r"storm\.least"):
-        read({"storm": {**table, "least": -1}})
+        read_deployment({"storm": {**table, "least": -1}})
 
 
 def test_the_control_port_reports_storm_metrics() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -19,7 +19,7 @@
 from saltcart.core.idempotency_keys import KeyRecord
 from saltcart.decision.events import PredecessorLoad
 from saltcart.decision.outcome import Outcome
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.listener import Listener, ServerConnection
 from saltcart.wire import handover as wire
 from saltcart.wire.errors import MalformedMessageError
@@ -216,7 +216,7 @@
                 assert (await keyed.ask(6, "oddaja", key="k")).body == b"done x"
                 assert successor_pool.spawned == [ident(3), ident(4)] and len(predecessor_pool.spawned) == 2
                 done = asyncio.Event()
-                predecessor.leave(done.set)
+                predecessor.begin_drain(done.set)
                 assert not done.is_set() and not successor.service.drain.notified_at
                 predecessor_pool.finish(ident(1))
                 assert (await busy.answer()).body == b"done x"
@@ -291,7 +291,7 @@
             async with running(None, platform, pool=successor_pool.address):
                 predecessor_pool.auto = False
                 await until(lambda: predecessor.service.lifecycle.attempts.notify_successor is not None)
-                predecessor.leave(done.set)
+                predecessor.begin_drain(done.set)
             await until(lambda: predecessor.service.lifecycle.attempts.notify_successor is None)
             assert predecessor.service.drain.notified_at is not None and not done.is_set()
             predecessor_pool.auto = True
@@ -358,7 +358,7 @@
         ajp_address = "{}:{}".format(*free_socket.getsockname())
 
     async def scenario() -> None:
-        deployment = Deployment(ajp=AjpFront(ajp_address))
+        deployment = Deployment(ajp=AjpSettings(ajp_address))
         async with (
             Pool() as predecessor_pool,
             Pool() as successor_pool,
