--- a/saltcart/lab/standins.py
+++ b/saltcart/lab/standins.py
@@ -73,7 +73,7 @@
         self.address, self.port = "", 0
 
     async def __aenter__(self) -> Self:
-        """Start to listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(self.make_connection, "127.0.0.1", self.port)
         host, port = self.server.sockets[0].getsockname()[:2]
@@ -81,7 +81,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop to listen, and abort all connections."""
+        """Stop listening, and abort all connections."""
         self.server.close()
         for connection in list(self.connections):
             connection.abort()
