--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for what the service speaks to, and an application started in this process."""
+"""Stand-ins on loopback for the peers of the service, clients, and an application in this process."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 from saltcart.wire import ajp, http1
 from saltcart.wire.buffer import Buffer
 
+POLL_INTERVAL_SECONDS = 0.005
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 SETTINGS: dict[str, Any] = {
     "services": [
@@ -51,7 +52,8 @@
 }
 
 
-def raw_config(**more: Any) -> dict[str, Any]:
+def raw_config(**config_fields: Any) -> dict[str, Any]:
+    """Return a configuration as it is read from JSON, with the given fields added or replaced."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -59,16 +61,21 @@
         "stop_ms": 1500,
         "limits": {"sockets": 256},
         "settings": SETTINGS,
-        **more,
+        **config_fields,
     }
 
 
 def encode_id(number: int) -> bytes:
+    """Return the request id that stands for a number."""
     return b"%016x" % number
 
 
 class Server:
-    """A stand-in server on a free port; remembers its connections so that a test can cut them."""
+    """A stand-in server on a free port; records its connections so that a test can abort them.
+
+    Args:
+        handler: Serves one connection.
+    """
 
     def __init__(self, handler: Handler) -> None:
         self.handler, self.writers = handler, list[asyncio.StreamWriter]()
@@ -94,25 +101,30 @@
         self.abort_connections()
 
     def abort_connections(self) -> None:
+        """Abort all connections that were accepted so far."""
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
 
 
 class Pool(Server):
-    """A stand-in worker pool: remembers what it was told; ``auto`` ends each run at once."""
+    """A stand-in worker pool that records the lines that it receives.
+
+    Args:
+        finishes_runs: Whether each run succeeds as soon as it is spawned.
+    """
 
     def __init__(self, finishes_runs: bool = True) -> None:
-        super().__init__(self._link)
+        super().__init__(self._serve_link)
         self.finishes_runs, self.last_notice_number, self.notices = finishes_runs, 0, dict[int, bytes]()
         self.spawned: list[bytes] = []
         self.bodies: dict[bytes, bytes] = {}
         self.received_lines: list[bytes] = []
-        self.state = b"LOADED 60000"  # what it says when it is bound
-        self.ignores_polls = False  # leaves polls unanswered: for a test that writes a notice in pieces
+        self.reported_state = b"LOADED 60000"  # sent in reply to bind
+        self.ignores_polls = False  # replies to polls would come between the parts of a notice
         self.writer: asyncio.StreamWriter | None = None
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := (await reader.readline()).rstrip():
             words = line.split()
             self.received_lines.append(line)
@@ -120,8 +132,8 @@
                 self.bodies[words[1]] = (await reader.readexactly(int(words[-1]) + 2))[:-2]
             if words[0] == b"bind":
                 self.writer = writer
-                writer.write(b"bound %b\r\n" % self.state)
-                writer.writelines(data for n, data in self.notices.items() if n > int(words[1]))
+                writer.write(b"bound %b\r\n" % self.reported_state)
+                writer.writelines(data for number, data in self.notices.items() if number > int(words[1]))
             elif words[0] == b"poll" and not self.ignores_polls and self.writer is writer:
                 writer.write(b"polled %b 0.5 1\r\n" % words[1])
             elif words[0] == b"spawn":
@@ -130,26 +142,33 @@
                     self.finish(words[1])
 
     def restart(self) -> None:
-        """Another pool at the same address: it numbers its notices anew and knows of no run."""
-        self.last_notice_number, self.state = 0, b"EMPTY 40"
+        """Act as a restarted pool, which numbers its notices from 1 and has no runs."""
+        self.last_notice_number, self.reported_state = 0, b"EMPTY 40"
         self.notices.clear()
         self.abort_connections()
 
     def send_notice(self, text: bytes, body: bytes) -> None:
+        """Send a notice under the next number, and again whenever the service binds without having read it.
+
+        Args:
+            text: Kind and fields of the notice, without its number and size.
+            body: Body of the notice.
+        """
         self.last_notice_number += 1
-        head = b"%b %d %b %d\r\n" % (
+        header = b"%b %d %b %d\r\n" % (
             text.split()[0],
             self.last_notice_number,
             b" ".join(text.split()[1:]),
             len(body),
         )
-        self.notices[self.last_notice_number] = head + body + b"\r\n"
+        self.notices[self.last_notice_number] = header + body + b"\r\n"
         if self.writer is not None:
             self.writer.write(self.notices[self.last_notice_number])
 
-    def finish(self, request_id: bytes, end: bytes = b"PASS") -> None:
-        result = b"done " + self.bodies[request_id] if end == b"PASS" else b""
-        self.send_notice(b"finished %b %b 20" % (request_id, end), result)
+    def finish(self, request_id: bytes, outcome: bytes = b"PASS") -> None:
+        """Report the end of a run; the result of a successful one is derived from its body."""
+        result = b"done " + self.bodies[request_id] if outcome == b"PASS" else b""
+        self.send_notice(b"finished %b %b 20" % (request_id, outcome), result)
 
 
 @asynccontextmanager
@@ -158,9 +177,18 @@
     environment: dict[str, str] | None = None,
     log: Log = lambda event, **fields: None,
     clock: Clock | None = None,
-    **more: Any,
+    **config_fields: Any,
 ) -> AsyncIterator[App]:
-    conf: Config = read_config(raw_config(**more), environment or {})
+    """Run an application until the end of the block, which begins once it is healthy and ready.
+
+    Args:
+        deployment: Deployment settings, by default none.
+        environment: Environment variables that the configuration is read with.
+        log: Receives log events.
+        clock: Clock of the application.
+        config_fields: Fields added to or replaced in ``raw_config()``.
+    """
+    conf: Config = read_config(raw_config(**config_fields), environment or {})
     app = App(conf, deployment or Deployment(), log, clock)
     await app.start()
     try:
@@ -170,10 +198,15 @@
         await app.close()
 
 
-async def until(condition: Callable[[], bool], wait: float = 20.0) -> None:
-    async with asyncio.timeout(wait):
+async def until(condition: Callable[[], bool], timeout_seconds: float = 20.0) -> None:
+    """Wait for a condition.
+
+    Raises:
+        TimeoutError: It did not hold in time.
+    """
+    async with asyncio.timeout(timeout_seconds):
         while not condition():
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
 def make_request_fields(
@@ -184,7 +217,17 @@
     rank: str = "0.9",
     account: str = "acme",
 ) -> list[tuple[str, str]]:
-    named = {
+    """Return the header fields of a request.
+
+    Args:
+        number: Number of which the request id is made.
+        key: Idempotency key, if any.
+        budget_ms: Time within which the caller expects the response.
+        received_at_ms: Unix time at which the request was received, by default now.
+        rank: Priority rank, from 0 to 1.
+        account: Account that sends the request.
+    """
+    fields = {
         "Request-Id": f"{number:016x}",
         "Received-At": str(received_at_ms or int(time.time() * 1000)),
         "Account": account,
@@ -192,33 +235,47 @@
         "Footprint-Kb": "24.5",
         "Priority-Rank": rank,
     }
-    return [*named.items()] + ([("Once-Key", key)] if key else [])
+    return [*fields.items()] + ([("Once-Key", key)] if key else [])
 
 
 class HttpClient:
+    """An HTTP client on one connection, as a balancer uses it.
+
+    Args:
+        address: Host and port of the service.
+    """
+
     def __init__(self, address: str) -> None:
         self.host, self.port = address.split(":")
         self.buffer, self.parser = Buffer(), http1.HttpResponseParser(1 << 16)
         # Values that replace the default ones; None leaves the field out.
         self.overridden_fields: dict[str, str | None] = {}
 
-    def request_fields(self, number: int, **more: Any) -> list[tuple[str, str]]:
-        named = {**dict(make_request_fields(number, **more)), **self.overridden_fields}
-        return [(name, value) for name, value in named.items() if value is not None]
+    def request_fields(self, number: int, **options: Any) -> list[tuple[str, str]]:
+        """Return the fields of ``make_request_fields``, with the overridden ones replaced or left out."""
+        fields = {**dict(make_request_fields(number, **options)), **self.overridden_fields}
+        return [(name, value) for name, value in fields.items() if value is not None]
 
     async def open(self) -> Self:
+        """Open the connection."""
         self.reader, self.writer = await asyncio.open_connection(self.host, int(self.port))
         return self
 
-    def send(self, number: int, class_name: str = "read", body: bytes = b"x", **more: Any) -> None:
-        head = "".join(f"{name}: {value}\r\n" for name, value in self.request_fields(number, **more))
+    def send(self, number: int, class_name: str = "read", body: bytes = b"x", **options: Any) -> None:
+        """Send a request; the options are those of ``make_request_fields``."""
+        header = "".join(f"{name}: {value}\r\n" for name, value in self.request_fields(number, **options))
         self.writer.write(
-            f"POST /call/{class_name} HTTP/1.1\r\nHost: h\r\n{head}"
+            f"POST /call/{class_name} HTTP/1.1\r\nHost: h\r\n{header}"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body
         )
 
     async def read_response(self) -> http1.HttpResponse:
+        """Read the next response.
+
+        Raises:
+            ConnectionResetError: The connection ended before it was complete.
+        """
         while (response := self.parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
@@ -227,28 +284,42 @@
         return response
 
     async def post(
-        self, number: int, class_name: str = "read", body: bytes = b"x", **more: Any
+        self, number: int, class_name: str = "read", body: bytes = b"x", **options: Any
     ) -> http1.HttpResponse:
-        self.send(number, class_name, body, **more)
+        """Send a request and read its response."""
+        self.send(number, class_name, body, **options)
         return await self.read_response()
 
     def drop(self) -> None:
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 def bypass_transport(client: HttpClient) -> Callable[[bytes], None]:
-    """Writes to the client's socket in this very turn, past its transport."""
+    """Make the client write to its socket directly.
+
+    The data reaches the service within the current iteration of the event loop, unlike data that a transport
+    may buffer.
+
+    Returns:
+        The function that writes.
+    """
 
     def write(data: bytes) -> None:
-        with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
-            raw.sendall(data)
+        with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as duplicate:
+            duplicate.sendall(data)
 
     client.writer.write = write  # type: ignore[assignment, method-assign]
     return write
 
 
 class AjpClient(HttpClient):
-    """A gateway's half of AJP."""
+    """An AJP client on one connection, as a gateway uses it.
+
+    Args:
+        address: Host and port of the service.
+        secret: Shared secret that is sent with each request, if any.
+    """
 
     def __init__(self, address: str, secret: bytes = b"") -> None:
         super().__init__(address)
@@ -260,10 +331,10 @@
         class_name: str = "read",
         body: bytes = b"x",
         first_part_size: int = ajp.MAX_BODY_DATA_BYTES,
-        **more: Any,
+        **options: Any,
     ) -> None:
-        """``first``: how much of the body goes along unasked."""
-        headers = [(n.encode(), v.encode()) for n, v in self.request_fields(number, **more)]
+        """Send a request and the first part of its body; the service requests the rest."""
+        headers = [(name.encode(), value.encode()) for name, value in self.request_fields(number, **options)]
         self.writer.write(
             ajp.encode_forward_request(
                 b"POST",
@@ -279,6 +350,11 @@
         self.unsent_body = body[first_part_size:]
 
     async def read_message(self) -> ajp.AjpResponse | ajp.CPong | ajp.GetBodyChunk:
+        """Read the next message.
+
+        Raises:
+            ConnectionResetError: The connection ended before it was complete.
+        """
         while (message := self.response_parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
@@ -287,6 +363,7 @@
         return message
 
     async def read_response(self) -> http1.HttpResponse:
+        """Read the next response, sending the parts of the body that the service requests."""
         while isinstance(message := await self.read_message(), ajp.GetBodyChunk):
             part, self.unsent_body = self.unsent_body[: message.size], self.unsent_body[message.size :]
             self.writer.write(ajp.encode_body_packet(part))
@@ -299,16 +376,21 @@
 
 
 class AjpServer(Server):
-    """A stand-in AJP container; ``act`` decides what becomes of each request."""
+    """A stand-in AJP container that records the requests that it receives.
+
+    Args:
+        respond: Returns the response to a request, or ``None`` to abort the connection.
+        secret: Shared secret that requests must have, if any.
+    """
 
     def __init__(
         self, respond: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]], secret: bytes = b""
     ) -> None:
-        super().__init__(self._link)
+        super().__init__(self._serve_requests)
         self.respond, self.secret = respond, secret
         self.received_requests: list[ajp.ForwardRequest] = []
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         buffer, parser = Buffer(), ajp.AjpRequestParser(1 << 16, self.secret)
         while data := await reader.read(4096):
             buffer.write(data)
@@ -319,12 +401,13 @@
                     writer.write(message.data)
                 else:
                     self.received_requests.append(message)
-                    answer = await self.respond(message)
-                    if answer is None:  # drop the connection
+                    response = await self.respond(message)
+                    if response is None:
                         writer.transport.abort()
                         return
-                    writer.write(answer)
+                    writer.write(response)
 
 
 def encode_container_response(status: int, body: bytes = b"", reuse: bool = True) -> bytes:
+    """Return an AJP response without headers, as a container sends it."""
     return ajp.encode_response(status, b"R", [], body, reuse)
