--- a/tests/standins.py
+++ b/tests/standins.py
@@ -298,8 +298,7 @@
 def bypass_transport(client: HttpClient) -> Callable[[bytes], None]:
     """Make the client write to its socket directly.
 
-    The data reaches the service within the current iteration of the event loop, unlike data that a transport
-    may buffer.
+    Data is sent within the current iteration of the event loop; a transport may send it only after that.
 
     Returns:
         The function that writes.
--- a/tests/test_drain_and_connection_edge_cases.py
+++ b/tests/test_drain_and_connection_edge_cases.py
@@ -1,4 +1,7 @@
-"""Rare moments at the edges of the process, each forced by the order of events: docs/design/endings.md."""
+"""Edge cases of drains, connections, clocks and the log, each forced by the order of events.
+
+They are listed in docs/design/endings.md.
+"""
 
 from __future__ import annotations
 
@@ -22,64 +25,71 @@
 from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, bypass_transport, encode_id, running, until
 from tests.test_endings import short
 
+RESPONSE_BYTES = 16 << 20  # more than the buffers of the sockets hold
+
 
-def test_a_drain_counts_from_the_notice_though_a_long_turn_hides_it() -> None:
-    came: list[float] = []
+def test_drain_time_counts_from_the_first_signal_during_a_long_loop_iteration() -> None:
+    """The event loop runs a signal handler only after the iteration in which the signal arrived."""
+    signal_times: list[float] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
-            clock, heard = app.service.clock.read_seconds, asyncio.Event()
+            read_clock, drain_started = app.service.clock.read_seconds, asyncio.Event()
 
-            def leave(ago: float) -> None:
-                app.begin_drain(heard.set, ago)
-                heard.set()
+            def begin_drain(seconds_ago: float) -> None:
+                app.begin_drain(drain_started.set, seconds_ago)
+                drain_started.set()
 
-            handle_signals((signal.SIGTERM, signal.SIGINT), clock, leave)
-            for number in (signal.SIGTERM, signal.SIGINT):  # the second one moves nothing
-                os.kill(os.getpid(), number)
-                came.append(clock())
-                while clock() < came[-1] + 0.5:  # the turn goes on
+            handle_signals((signal.SIGTERM, signal.SIGINT), read_clock, begin_drain)
+            for signal_number in (signal.SIGTERM, signal.SIGINT):  # the second one must not move the times
+                os.kill(os.getpid(), signal_number)
+                signal_times.append(read_clock())
+                while read_clock() < signal_times[-1] + 0.5:  # prolong the iteration
                     pass
-            await heard.wait()
+            await drain_started.wait()
             drain_at, stop_at = app.service.drain.notified_at, app.service.drain.stop_at
-            assert drain_at is not None and drain_at < came[1]
+            assert drain_at is not None and drain_at < signal_times[1]
             assert stop_at - drain_at == pytest.approx(app.conf.stop_timeout, abs=0.1)
 
-    before = [signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)]
+    previous_handlers = [signal.getsignal(signal_number) for signal_number in (signal.SIGTERM, signal.SIGINT)]
     try:
-        asyncio.run(play())
+        asyncio.run(scenario())
     finally:
-        for number, handler in zip((signal.SIGTERM, signal.SIGINT), before):
-            signal.signal(number, handler)
+        for signal_number, handler in zip((signal.SIGTERM, signal.SIGINT), previous_handlers):
+            signal.signal(signal_number, handler)
 
 
-def test_a_start_beside_cores_that_have_run_for_a_year_looks_at_no_sweep_of_that_year() -> None:
-    """A new version, or a service that is started again, finds a pool that has been up for long."""
-    looked: list[int] = []
+def test_start_with_a_year_old_pool_skips_the_sweeps_of_that_year() -> None:
+    """A restarted service finds a pool that has been up for long, and must not catch up on missed sweeps."""
+    visited_slots: list[int] = []
 
-    class Wheel(dict[int, Any]):
-        def pop(self, at: int, *default: Any) -> Any:
-            looked.append(at)
-            return super().pop(at, *default)
+    class RecordingSlots(dict[int, Any]):
+        def pop(self, slot: int, *default: Any) -> Any:
+            visited_slots.append(slot)
+            return super().pop(slot, *default)
 
     controller = Controller(CORE, 1)
-    controller.wheel.slots = Wheel()
-    year, now = 31_536_000.0, 1_800_000_000.0
-    controller.handle(now - year, Started())
+    controller.wheel.slots = RecordingSlots()
+    year_seconds, now = 31_536_000.0, 1_800_000_000.0
+    controller.handle(now - year_seconds, Started())
     controller.handle(now, RequestArrived(7, 0, 10.0, 0.5, time_to_deadline=0.5))
     controller.handle(now + controller.sweep_interval, TimerFired(0))
-    assert 0 < len(looked) < 5
-    told = [
-        a for n in range(2, 60) for a in controller.handle(now + n * controller.sweep_interval, TimerFired(0))
+    assert 0 < len(visited_slots) < 5
+    actions = [
+        action
+        for sweep in range(2, 60)
+        for action in controller.handle(now + sweep * controller.sweep_interval, TimerFired(0))
     ]
-    assert FailRequest(7) in told  # and what stands there is still found
+    assert FailRequest(7) in actions  # the scheduled check of the request is still found
 
 
 @pytest.mark.parametrize("front", CLIENTS)
-def test_a_request_that_waits_at_a_new_connection_in_a_long_turn_is_read_before_its_time_is_over(
+def test_request_on_a_new_connection_during_a_long_loop_iteration_is_read_before_its_timeout(
     front: str,
 ) -> None:
-    async def play() -> None:
+    """The timeout is checked in an iteration in which the request has arrived, but has not been read yet."""
+
+    async def scenario() -> None:
         async with Pool() as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             listener = app.fronts[front]
             listener.sweeper.stop()
@@ -94,42 +104,46 @@
             assert (await asyncio.wait_for(client.read_response(), 10)).status == 200
             assert await asyncio.wait_for(silent.reader.read(), 10) == b""
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("front", CLIENTS)
-def test_bytes_behind_the_last_answer_of_a_connection_reset_nothing(
+def test_bytes_after_the_last_response_do_not_reset_the_connection(
     front: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer says that the connection ends; what crosses it stands unread at the socket."""
-    monkeypatch.setattr(ServerConnection, "LINGER_SECONDS", 60.0)  # what ends it is the client's close
+    """The response announces the close, and bytes sent before the client reads it are left unread.
+
+    Closing a socket with unread bytes resets the connection, and the client would lose the response.
+    """
+    monkeypatch.setattr(ServerConnection, "LINGER_SECONDS", 60.0)  # only the client's close may end it
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool(finishes_runs=False) as pool, running(BOTH_FRONTS, pool=pool.address) as app:
             listener = app.fronts[front]
             listener.sweeper.stop()
             client = await CLIENTS[front](app.addresses[front]).open()
             client.send(1)
             await until(lambda: pool.spawned == [encode_id(1)])
-            app.service.executor.idle_timeout = 0.01  # the module closes idle connections at once
+            app.service.executor.idle_timeout = 0.01  # close idle connections at once
             bypass_transport(client)(b"POST /call/read HTTP/1.1\r\nHost")
             app.service.run_finished(encode_id(1), Outcome.SUCCEEDED, 0.1, b"done")
             assert (await client.read_response()).body == b"done"
-            assert await client.reader.read() == b""  # an end, and no reset
+            assert await client.reader.read() == b""  # end of file without a reset
             client.writer.close()
             await until(lambda: not listener.connections)
             assert pool.spawned == [encode_id(1)]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("end", ["idle", "half-closed"])
-def test_answers_that_are_never_read_do_not_hold_a_descriptor(
-    end: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("cause", ["idle", "half-closed"])
+def test_unread_responses_do_not_hold_a_descriptor_after_the_close(
+    cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A transport closes only after its buffer was written, which a client that never reads prevents."""
     monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 0.02)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             listener = app.listeners[0]
             listener.sweeper.stop()
@@ -138,144 +152,147 @@
             await until(lambda: len(listener.connections) == 1)
             served = next(iter(listener.connections))
             assert served.transport is not None
-            # Fewer bytes than make it count as stuck, were the system's buffers as small.
+            # Stands for a response too small to count the connection as blocked for writing.
             served.transport.set_write_buffer_limits(1 << 30)
-            served.send(b"x" * (16 << 20))
+            served.send(b"x" * (RESPONSE_BYTES))
             served.mark_idle()
             assert served.transport.get_write_buffer_size() and served not in listener.write_blocked
-            if end == "idle":
+            if cause == "idle":
                 served.state_since -= 100.0
                 listener._sweep()
             else:
                 client.writer.write_eof()
             await until(lambda: not listener.connections)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("ended", ["half_close", "close"])
-def test_a_long_answer_that_is_read_slowly_is_not_cut_off(
-    ended: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("close_method", ["half_close", "close"])
+def test_long_response_that_is_read_slowly_is_not_cut_off(
+    close_method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The short linger time must not apply while the response is still being sent."""
     monkeypatch.setattr(ServerConnection, "LINGER_SECONDS", 0.0)
     monkeypatch.setattr(Listener, "REQUEST_TIMEOUT_SECONDS", 60.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Pool() as pool, running(pool=pool.address) as app:
             client = await HttpClient(app.addresses["http"]).open()
             await until(lambda: len(app.listeners[0].connections) == 1)
             served = next(iter(app.listeners[0].connections))
-            served.send(b"x" * (16 << 20))
+            served.send(b"x" * (RESPONSE_BYTES))
             assert served.transport is not None and served.transport.get_write_buffer_size()
-            getattr(served, ended)()
-            for _ in range(100):  # turns in which nothing is read
+            getattr(served, close_method)()
+            for _ in range(100):  # loop iterations in which nothing is read
                 await asyncio.sleep(0)
-            assert len(await client.reader.read()) == 16 << 20
+            assert len(await client.reader.read()) == RESPONSE_BYTES
             client.writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_call_that_waits_takes_the_place_of_one_given_up_while_it_connected(
+def test_waiting_call_gets_the_connection_slot_of_one_cancelled_while_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    begun: list[bytes] = []
+    connecting: list[bytes] = []
 
     async def connect(client: IndexClient, call: IndexCall) -> None:
-        begun.append(call.request_id)
-        await asyncio.Event().wait()  # a proxy that takes no connection and refuses none
+        connecting.append(call.request_id)
+        await asyncio.Event().wait()  # a proxy that neither accepts nor refuses the connection
 
     monkeypatch.setattr(IndexClient, "_connect", connect)
 
-    async def play() -> None:
+    async def scenario() -> None:
         client = IndexClient(
             "127.0.0.1:1", ServiceHarness().service, lambda event, **_: None, max_connections=1
         )
         client.call(b"a", 1.0, b"", False)
         client.call(b"b", 1.0, b"", False)
-        await until(lambda: begun == [b"a"])
+        await until(lambda: connecting == [b"a"])
         client.cancel_call(b"a")
-        await until(lambda: begun == [b"a", b"b"])
+        await until(lambda: connecting == [b"a", b"b"])
         client.close()
         await until(lambda: not client.connect_tasks)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("end", "told"), [(Outcome.SUCCEEDED, "served"), (Outcome.FAILED, "failed"), (None, "failed")]
+    ("outcome", "status"), [(Outcome.SUCCEEDED, "served"), (Outcome.FAILED, "failed"), (None, "failed")]
 )
-@pytest.mark.parametrize("closed", ["before the stop", "handed over"])
-def test_a_further_try_of_what_has_run_is_never_refused_also_where_nothing_is_taken_any_more(
-    end: Outcome | None, told: str, closed: str
+@pytest.mark.parametrize("ending", ["shortly before the stop", "handed over"])
+def test_retry_of_a_request_that_ran_is_not_rejected_though_new_requests_are(
+    outcome: Outcome | None, status: str, ending: str
 ) -> None:
-    w = ServiceHarness()
-    w.submit(1)
-    assert w.spawned_ids() == [encode_id(1)]
-    if end is not None:
-        w.finish_run(1, end)
-    if closed == "handed over":
-        w.service.lifecycle.attempts.hand_over(lambda entry, gone: None)
+    """A rejection would say that the request did not run, and the caller would run it elsewhere."""
+    harness = ServiceHarness()
+    harness.submit(1)
+    assert harness.spawned_ids() == [encode_id(1)]
+    if outcome is not None:
+        harness.finish_run(1, outcome)
+    if ending == "handed over":
+        harness.service.lifecycle.attempts.hand_over(lambda entry, is_freed: None)
     else:
-        w.service.start_drain(2.0)
-        w.run_until(w.now + 1.95)
-    w.submit(2)
-    w.submit(3, key=b"new")
-    assert w.statuses(2) == [told] and w.statuses(3) == ["refused"]
-    assert told == "failed" or w.responses[encode_id(2)][0].body == b"result"
-
-
-def test_a_sender_whose_clock_is_ahead_puts_no_try_past_its_window() -> None:
-    w = short(1.0)
-    w.submit(1)
-    w.finish_run(1)
-    w.run_until(w.now + 0.5)
-    w.submit(2, received_at=w.now + 4.0)
-    assert w.spawned_ids() == [encode_id(1)] and w.responses[encode_id(2)][0].body == b"result"
-    ahead = short(1.0)
-    ahead.submit(1, received_at=ahead.now + 4.0)  # and its own window is counted from what it says
-    ahead.finish_run(1)
-    ahead.run_until(ahead.now + 4.5)
-    ahead.submit(2)
-    assert ahead.spawned_ids() == [encode_id(1)]
+        harness.service.start_drain(2.0)
+        harness.run_until(harness.now + 1.95)
+    harness.submit(2)
+    harness.submit(3, key=b"new")
+    assert harness.statuses(2) == [status] and harness.statuses(3) == ["refused"]
+    assert status == "failed" or harness.responses[encode_id(2)][0].body == b"result"
+
+
+def test_sender_clock_that_is_ahead_does_not_move_a_retry_past_the_key_window() -> None:
+    """A Received-At in the future would make the retry run a second time inside the window."""
+    harness = short(1.0)
+    harness.submit(1)
+    harness.finish_run(1)
+    harness.run_until(harness.now + 0.5)
+    harness.submit(2, received_at=harness.now + 4.0)
+    assert harness.spawned_ids() == [encode_id(1)] and harness.responses[encode_id(2)][0].body == b"result"
+    first_ahead = short(1.0)
+    first_ahead.submit(1, received_at=first_ahead.now + 4.0)  # its window counts from the time that it states
+    first_ahead.finish_run(1)
+    first_ahead.run_until(first_ahead.now + 4.5)
+    first_ahead.submit(2)
+    assert first_ahead.spawned_ids() == [encode_id(1)]
 
 
 @pytest.mark.parametrize("sockets", [64, 100, 128, 256, 512, 1024])
-def test_balancers_may_hold_half_of_the_descriptors_however_few_there_are(sockets: int) -> None:
-    async def play() -> None:
+def test_balancers_may_use_half_of_any_number_of_descriptors(sockets: int) -> None:
+    async def scenario() -> None:
         async with (
             Pool() as pool,
             running(pool=pool.address, control="127.0.0.1:0", limits={"sockets": sockets}) as app,
         ):
             listeners: list[Listener] = app.listeners
             assert app.index is None and app.fronts["http"].max_connections >= sockets // 2
-            assert sum(one.max_connections for one in listeners) <= sockets - max(16, sockets // 16)
+            assert sum(listener.max_connections for listener in listeners) <= sockets - max(16, sockets // 16)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_line_that_could_not_be_written_is_not_the_last_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The disk under the log was full for a moment."""
-    full, write = [True], os.write
-    reading, writing = os.pipe()
+def test_log_lines_after_a_failed_write_are_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The disk that the log is written to was full for a moment."""
+    is_disk_full, write = [True], os.write
+    read_end, write_end = os.pipe()
 
-    def attempt(fd: int, data: bytes) -> int:
-        if fd == writing and full[0]:
+    def write_unless_full(fd: int, data: bytes) -> int:
+        if fd == write_end and is_disk_full[0]:
             raise OSError(28, "no space")
         return write(fd, data)
 
-    monkeypatch.setattr(os, "write", attempt)
+    monkeypatch.setattr(os, "write", write_unless_full)
 
-    async def play() -> None:
-        log = JsonLog(writing)
+    async def scenario() -> None:
+        log = JsonLog(write_end)
         log("first")
         await until(lambda: log.dropped == 1)
-        full[0] = False
+        is_disk_full[0] = False
         log("second")
         log.close()
 
-    asyncio.run(play())
-    os.close(writing)
-    with os.fdopen(reading, "rb") as lines:
+    asyncio.run(scenario())
+    os.close(write_end)
+    with os.fdopen(read_end, "rb") as lines:
         (line,) = lines.readlines()
     assert b'"second"' in line and b'"dropped":1' in line
