--- a/tests/test_protocol_parity.py
+++ b/tests/test_protocol_parity.py
@@ -1,7 +1,8 @@
-"""Half the load over HTTP, half over AJP, on real sockets under overload: the protocol makes no difference.
+"""Parity of HTTP and AJP: under overload on real sockets, the protocol of a request makes no difference.
 
-The clock is the test's and the seed is fixed, so that a play is the same every time.  It is played twice with
-the protocols swapped: each request must fare alike over both, and so must the counts of each class.
+Half of the requests are sent over each protocol.  The test sets the clock and the seed is fixed, so that
+every run is the same.  There are two runs, with the protocols swapped: each request must get the same status
+in both, and the counts of each class must be equal.
 """
 
 from __future__ import annotations
@@ -17,12 +18,16 @@
 from saltcart.net.clock import Clock
 from tests.standins import AjpClient, HttpClient, raw_config, until
 
-REQUESTS, APART, TAKES = 360, 0.03, 0.16  # twice what two cores do
-VERDICTS = {200: "served", 503: "refused", 500: "failed"}
+REQUEST_COUNT, ARRIVAL_INTERVAL_SECONDS, RUN_SECONDS = 360, 0.03, 0.16  # twice what two cores can do
+STATUS_NAMES = {200: "served", 503: "refused", 500: "failed"}
 
 
-class Work:
-    """The runs port by the test's clock: each run takes as long, every eleventh fails."""
+class FixedTimeWorkers:
+    """A worker pool on the clock of the test: all runs take the same time, and every eleventh fails.
+
+    Args:
+        app: The application that it works for.
+    """
 
     def __init__(self, app: App) -> None:
         self.service = app.service
@@ -33,13 +38,18 @@
         class_name: str,
         account: str,
         body: bytes,
-        once: bool,
-        within: float,
-        aim: float,
+        must_run_once: bool,
+        time_to_deadline: float,
+        time_to_objective: float,
     ) -> None:
         outcome = Outcome.FAILED if int(request_id, 16) % 11 == 0 else Outcome.SUCCEEDED
         self.service.timers.call_at(
-            self.service.clock.now + TAKES, self.service.run_finished, request_id, outcome, TAKES, body
+            self.service.clock.now + RUN_SECONDS,
+            self.service.run_finished,
+            request_id,
+            outcome,
+            RUN_SECONDS,
+            body,
         )
 
     def suspend(self, request_id: bytes) -> None:
@@ -49,14 +59,21 @@
 
     def resume(self, request_id: bytes) -> None: ...
     def supply_reply(self, request_id: bytes, reply: bytes) -> None: ...
-    def skip_call(self, request_id: bytes, notice: int) -> None: ...
+    def skip_call(self, request_id: bytes, notice_number: int) -> None: ...
 
     def poll_gauges(self) -> None:
         self.service.gauges_polled((1.0, 2.0))
 
 
-async def play(ajp_first: bool) -> list[tuple[str, str, str]]:
-    """Protocol, class and verdict of each request, in the order in which they were sent."""
+async def send_mix(ajp_first: bool) -> list[tuple[str, str, str]]:
+    """Send the requests, alternately over the two protocols.
+
+    Args:
+        ajp_first: Whether even requests are sent over AJP and odd ones over HTTP, rather than the reverse.
+
+    Returns:
+        Protocol, class and status of each request, in the order in which they were sent.
+    """
     now = 5_000.0
     app = App(
         read_config(raw_config()),
@@ -64,53 +81,66 @@
         lambda *_, **__: None,
         clock=Clock(lambda: now, lambda: now),
     )
-    app.worker_pool_override = Work(app)
+    app.worker_pool_override = FixedTimeWorkers(app)
     await app.start()
-    taken = list[bytes]()
-    arrive = app.service.submit
+    submitted_ids = list[bytes]()
+    submit = app.service.submit
 
-    def counted(inbound: InboundRequest, respond: ResponseCallback) -> int:
-        taken.append(inbound.request_id)
-        return arrive(inbound, respond)
+    def record_and_submit(inbound: InboundRequest, respond: ResponseCallback) -> int:
+        submitted_ids.append(inbound.request_id)
+        return submit(inbound, respond)
 
-    app.service.submit = counted  # type: ignore[method-assign]
-    asked = list[tuple[str, str, asyncio.Task[int]]]()
+    app.service.submit = record_and_submit  # type: ignore[method-assign]
+    sent = list[tuple[str, str, asyncio.Task[int]]]()
 
-    async def ask(client: HttpClient, number: int, klass: str) -> int:
+    async def post(client: HttpClient, number: int, class_name: str) -> int:
         await client.open()
-        answer = await client.post(
+        response = await client.post(
             number,
-            klass,
-            key=f"{number:x}" if klass == "oddaja" else None,
+            class_name,
+            key=f"{number:x}" if class_name == "oddaja" else None,
             received_at_ms=int(now * 1000),
             rank=f"0.{number * 617 % 1000:03}",
         )
         client.drop()
-        return answer.status
+        return response.status
 
-    for n in range(1, REQUESTS + 1):
+    for n in range(1, REQUEST_COUNT + 1):
         over_ajp = (n % 2 == 0) == ajp_first
         client = AjpClient(app.addresses["ajp"]) if over_ajp else HttpClient(app.addresses["http"])
-        klass = "oddaja" if n % 4 < 2 else "read"
-        asked.append(("ajp" if over_ajp else "http", klass, asyncio.create_task(ask(client, n, klass))))
-        await until(lambda n=n: len(taken) == n)  # type: ignore[misc]
-        now += APART
+        class_name = "oddaja" if n % 4 < 2 else "read"
+        sent.append(
+            ("ajp" if over_ajp else "http", class_name, asyncio.create_task(post(client, n, class_name)))
+        )
+        await until(lambda n=n: len(submitted_ids) == n)  # type: ignore[misc]
+        now += ARRIVAL_INTERVAL_SECONDS
         app.service.tick()
     for _ in range(400):
         now += 0.02
         app.service.tick()
-    statuses = await asyncio.gather(*(task for _, _, task in asked))
+    statuses = await asyncio.gather(*(task for _, _, task in sent))
     await app.close()
-    return [(protocol, klass, VERDICTS[status]) for (protocol, klass, _), status in zip(asked, statuses)]
+    return [
+        (protocol, class_name, STATUS_NAMES[status])
+        for (protocol, class_name, _), status in zip(sent, statuses)
+    ]
 
 
-def test_a_mix_under_overload_fares_alike_over_both_protocols() -> None:
-    first, second = asyncio.run(play(True)), asyncio.run(play(False))
-    assert [x[1:] for x in first] == [x[1:] for x in second]  # request by request
-    assert all(a[0] != b[0] for a, b in zip(first, second))
+def test_requests_get_the_same_status_over_both_protocols_under_overload() -> None:
+    first, second = asyncio.run(send_mix(True)), asyncio.run(send_mix(False))
+    assert [entry[1:] for entry in first] == [entry[1:] for entry in second]  # request by request
+    assert all(one[0] != other[0] for one, other in zip(first, second))
     counts = Counter(first + second)
-    for klass in ("read", "oddaja"):
-        over = {p: {v: counts[p, klass, v] for v in VERDICTS.values()} for p in ("http", "ajp")}
-        assert over["http"] == over["ajp"] and sum(over["http"].values()) == REQUESTS / 2
-    total = Counter(verdict for _, _, verdict in first)
-    assert total["refused"] > REQUESTS / 8 and total["served"] > REQUESTS / 4 and total["failed"] > 5, total
+    for class_name in ("read", "oddaja"):
+        by_protocol = {
+            protocol: {status: counts[protocol, class_name, status] for status in STATUS_NAMES.values()}
+            for protocol in ("http", "ajp")
+        }
+        assert (
+            by_protocol["http"] == by_protocol["ajp"]
+            and sum(by_protocol["http"].values()) == REQUEST_COUNT / 2
+        )
+    total = Counter(status for _, _, status in first)
+    assert (
+        total["refused"] > REQUEST_COUNT / 8 and total["served"] > REQUEST_COUNT / 4 and total["failed"] > 5
+    ), total
