--- a/tests/standins.py
+++ b/tests/standins.py
@@ -66,7 +66,7 @@
 
 
 def encode_id(number: int) -> bytes:
-    """Return the request id that stands for a number."""
+    """Return the request id made of a number."""
     return b"%016x" % number
 
 
--- a/tests/test_drain_and_connection_edge_cases.py
+++ b/tests/test_drain_and_connection_edge_cases.py
@@ -152,7 +152,7 @@
             await until(lambda: len(listener.connections) == 1)
             served = next(iter(listener.connections))
             assert served.transport is not None
-            # Stands for a response too small to count the connection as blocked for writing.
+            # As if the response were too small to count the connection as blocked for writing.
             served.transport.set_write_buffer_limits(1 << 30)
             served.send(b"x" * (RESPONSE_BYTES))
             served.mark_idle()
--- a/tests/test_protocol_parity.py
+++ b/tests/test_protocol_parity.py
@@ -140,7 +140,7 @@
             by_protocol["http"] == by_protocol["ajp"]
             and sum(by_protocol["http"].values()) == REQUEST_COUNT / 2
         )
-    total = Counter(status for _, _, status in first)
+    total = Counter(final_status for _, _, final_status in first)
     assert (
         total["refused"] > REQUEST_COUNT / 8 and total["served"] > REQUEST_COUNT / 4 and total["failed"] > 5
     ), total
