--- a/tests/test_drain_and_connection_edge_cases.py
+++ b/tests/test_drain_and_connection_edge_cases.py
@@ -23,7 +23,7 @@
 from tests.fakes import SETTINGS as CORE
 from tests.fakes import ServiceHarness
 from tests.standins import BOTH_FRONTS, CLIENTS, HttpClient, Pool, bypass_transport, encode_id, running, until
-from tests.test_endings import short
+from tests.test_termination import harness_with_key_window
 
 RESPONSE_BYTES = 16 << 20  # more than the buffers of the sockets hold
 
@@ -243,13 +243,13 @@
 
 def test_sender_clock_that_is_ahead_does_not_move_a_retry_past_the_key_window() -> None:
     """A Received-At in the future would make the retry run a second time inside the window."""
-    harness = short(1.0)
+    harness = harness_with_key_window(1.0)
     harness.submit(1)
     harness.finish_run(1)
     harness.run_until(harness.now + 0.5)
     harness.submit(2, received_at=harness.now + 4.0)
     assert harness.spawned_ids() == [encode_id(1)] and harness.responses[encode_id(2)][0].body == b"result"
-    first_ahead = short(1.0)
+    first_ahead = harness_with_key_window(1.0)
     first_ahead.submit(1, received_at=first_ahead.now + 4.0)  # its window counts from the time that it states
     first_ahead.finish_run(1)
     first_ahead.run_until(first_ahead.now + 4.5)
