--- a/examples/dependencies.py
+++ b/examples/dependencies.py
@@ -14,25 +14,25 @@
 import itertools
 import sys
 
-from saltcart.lab.standins import Act, AjpStandIn, Asked, IndexStandIn, StandIn
+from saltcart.lab.standins import AjpStandIn, IndexStandIn, ReceivedCall, ScriptedReply, StandIn
 
 ARCHIVE_CALL_NUMBERS = itertools.count(1)
 
 
-def tariff(call: Asked) -> Act:
+def tariff(call: ReceivedCall) -> ScriptedReply:
     """Reply with a tariff rate."""
-    return Act(after=0.03, body=b'{"rate":0.045}')
+    return ScriptedReply(delay=0.03, body=b'{"rate":0.045}')
 
 
-def archive(call: Asked) -> Act:
+def archive(call: ReceivedCall) -> ScriptedReply:
     """Reply with the number of entries; every third call outlasts the caller's timeout."""
-    return Act(after=30.0 if next(ARCHIVE_CALL_NUMBERS) % 3 == 0 else 0.05, body=b'{"entries":2}')
+    return ScriptedReply(delay=30.0 if next(ARCHIVE_CALL_NUMBERS) % 3 == 0 else 0.05, body=b'{"entries":2}')
 
 
-def ledger(call: Asked) -> Act:
+def ledger(call: ReceivedCall) -> ScriptedReply:
     """Print the body and reply with its number in the ledger."""
     print("entered", call.body.decode(), flush=True)
-    return Act(after=0.05, body=b'{"number":"LJ-1"}')
+    return ScriptedReply(delay=0.05, body=b'{"number":"LJ-1"}')
 
 
 async def main(port: int) -> None:
