--- a/saltcart/locality/outlier_detection.py
+++ b/saltcart/locality/outlier_detection.py
@@ -23,7 +23,7 @@
 MAX_DOUBLINGS = 16  # of the ejection time
 REFUSED_CONNECTION_FAILURES = 2  # consecutive failures that a refused connection counts as
 
-EndpointOutcomes = tuple[int, int, float]  # good and bad outcomes, and the sum of their durations in seconds
+EndpointOutcomes = tuple[int, int, float]  # successes, failures, and the sum of their durations in seconds
 NO_OUTCOMES: EndpointOutcomes = 0, 0, 0.0
 
 
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.recent_outcomes = OutcomeCounts(OUTCOME_HALF_LIFE)
-        self.is_healthy = True  # False from an ejection, or a failure soon after, to the next good outcome
+        self.is_healthy = True  # False from an ejection, or a failure soon after, to the next success
         self.consecutive_failures = 0
         self.ejections = 0
         self.ejected_until = 0.0
@@ -54,7 +54,7 @@
         return now < self.ejected_until
 
     def record_success(self, now: float) -> None:
-        """Count a good outcome; it ends an ejection."""
+        """Count a success; it ends an ejection."""
         self.consecutive_failures = 0
         self.is_healthy = True
         self.ejected_until = min(self.ejected_until, now)
@@ -62,12 +62,12 @@
             self.ejections = 0
 
     def record_failure(self, connection_refused: bool) -> None:
-        """Count a bad outcome."""
+        """Count a failure."""
         self.consecutive_failures += REFUSED_CONNECTION_FAILURES if connection_refused else 1
         self.is_healthy &= self.ejections == 0
 
     def should_eject(self, now: float, settings: LocalitySettings) -> bool:
-        """Whether to eject the member, after a bad outcome."""
+        """Whether to eject the member, after a failure."""
         if self.is_ejected(now):
             return False
         has_relapsed = self.ejections > 0 and now < self.ejected_until + self.ejection_seconds
@@ -101,7 +101,7 @@
         self.endpoints = {host: EndpointHealth() for members in self.members_by_zone for host in members}
         self.zone_of = {host: zone for zone, members in enumerate(self.members_by_zone) for host in members}
         self.position_of = {host: n for members in self.members_by_zone for n, host in enumerate(members)}
-        # Good and bad outcomes by zone; those of members that are already failing are left out.
+        # Successes and failures by zone; failures of members that are already failing are left out.
         self.unreported_outcomes = [(0, 0) for _ in self.members_by_zone]
         self.unreported_by_endpoint: dict[str, EndpointOutcomes] = {}  # all outcomes, also of failing members
         self.capacity_shares: dict[str, float] = {}  # by host, where their zones report less than 1
@@ -184,14 +184,14 @@
     # ---- choice of members --------------------------------------------------------------------
 
     def is_failing(self, now: float, host: str) -> bool:
-        """Whether a member is ejected, or on trial after an ejection without a good outcome so far."""
+        """Whether a member is ejected, or on trial after an ejection without a success so far."""
         endpoint = self.endpoints[host]
         return endpoint.is_ejected(now) or not endpoint.is_healthy
 
     def next_trial(self, now: float, own_zone: int, own_zone_degraded: bool) -> str | None:
         """Return a member that is due for a trial request; None without one.
 
-        Due are members whose ejection has ended without a good outcome since then, members of the own zone
+        Due are members whose ejection has ended without a success since then, members of the own zone
         that are reported to have lost capacity, and all of the own zone's while it is not fully trusted:
         without requests, a zone would seem healthy for lack of evidence.  Members of other zones get
         few trials, as the instances in their own zones send them trials; trials from all zones would
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -232,12 +232,12 @@
     ) -> str | None:
         """Return the member that an attempt goes to; None to reject the request.
 
-        A first attempt follows the plan.  A retry stays in the plan's zones while they have an untried
-        member, and then goes to the nearest other zones within the retry budget.
+        A first attempt follows the plan.  A retry stays in the plan's zones while they have an
+        unattempted member, and then goes to the nearest other zones within the retry budget.
 
         Args:
             now: Monotonic time in seconds.
-            attempted_hosts: Members that were tried and have certainly not run the request.
+            attempted_hosts: Members that were attempted and proved not to have run the request.
             is_idempotent: Whether the request may run twice, so that it may serve as a trial request.
             weight: Priority weight; when the plan rejects a share of the requests, the lowest go first.
         """
--- a/saltcart/net/ajp.py
+++ b/saltcart/net/ajp.py
@@ -1,8 +1,8 @@
 """The worker pool port on AJP servers: the members of one upstream execute the runs.
 
 A run is one forward request to one member.  A refused connection and a response with status 429 or 503 prove
-that the run never started, so another member is tried.  A connection that is lost after bytes were sent
-proves nothing: a run that must run only once then fails, and an idempotent one is retried once.
+that the run never started, so it is attempted at another member.  A connection that is lost after bytes
+were sent proves nothing: a run that must run only once then fails, and an idempotent one is retried once.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
             self.close()
 
     def closed(self) -> None:
-        """Leave the member's idle connections, and fail the request in progress."""
+        """Remove this connection from the member's idle ones, and fail the request in progress."""
         if self in self.member.idle_connections:
             self.member.idle_connections.remove(self)
         if self.response is not None and not self.response.done():
@@ -251,7 +251,7 @@
                 retries_left -= 1
                 attempted.discard(member)
                 continue
-            finally:  # a run that was cancelled or timed out counts for the member as a lost connection does
+            finally:  # a cancelled or timed-out run counts as a failure of the member, like a lost connection
                 if chooser is not None:
                     chooser.attempt_finished(
                         member.host, is_success, loop.time() - attempt_started_at, connection_refused
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -322,8 +322,8 @@
     def record_outcome(self, now: float, host: str, is_success: bool, connection_refused: bool) -> None:
         """Count the outcome of an attempt at a member.
 
-        After a refused connection, the member is in backoff until this instance's staggered time.  A good
-        outcome ends the backoff.
+        After a refused connection, the member is in backoff until this instance's staggered time.  A
+        success ends the backoff.
         """
         if connection_refused:
             backoff = self.backoffs.setdefault(
