--- a/saltcart/config.py
+++ b/saltcart/config.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the platform configures; addresses are ``host:port``."""
+    """The configuration by the platform; addresses are ``host:port``."""
 
     name: str
     listen: str  # for clients
--- a/saltcart/core/action_executor.py
+++ b/saltcart/core/action_executor.py
@@ -136,7 +136,7 @@
             self.lifecycle.fail(request)
             return
         response = FinalResponse(
-            ResponseStatus.REJECTED, back_off_seconds=action.retry_after, is_final=action.is_final
+            ResponseStatus.REJECTED, back_off_seconds=action.back_off_seconds, is_final=action.is_final
         )
         control = self.ports.storm_control
         if control is not None and request.attempt is not None:
--- a/saltcart/decision/actions.py
+++ b/saltcart/decision/actions.py
@@ -29,7 +29,7 @@
 
     id: int
     is_final: bool = False  # the caller should not try another server
-    retry_after: float = 0.0
+    back_off_seconds: float = 0.0  # for which the client should not use this server
 
 
 @dataclass(slots=True)
--- a/saltcart/decision/admission.py
+++ b/saltcart/decision/admission.py
@@ -17,7 +17,7 @@
 RUN_MEMORY_SHARE = 0.95  # up to which runs are started
 JOIN_MEMORY_SHARE = 0.97  # up to which a retry may wait for the result of an earlier attempt
 
-RETRY_AFTER_SHARE = 0.05  # Retry-After, as a share of the latency objective
+BACK_OFF_SHARE = 0.05  # back-off of a rejected client, as a share of the latency objective
 QUOTA_BURST_OBJECTIVES = 2.0  # burst over a tenant's quota, as its runs in this many latency objectives
 UNREAD_SMOOTHING = 0.1  # weight of a new unread time in its exponentially weighted moving average
 ARRIVALS_DECAY = 0.9  # factor of the arrival counts in each period
@@ -112,9 +112,9 @@
         is_full = self.table.memory_kb > JOIN_MEMORY_SHARE * self.settings.memory_kb
         return not has_failed and now < self.drain.respond_by and not is_full
 
-    def retry_after(self) -> float:
-        """Return the Retry-After of a rejection in seconds; it is short because pressure changes quickly."""
-        share = 1.0 if self.drain.is_withdrawing else RETRY_AFTER_SHARE
+    def back_off_seconds(self) -> float:
+        """Return how long a rejected client should avoid this server; short, as pressure changes quickly."""
+        share = 1.0 if self.drain.is_withdrawing else BACK_OFF_SHARE
         return min(self.settings.max_retry_after, self.objective * share)
 
     def _is_over_quota(self, now: float, request: Request) -> bool:
--- a/saltcart/decision/controller.py
+++ b/saltcart/decision/controller.py
@@ -226,7 +226,7 @@
             request.has_response = True
             if reject and not request.has_run:
                 is_final = self.advertisement.rejections_are_final()
-                self.actions.append(actions.Reject(request.id, is_final, self.admission.retry_after()))
+                self.actions.append(actions.Reject(request.id, is_final, self.admission.back_off_seconds()))
             else:
                 self.actions.append(actions.FailRequest(request.id))
         self._close(request, stop=True)
--- a/saltcart/decision/settings.py
+++ b/saltcart/decision/settings.py
@@ -110,7 +110,7 @@
     key_entry_kb: float = 0.0  # memory of one remembered idempotency key
     read_freshness_seconds: float = 0.0  # how long the response to a read may be reused for other requests
     signal_lifetime: float = 0.0  # how long clients apply an advertised level
-    max_retry_after: float = 0.0  # upper bound of Retry-After; 0 where clients are not sent one
+    max_retry_after: float = 0.0  # upper bound of the back-off in a rejection; 0 where none is sent
     client_idle_timeout: float = 0.0  # clients close connections that were idle for this long
     replica_count: int = 1
     client_count: int = 1
--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -319,7 +319,7 @@
         ]
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the state that the administration API shows."""
         zones = self.topology.zones
         rows = self.plan.rows.items()
         return {
--- a/saltcart/net/locality_driver.py
+++ b/saltcart/net/locality_driver.py
@@ -123,5 +123,5 @@
         )
 
     def state(self) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the state that the administration API shows."""
         return self.router.state(self.loop.time())
--- a/saltcart/net/subset_driver.py
+++ b/saltcart/net/subset_driver.py
@@ -84,7 +84,7 @@
         return self.balancer.admit(self.loop.time())
 
     def choose_member(self, class_name: str, attempted_hosts: set[str], is_idempotent: bool) -> str | None:
-        """Return the member that an attempt goes to; None if all members were tried."""
+        """Return the member that an attempt goes to; None if all members were attempted."""
         return self.balancer.choose(self.loop.time(), attempted_hosts)
 
     def attempt_finished(self, host: str, is_success: bool, seconds: float, connection_refused: bool) -> None:
@@ -94,5 +94,5 @@
     # ---- administration API -------------------------------------------------------------------
 
     def state(self) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the state that the administration API shows."""
         return self.balancer.state(self.loop.time())
--- a/saltcart/simulator_adapter.py
+++ b/saltcart/simulator_adapter.py
@@ -181,8 +181,8 @@
     message: dict[str, Any] = {"verb": "busy", "msgId": action.id}
     if action.is_final:
         message["terminal"] = True
-    if action.retry_after > 0:
-        message["wait"] = action.retry_after
+    if action.back_off_seconds > 0:
+        message["wait"] = action.back_off_seconds
     return message
 
 
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -218,7 +218,7 @@
             self.reports[sender.name] = now, decode_message(_report_decoder, data, "load report")
 
     def tick(self, now: float) -> None:
-        """Send what is due at this instance's staggered time.
+        """Send the messages that are due at this instance's staggered time.
 
         An instance sends its load report to its class's leader; the leader publishes the sum.  The fleet's
         leader also updates the assignments, once no instance has joined or left for ``SETTLE_SECONDS``.
@@ -347,7 +347,7 @@
         ]
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the state that the administration API shows."""
         return {
             "class": self.own_class,
             "classes": self.class_count,
