--- a/saltcart/decision/concurrency_limit.py
+++ b/saltcart/decision/concurrency_limit.py
@@ -27,7 +27,7 @@
         """Return how many requests on its cores the server survives: fewer while it is warming up.
 
         Args:
-            age: Seconds since the workers started.
+            age: Seconds since the worker pool started.
         """
         settings = self.settings
         return settings.cores * (1 + (settings.max_running_per_core - 1) * settings.speed_share(age))
@@ -37,7 +37,7 @@
 
         Args:
             now: Current time.
-            age: Seconds since the workers started.
+            age: Seconds since the worker pool started.
             cpu_busy: Mean utilisation of the cores, 0 to 1, or None without a reading.
             held: Number of held requests.
             period: Seconds between two steps of the hill climbing.
--- a/saltcart/locality/evidence.py
+++ b/saltcart/locality/evidence.py
@@ -44,7 +44,7 @@
 
 
 class OutcomeCounts:
-    """Exponentially decayed counts of successes and failures, and the sum of their durations in seconds."""
+    """Exponentially decayed counts of good and bad outcomes, and the sum of their durations in seconds."""
 
     __slots__ = ("bad", "good", "half_life", "max_count", "seconds", "updated_at")
 
--- a/saltcart/locality/load_reports.py
+++ b/saltcart/locality/load_reports.py
@@ -41,7 +41,7 @@
         short_term_demand: Request rate with the short half-life, in requests per second.
         grades: By zone number, the available share of the zone's capacity and the number of decayed outcomes
             that it is based on.
-        outcomes: Successes and failures since the previous report, by zone number.
+        outcomes: Good and bad outcomes since the previous report, by zone number.
         member_outcomes: The same for members of the own zone by position, with the sum of their durations.
         long_term_demand: Request rate with the long half-life, in requests per second.  Instances before
             0.7 send neither this nor the outcomes.
@@ -64,7 +64,7 @@
         instances: Number of instances with a fresh report.
         demand: Sum of the instances' demand, in requests per second.
         grades: Available share of each zone's capacity, as observed by this zone's instances.
-        outcomes: Decayed counts of successes and failures by zone number.
+        outcomes: Decayed counts of good and bad outcomes by zone number.
         log_odds: Sequential test of this zone's health.  Leaders before 0.7 do not send it, and their zones
             count as proven healthy.
         capacity_percents: Share of their capacity that members of this zone provide, by position; members
--- a/saltcart/locality/outlier_detection.py
+++ b/saltcart/locality/outlier_detection.py
@@ -23,7 +23,7 @@
 MAX_DOUBLINGS = 16  # of the ejection time
 REFUSED_CONNECTION_FAILURES = 2  # consecutive failures that a refused connection counts as
 
-EndpointOutcomes = tuple[int, int, float]  # successes, failures, and the sum of their durations in seconds
+EndpointOutcomes = tuple[int, int, float]  # good and bad outcomes, and the sum of their durations in seconds
 NO_OUTCOMES: EndpointOutcomes = 0, 0, 0.0
 
 
@@ -101,7 +101,7 @@
         self.endpoints = {host: EndpointHealth() for members in self.members_by_zone for host in members}
         self.zone_of = {host: zone for zone, members in enumerate(self.members_by_zone) for host in members}
         self.position_of = {host: n for members in self.members_by_zone for n, host in enumerate(members)}
-        # Successes and failures by zone; failures of members that are already failing are left out.
+        # Good and bad outcomes by zone; bad ones of members that are already failing are left out.
         self.unreported_outcomes = [(0, 0) for _ in self.members_by_zone]
         self.unreported_by_endpoint: dict[str, EndpointOutcomes] = {}  # all outcomes, also of failing members
         self.capacity_shares: dict[str, float] = {}  # by host, where their zones report less than 1
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -302,15 +302,15 @@
     def choose(self, now: float, attempted_hosts: set[str]) -> str | None:
         """Return the member that an attempt goes to: the less loaded of two that are drawn from the subset.
 
-        Members outside the subset are used only when all of the subset was tried, and members in backoff
+        Members outside the subset are used only when all of the subset was attempted, and members in backoff
         only when no others are left.
 
         Args:
             now: Monotonic time in seconds.
-            attempted_hosts: Members that were tried and have certainly not run the request.
+            attempted_hosts: Members that were attempted and proved not to have run the request.
 
         Returns:
-            The member's host; None if all members were tried.
+            The member's host; None if all members were attempted.
         """
         candidates = [host for host in self.subset if host not in attempted_hosts]
         candidates = candidates or [host for host in self.members if host not in attempted_hosts]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -239,7 +239,7 @@
             await r.start(range(4))
             states = await r.step("start", {}, 1)
             assert r.told.settled and set(r.clients(states)) == {2}
-            r.programs[0].kill()  # the one that follows the tables
+            r.programs[0].kill()  # the fleet's leader, which writes the assignments
             states = await r.step("one dies", states, 1)
             assert len(states) == 3 and sorted(set(r.clients(states))) == [1, 2]
             await r.start(range(1))
