--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from saltcart.lab import members as model
-from saltcart.lab.faults import plays
+from saltcart.lab.faults import membership_scenarios
 from saltcart.lab.members import Day, Seen, percentile
 
 EVERY = 7.0  # seconds between two crashes of the model's twin of the processes' play
@@ -43,15 +43,18 @@
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], Truth]:
     """The table, the figures, and by second the share of true views in each play of the processes."""
     # The processes are in real time and need little; the model's plays take what is left.
-    with ProcessPoolExecutor(len(plays.PLAYS)) as real, ProcessPoolExecutor(6) as other:
-        started = {p.name: real.submit(plays.play, (n, seed + 1000 * n)) for n, p in enumerate(plays.PLAYS)}
+    with ProcessPoolExecutor(len(membership_scenarios.PLAYS)) as real, ProcessPoolExecutor(6) as other:
+        started = {
+            p.name: real.submit(membership_scenarios.play, (n, seed + 1000 * n))
+            for n, p in enumerate(membership_scenarios.PLAYS)
+        }
         modelled: list[tuple[tuple[str, Day, int], Future[Seen]]] = [
             (job, other.submit(model.play, job)) for job in jobs(quick, seed)
         ]
         told = {name: future.result() for name, future in started.items()}
         seen = [(job, future.result()) for job, future in modelled]
     rows = [["play", "members", "p50 s", "p99 s", "missed", "deaths", "hours", "pkt/s", "agree", "settled s"]]
-    for p in plays.PLAYS:
+    for p in membership_scenarios.PLAYS:
         t = told[p.name]
         rows.append(
             [
@@ -90,7 +93,10 @@
 
 
 def figures(
-    told: dict[str, plays.Told], seen: list[tuple[tuple[str, Day, int], Seen]], quick: bool, seed: int
+    told: dict[str, membership_scenarios.Told],
+    seen: list[tuple[tuple[str, Day, int], Seen]],
+    quick: bool,
+    seed: int,
 ) -> dict[str, Any]:
     def of(kind: str, name: str, members: int) -> list[Seen]:
         return [s for (k, day, _), s in seen if (k, day.name, day.members) == (kind, name, members)]
