--- a/saltcart/lab/faults/links.py
+++ b/saltcart/lab/faults/links.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Rule:
+class LinkRule:
     """What a link does to a datagram; times in seconds, the others shares of one."""
 
     drop: float = 0.0
@@ -30,41 +30,41 @@
     stall: bool = False  # nothing passes now; it is kept, and passes when the rule is gone
 
 
-CLEAR = Rule()
+CLEAR = LinkRule()
 HELD_BACK = 0.05  # seconds that a datagram is held back to be overtaken
 MOST_STALLED = 2000  # datagrams that a stalled link keeps; what comes beyond them is lost
 
 
-class Passed(NamedTuple):
+class Delivery(NamedTuple):
     """What became of one datagram: after how long each copy goes on; nothing for one that is lost."""
 
-    copies: tuple[float, ...]
+    copy_delays: tuple[float, ...]
     keep: bool = False
 
 
-def fate(rule: Rule, rng: random.Random) -> Passed:
+def decide_delivery(rule: LinkRule, rng: random.Random) -> Delivery:
     """Decide on one datagram: the only place where a link's luck is drawn."""
     lost, doubled, late = rng.random(), rng.random(), rng.random()
     wait = rule.delay + rule.jitter * rng.random()
     if rule.stall:
-        return Passed((), keep=True)
+        return Delivery((), keep=True)
     if rule.cut or lost < rule.drop:
-        return Passed(())
+        return Delivery(())
     if late < rule.reorder:
         wait += HELD_BACK
-    return Passed((wait, wait + HELD_BACK) if doubled < rule.duplicate else (wait,))
+    return Delivery((wait, wait + HELD_BACK) if doubled < rule.duplicate else (wait,))
 
 
-class Links:
+class LinkRules:
     """The rules between so many processes; ``None`` for a number stands for all of them."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.count = count
-        self.rules: dict[tuple[int, int], Rule] = {}
+        self.rules: dict[tuple[int, int], LinkRule] = {}
         self.luck = {(a, b): random.Random(f"{seed} {a} {b}") for a in range(count) for b in range(count)}
 
-    def set(
-        self, rule: Rule, sender: int | None = None, receiver: int | None = None, both: bool = False
+    def set_rule(
+        self, rule: LinkRule, sender: int | None = None, receiver: int | None = None, both: bool = False
     ) -> None:
         for a in range(self.count) if sender is None else (sender,):
             for b in range(self.count) if receiver is None else (receiver,):
@@ -72,24 +72,24 @@
                 if both:
                     self.rules[b, a] = rule
 
-    def between(self, rule: Rule, some: list[int]) -> None:
+    def set_rule_between(self, rule: LinkRule, some: list[int]) -> None:
         """Both ways between these and all others."""
         for a in some:
             for b in range(self.count):
                 if b not in some:
                     self.rules[a, b] = self.rules[b, a] = rule
 
-    def clear(self) -> None:
+    def clear_rules(self) -> None:
         self.rules.clear()
 
-    def rule(self, sender: int, receiver: int) -> Rule:
+    def rule_for(self, sender: int, receiver: int) -> LinkRule:
         return self.rules.get((sender, receiver), CLEAR)
 
-    def fate(self, sender: int, receiver: int) -> Passed:
-        return fate(self.rule(sender, receiver), self.luck[sender, receiver])
+    def next_delivery(self, sender: int, receiver: int) -> Delivery:
+        return decide_delivery(self.rule_for(sender, receiver), self.luck[sender, receiver])
 
 
-class Door(asyncio.DatagramProtocol):
+class RelayPort(asyncio.DatagramProtocol):
     """The relay's port of one process."""
 
     def __init__(self, relay: Relay, number: int) -> None:
@@ -100,15 +100,15 @@
         self.transport = cast(asyncio.DatagramTransport, transport)  # the loop's own has another base
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.relay.came(self.number, data, addr[1])
+        self.relay.on_datagram(self.number, data, addr[1])
 
 
 class Relay:
     """Carries datagrams between processes; opened before them, for they are told its ports."""
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, links: LinkRules) -> None:
         self.links = links
-        self.doors: list[Door] = []
+        self.ports: list[RelayPort] = []
         self.addresses: list[str] = []  # where each process is reached by the others
         self.sender: dict[int, int] = {}  # process by its own port
         self.receiver: dict[int, tuple[str, int]] = {}
@@ -119,49 +119,49 @@
 
     async def open(self) -> None:
         for number in range(self.links.count):
-            door = Door(self, number)
+            door = RelayPort(self, number)
             transport, _ = await self.loop.create_datagram_endpoint(
                 lambda door=door: door,  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-            self.doors.append(door)
+            self.ports.append(door)
             self.addresses.append(f"127.0.0.1:{transport.get_extra_info('sockname')[1]}")
 
     def close(self) -> None:
-        for door in self.doors:
+        for door in self.ports:
             if door.transport is not None:
                 door.transport.close()
 
-    def know(self, number: int, at: str) -> None:
+    def register_process(self, number: int, at: str) -> None:
         """A process listens at its own address, once it has one."""
         place = parse_address(at)
         self.sender[place[1]], self.receiver[number] = number, place
 
-    def came(self, receiver: int, data: bytes, port: int) -> None:
+    def on_datagram(self, receiver: int, data: bytes, port: int) -> None:
         sender = self.sender.get(port)
         if sender is None:
             return  # not yet known here, or a stranger
         self.sent[sender] += 1
-        passed = self.links.fate(sender, receiver)
+        passed = self.links.next_delivery(sender, receiver)
         if passed.keep and len(self.stalled) < MOST_STALLED:
             self.stalled.append((sender, receiver, data))
-        self.lost += not passed.copies
-        for wait in passed.copies:
+        self.lost += not passed.copy_delays
+        for wait in passed.copy_delays:
             if wait > 0:
                 self.loop.call_later(wait, self._deliver, receiver, data)
             else:
                 self._deliver(receiver, data)
 
-    def release(self) -> None:
+    def deliver_stalled(self) -> None:
         """What stood before links that are stalled no more goes on now."""
         kept, self.stalled = self.stalled, []
         for sender, receiver, data in kept:
-            if self.links.rule(sender, receiver).stall:
+            if self.links.rule_for(sender, receiver).stall:
                 self.stalled.append((sender, receiver, data))
             else:
                 self._deliver(receiver, data)
 
     def _deliver(self, receiver: int, data: bytes) -> None:
-        place, transport = self.receiver.get(receiver), self.doors[receiver].transport
+        place, transport = self.receiver.get(receiver), self.ports[receiver].transport
         if place is not None and transport is not None and not transport.is_closing():
             transport.sendto(data, place)
--- a/saltcart/lab/faults/programs.py
+++ b/saltcart/lab/faults/programs.py
@@ -31,11 +31,11 @@
 TOKEN = "for-the-rig-on-loopback-alone"
 
 
-class RigError(Exception):
+class ProcessError(Exception):
     """A program did not do what the rig needs of it; the text has its last log lines."""
 
 
-class Caller(Connection):
+class SingleRequestConnection(Connection):
     """Sends one request and keeps its answer; ``sent``: whether its bytes were handed to the socket."""
 
     def __init__(self, data: bytes) -> None:
@@ -62,7 +62,7 @@
     """One request on a connection of its own; ``OSError`` or ``TimeoutError`` where it got no answer."""
     async with asyncio.timeout(wait):
         _, caller = await asyncio.get_running_loop().create_connection(
-            lambda: Caller(data), *parse_address(at)
+            lambda: SingleRequestConnection(data), *parse_address(at)
         )
         try:
             return await caller.answer
@@ -104,20 +104,20 @@
         self.config, self.deployment = {**config, "name": name}, deployment
         self.addresses: dict[str, str] = {}  # by front
         self.events: list[dict[str, Any]] = []  # all log lines of all its lives
-        self.lives: list[tuple[float, float]] = []  # from when to when it ran, Unix seconds
-        self.paused: list[tuple[float, float]] = []
+        self.run_spans: list[tuple[float, float]] = []  # from when to when it ran, Unix seconds
+        self.pause_spans: list[tuple[float, float]] = []
         self.process: asyncio.subprocess.Process | None = None
         self.reader: asyncio.Task[None] | None = None
-        self.heard = asyncio.Condition()
-        self.life_at = 0  # the first log line of the present life
+        self.log_updated = asyncio.Condition()
+        self.start_event_index = 0  # the first log line of the present life
 
     @property
-    def up(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
     @property
-    def frozen(self) -> bool:
-        return bool(self.paused) and self.paused[-1][1] == float("inf")
+    def is_paused(self) -> bool:
+        return bool(self.pause_spans) and self.pause_spans[-1][1] == float("inf")
 
     async def start(self) -> None:
         """Start it, or start it again at its old addresses; returns once every front listens."""
@@ -138,19 +138,21 @@
             "SALTCART_DEPLOYMENT": str(deployment),
             "TMPDIR": str(scratch),
         }
-        self.life_at = len(self.events)
+        self.start_event_index = len(self.events)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "saltcart", env=environment, stdout=asyncio.subprocess.PIPE
         )
-        self.lives.append((time.time(), float("inf")))
+        self.run_spans.append((time.time(), float("inf")))
         self.reader = asyncio.get_running_loop().create_task(self._read(self.process))
         fronts = {"http"} | {f for f in ("admin", "member", "ajp") if f in self.deployment}
-        await self.until(lambda: fronts <= {e["front"] for e in self.of_this_life("listening")}, START_WAIT)
-        for event in self.of_this_life("listening"):
+        await self.wait_for(
+            lambda: fronts <= {e["front"] for e in self.events_since_start("listening")}, START_WAIT
+        )
+        for event in self.events_since_start("listening"):
             self.addresses[event["front"]] = event["address"]
 
-    def of_this_life(self, event: str) -> list[dict[str, Any]]:
-        return [e for e in self.events[self.life_at :] if e["event"] == event]
+    def events_since_start(self, event: str) -> list[dict[str, Any]]:
+        return [e for e in self.events[self.start_event_index :] if e["event"] == event]
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
@@ -159,53 +161,53 @@
                 told = orjson.loads(line)
             except orjson.JSONDecodeError:
                 continue  # cut off by a kill
-            async with self.heard:
+            async with self.log_updated:
                 self.events.append(told)
-                self.heard.notify_all()
-        async with self.heard:
-            self.heard.notify_all()
+                self.log_updated.notify_all()
+        async with self.log_updated:
+            self.log_updated.notify_all()
 
-    async def until(self, condition: Callable[[], bool], wait: float) -> None:
+    async def wait_for(self, condition: Callable[[], bool], wait: float) -> None:
         """Wait for something that the log tells; ``RigError`` if it does not come."""
         try:
-            async with asyncio.timeout(wait), self.heard:
+            async with asyncio.timeout(wait), self.log_updated:
                 while not condition():
                     if self.reader is not None and self.reader.done():
-                        raise RigError(f"{self.name} ended: {self.events[-5:]}")
-                    await self.heard.wait()
+                        raise ProcessError(f"{self.name} ended: {self.events[-5:]}")
+                    await self.log_updated.wait()
         except TimeoutError:
-            raise RigError(f"{self.name}: nothing within {wait} s: {self.events[-5:]}") from None
+            raise ProcessError(f"{self.name}: nothing within {wait} s: {self.events[-5:]}") from None
 
     # ---- faults -------------------------------------------------------------------------------
 
     def kill(self) -> None:
         """SIGKILL: nothing is said to anybody."""
-        if self.up:
+        if self.is_running:
             assert self.process is not None
             self.resume()
             self.process.kill()
-            self.lives[-1] = self.lives[-1][0], time.time()
+            self.run_spans[-1] = self.run_spans[-1][0], time.time()
 
     def pause(self) -> None:
-        if self.up:
+        if self.is_running:
             assert self.process is not None
             self.process.send_signal(signal.SIGSTOP)
-            self.paused.append((time.time(), float("inf")))
+            self.pause_spans.append((time.time(), float("inf")))
 
     def resume(self) -> None:
-        if self.up and self.frozen:
+        if self.is_running and self.is_paused:
             assert self.process is not None
             self.process.send_signal(signal.SIGCONT)
-            self.paused[-1] = self.paused[-1][0], time.time()
+            self.pause_spans[-1] = self.pause_spans[-1][0], time.time()
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """SIGTERM: the notice to drain."""
-        if self.up:
+        if self.is_running:
             assert self.process is not None
             self.process.terminate()
-            self.lives[-1] = self.lives[-1][0], time.time()
+            self.run_spans[-1] = self.run_spans[-1][0], time.time()
 
-    async def ended(self) -> None:
+    async def wait_until_ended(self) -> None:
         """Wait until the process is gone and all that it logged is read."""
         if self.process is not None and self.reader is not None:
             await self.process.wait()
@@ -213,17 +215,17 @@
 
     async def restart(self) -> None:
         self.kill()
-        await self.ended()
+        await self.wait_until_ended()
         await self.start()
 
-    def well(self, at: float, since: float = 0.0) -> bool:
+    def was_running(self, at: float, since: float = 0.0) -> bool:
         """Whether it ran unpaused over all of the ``since`` seconds before a moment."""
-        inside = any(begin <= at - since and at < end for begin, end in self.lives)
-        return inside and not any(begin < at and end > at - since for begin, end in self.paused)
+        inside = any(begin <= at - since and at < end for begin, end in self.run_spans)
+        return inside and not any(begin < at and end > at - since for begin, end in self.pause_spans)
 
     # ---- what it shows ------------------------------------------------------------------------
 
-    async def admin(self, path: str) -> Any:
+    async def get_admin(self, path: str) -> Any:
         """What the administration API answers; None where it does not answer, or does not listen yet."""
         if "admin" not in self.addresses:
             return None
@@ -248,7 +250,7 @@
             for program in programs:
                 program.kill()
             for program in programs:
-                await program.ended()
+                await program.wait_until_ended()
 
 
 async def start_all(programs: list[Program]) -> None:
--- a/saltcart/lab/faults/subsets.py
+++ b/saltcart/lab/faults/subsets.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from saltcart.lab.faults.links import Links, Relay, Rule
-from saltcart.lab.faults.members import CLASSES, LOOK
+from saltcart.lab.faults.links import LinkRule, LinkRules, Relay
+from saltcart.lab.faults.members import POLL_INTERVAL_S, SERVICE_CLASSES
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
 from saltcart.lab.standins import Act, AjpStandIn, Asked
 
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Told:
+class SubsetScenarioResult:
     """``steps``: what came of each change, in order: most over least clients, and connections made anew."""
 
     steps: list[tuple[str, float, int, float]] = field(default_factory=list)
@@ -41,10 +41,15 @@
     used: float = 0.0  # of the limit, over all of it
 
 
-class Rig:
+class SubsetRig:
     def __init__(self, seed: int, instances: int = INSTANCES) -> None:
-        self.seed, self.luck, self.told, self.instances = seed, random.Random(seed), Told(), instances
-        self.links = Links(instances, seed)
+        self.seed, self.rng, self.result, self.instances = (
+            seed,
+            random.Random(seed),
+            SubsetScenarioResult(),
+            instances,
+        )
+        self.links = LinkRules(instances, seed)
         self.relay = Relay(self.links)
         self.came = Counter[int]()  # requests at members, by second
         self.stand_ins: list[AjpStandIn] = []
@@ -62,7 +67,7 @@
             {
                 "listen": "127.0.0.1:0",
                 "seed": f"{number + 3:x}",
-                "settings": settings(CLASSES, 8),
+                "settings": settings(SERVICE_CLASSES, 8),
                 "limits": {"sockets": 512},
             },
             {
@@ -82,38 +87,38 @@
     async def start(self, numbers: range) -> None:
         await start_all([self.programs[n] for n in numbers])
         for n in numbers:
-            self.relay.know(n, self.programs[n].addresses["member"])
+            self.relay.register_process(n, self.programs[n].addresses["member"])
 
-    async def states(self) -> States:
-        up = [p for p in self.programs if p.up and p.addresses]
-        seen = await asyncio.gather(*(p.admin("/v1/fleet") for p in up))
+    async def poll_states(self) -> States:
+        up = [p for p in self.programs if p.is_running and p.addresses]
+        seen = await asyncio.gather(*(p.get_admin("/v1/fleet") for p in up))
         return {p.name: s for p, s in zip(up, seen) if s is not None}
 
-    async def step(self, name: str, before: States, best: int) -> States:
+    async def wait_for_stable_subsets(self, name: str, before: States, best: int) -> States:
         """Wait until nobody's subset changes any more; ``best``: connections that any way makes anew."""
         begun, same = time.time(), 0
-        states = await self.states()
+        states = await self.poll_states()
         while time.time() - begun < SETTLE and same < STILL:
-            await asyncio.sleep(LOOK)
-            last, states = states, await self.states()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            last, states = states, await self.poll_states()
             still = {n: s["subset"] for n, s in last.items()} == {n: s["subset"] for n, s in states.items()}
             same = same + 1 if still else 0
-        self.told.settled &= same >= STILL
-        counts = self.clients(states)
+        self.result.settled &= same >= STILL
+        counts = self.client_counts(states)
         spread = max(counts) / max(1, min(counts))
         anew = sum(
             len(set(s["subset"]) - set(before[n]["subset"] if n in before else ())) for n, s in states.items()
         )
-        self.told.steps.append((name, round(spread, 3), anew, round(anew / max(1, best), 2)))
+        self.result.steps.append((name, round(spread, 3), anew, round(anew / max(1, best), 2)))
         return states
 
-    def clients(self, states: States) -> list[int]:
+    def client_counts(self, states: States) -> list[int]:
         """How many processes each member has."""
         counts = Counter(h for s in states.values() for h in s["subset"])
         return [counts[s.address] for s in self.stand_ins]
 
     @asynccontextmanager
-    async def opened(self) -> AsyncIterator[None]:
+    async def running(self) -> AsyncIterator[None]:
         """The relay, the members and the processes, which are made and not yet started."""
         await self.relay.open()
         try:
@@ -125,28 +130,28 @@
         finally:
             self.relay.close()
 
-    async def run(self) -> Told:
+    async def run(self) -> SubsetScenarioResult:
         each = MEMBERS // GROUPS
-        async with self.opened():
+        async with self.running():
             await self.start(range(FIRST))
-            states = await self.step("start", {}, FIRST * each)
+            states = await self.wait_for_stable_subsets("start", {}, FIRST * each)
             await self.limit()
             await self.start(range(FIRST, INSTANCES))
-            states = await self.step("two join", states, 2 * each)
+            states = await self.wait_for_stable_subsets("two join", states, 2 * each)
             for n in (0, 3):  # the first by name follows the tables: the next goes on with them
                 self.programs[n].kill()
             left = Counter(s["class"] for n, s in states.items() if n not in ("s00", "s03"))
             apart = max(left.values()) - min(left.values())
-            states = await self.step("two die", states, each * (apart // 2))
+            states = await self.wait_for_stable_subsets("two die", states, each * (apart // 2))
             for n in range(1, INSTANCES, 2):
                 if n != 3:
                     await self.programs[n].restart()
-            states = await self.step("half restart", states, 0)
-            self.links.between(Rule(cut=True), list(range(0, INSTANCES, 2)))
+            states = await self.wait_for_stable_subsets("half restart", states, 0)
+            self.links.set_rule_between(LinkRule(cut=True), list(range(0, INSTANCES, 2)))
             await asyncio.sleep(8.0)
-            self.links.clear()
-            await self.step("halves meet again", states, 0)
-        return self.told
+            self.links.clear_rules()
+            await self.wait_for_stable_subsets("halves meet again", states, 0)
+        return self.result
 
     async def limit(self) -> None:
         """More is asked for than all members are said to do, and unevenly: the first asks most."""
@@ -161,16 +166,16 @@
 
         async with asyncio.TaskGroup() as group:
             at, number = 0.0, 0
-            while (at := at + self.luck.expovariate(OVER * whole)) < LIMIT_S:
+            while (at := at + self.rng.expovariate(OVER * whole)) < LIMIT_S:
                 number += 1
-                group.create_task(one(at, number, self.luck.choices(range(FIRST), weights)[0]))
+                group.create_task(one(at, number, self.rng.choices(range(FIRST), weights)[0]))
         seconds = range(int(begun) + 4, int(begun + LIMIT_S))  # once all have told what they are asked for
-        self.told.overshoot = max(self.came[s] for s in seconds) / whole - 1
-        self.told.used = sum(self.came[s] for s in seconds) / whole / len(seconds)
+        self.result.overshoot = max(self.came[s] for s in seconds) / whole - 1
+        self.result.used = sum(self.came[s] for s in seconds) / whole / len(seconds)
 
 
-def play(seed: int) -> Told:
-    async def run() -> Told:
-        return await Rig(seed).run()
+def run_scenario(seed: int) -> SubsetScenarioResult:
+    async def run() -> SubsetScenarioResult:
+        return await SubsetRig(seed).run()
 
     return asyncio.run(run())
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from saltcart.lab.faults.links import Links, Relay, Rule
-from saltcart.lab.faults.members import CLASSES, LOOK
+from saltcart.lab.faults.links import LinkRule, LinkRules, Relay
+from saltcart.lab.faults.members import POLL_INTERVAL_S, SERVICE_CLASSES
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
 from saltcart.lab.standins import Act, AjpStandIn, Asked
 from saltcart.lab.zones import agreement
@@ -30,7 +30,7 @@
 DEADLINE = 3.0
 
 
-class Play(NamedTuple):
+class ZoneScenario(NamedTuple):
     """Times in seconds; the trouble lasts from ``begin`` to ``end``."""
 
     name: str
@@ -44,18 +44,18 @@
 
 
 STALL = 2.5  # seconds
-PLAYS = (
-    Play("zone lost", 45.0, 8.0, 18.0),
-    Play("half slow", 30.0, 8.0, 28.0),
-    Play("cut", 40.0, 8.0, 20.0),
-    Play("flap", 40.0, 8.0, 38.0),
-    Play("region lost", 60.0, 8.0, 20.0, (0, 1, 2), ("r0", "r0", "r0", "r1", "r1", "r1"), 12),
-    Play("views apart", 30.0, 8.0, 26.0, stalled=(3, 7)),
+SCENARIOS = (
+    ZoneScenario("zone lost", 45.0, 8.0, 18.0),
+    ZoneScenario("half slow", 30.0, 8.0, 28.0),
+    ZoneScenario("cut", 40.0, 8.0, 20.0),
+    ZoneScenario("flap", 40.0, 8.0, 38.0),
+    ZoneScenario("region lost", 60.0, 8.0, 20.0, (0, 1, 2), ("r0", "r0", "r0", "r1", "r1", "r1"), 12),
+    ZoneScenario("views apart", 30.0, 8.0, 26.0, stalled=(3, 7)),
 )
 
 
 @dataclass
-class Told:
+class ZoneScenarioResult:
     requests: int = 0
     good: int = 0
     healthy: int = 0  # requests of zones in health, and of these
@@ -89,16 +89,21 @@
         self.did = Counter[int]()  # requests by the process that sent them
 
 
-class Rig:
-    def __init__(self, play: Play, seed: int) -> None:
-        self.play, self.luck, self.told, self.instances = play, random.Random(seed), Told(), play.instances
+class ZoneRig:
+    def __init__(self, play: ZoneScenario, seed: int) -> None:
+        self.scenario, self.rng, self.result, self.instances = (
+            play,
+            random.Random(seed),
+            ZoneScenarioResult(),
+            play.instances,
+        )
         self.zones = len(play.regions)
         self.sites = [Site(n) for n in range(self.zones * MEMBERS)]
         instances = self.instances
-        self.links = Links(instances, seed)
+        self.links = LinkRules(instances, seed)
         self.relay = Relay(self.links)
         self.cut = set[tuple[int, int]]()  # processes and members between which nothing passes
-        self.begun = 0.0
+        self.started_at = 0.0
         self.stand_ins: dict[tuple[int, int], AjpStandIn] = {}
         self.programs: list[Program] = []
 
@@ -109,7 +114,7 @@
             if (process, member) in self.cut:
                 return Act("silent")
             now = time.time()
-            site.came[int(now - self.begun)] += 1
+            site.came[int(now - self.started_at)] += 1
             begin = max(now, site.free_at)
             site.free_at = begin + site.slow / CAPACITY
             site.did[process] += 1
@@ -122,7 +127,7 @@
             {
                 "host": self.stand_ins[number, m].address,
                 "zone": f"z{m // MEMBERS}",
-                "region": self.play.regions[m // MEMBERS],
+                "region": self.scenario.regions[m // MEMBERS],
                 "capacity": CAPACITY,
             }
             for m in range(self.zones * MEMBERS)
@@ -134,7 +139,7 @@
             {
                 "listen": "127.0.0.1:0",
                 "seed": f"{number + 7:x}",
-                "settings": settings(CLASSES, 8),
+                "settings": settings(SERVICE_CLASSES, 8),
                 "limits": {"sockets": 512},
             },
             {
@@ -145,7 +150,7 @@
                     "advertise": self.relay.addresses[number],
                     "seeds": self.relay.addresses[:3],
                     "zone": f"z{zone}",
-                    "region": self.play.regions[zone],
+                    "region": self.scenario.regions[zone],
                 },
                 "upstream": [{"name": "work", "members": members}],
                 "locality": {"upstream": "work"},
@@ -154,7 +159,7 @@
         )
 
     @asynccontextmanager
-    async def opened(self) -> AsyncIterator[None]:
+    async def running(self) -> AsyncIterator[None]:
         """The relay, the members and the processes, which know of each other."""
         await self.relay.open()
         try:
@@ -167,37 +172,37 @@
                 self.programs = await stack.enter_async_context(fleet(self.instances, self.make))
                 await start_all(self.programs)
                 for number, program in enumerate(self.programs):
-                    self.relay.know(number, program.addresses["member"])
+                    self.relay.register_process(number, program.addresses["member"])
                 await self.settled()
-                self.begun = time.time()
+                self.started_at = time.time()
                 yield
         finally:
             self.relay.close()
 
-    async def run(self) -> Told:
-        async with self.opened():
+    async def run(self) -> ZoneScenarioResult:
+        async with self.running():
             await self.day()
-        return self.told
+        return self.result
 
-    async def states(self) -> list[dict[str, Any] | None]:
-        return list(await asyncio.gather(*(p.admin("/v1/locality") for p in self.programs)))
+    async def poll_states(self) -> list[dict[str, Any] | None]:
+        return list(await asyncio.gather(*(p.get_admin("/v1/locality") for p in self.programs)))
 
     async def settled(self) -> None:
         """Everybody knows of all zones."""
         async with asyncio.timeout(SETTLE):
-            while not all(s is not None and len(s["zones"]) == self.zones for s in await self.states()):
-                await asyncio.sleep(LOOK)
+            while not all(s is not None and len(s["zones"]) == self.zones for s in await self.poll_states()):
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     # ---- the day ------------------------------------------------------------------------------
 
     async def day(self) -> None:
-        play, told = self.play, self.told
-        self.begun = time.time() + 0.2
+        play, told = self.scenario, self.result
+        self.started_at = time.time() + 0.2
         async with asyncio.TaskGroup() as group:
             group.create_task(self.trouble())
             at = 0.0
-            while (at := at + self.luck.expovariate(RATE * self.instances)) < play.seconds:
-                group.create_task(self.request(at, self.luck.randrange(self.instances)))
+            while (at := at + self.rng.expovariate(RATE * self.instances)) < play.seconds:
+                group.create_task(self.send_request(at, self.rng.randrange(self.instances)))
         plans = [e for p in self.programs for e in p.events if e["event"] == "locality-plan"]
         # One plan is told by each process that took it up; the number and its author name it.
         rows = [
@@ -213,7 +218,7 @@
         ]
         told.swings = sum((a < 500) != (b < 500) for a, b in zip([0, *away], away))
         await asyncio.sleep(AFTER)
-        states = [s for s in await self.states() if s is not None]
+        states = [s for s in await self.poll_states() if s is not None]
         told.plans = [s["plan"] for s in states]
         held = Counter(repr(sorted((z, sorted(row.items())) for z, row in s["rows"].items())) for s in states)
         told.agree = agreement(held, self.instances)
@@ -229,15 +234,15 @@
                 sum(s.came[n] for s in sites) > 1.2 * MEMBERS * CAPACITY for n in range(int(play.seconds))
             )
 
-    async def request(self, at: float, instance: int) -> None:
-        await asyncio.sleep(max(0.0, self.begun + at - time.time()))
-        play, told, zone = self.play, self.told, instance % self.zones
+    async def send_request(self, at: float, instance: int) -> None:
+        await asyncio.sleep(max(0.0, self.started_at + at - time.time()))
+        play, told, zone = self.scenario, self.result, instance % self.zones
         told.requests += 1
         hurt = zone in play.hurt and play.begin <= at and play.name != "cut"
         told.healthy += not hurt
         told.offered[int(2 * at)] += zone in play.hurt
         number = told.requests
-        data = request("read", number, b"x", DEADLINE, self.luck.random(), account="rig", size_kb=5)
+        data = request("read", number, b"x", DEADLINE, self.rng.random(), account="rig", size_kb=5)
         try:
             answer = await call(self.programs[instance].addresses["http"], data, DEADLINE + 1)
         except (OSError, TimeoutError):
@@ -247,51 +252,51 @@
         told.home += good and not hurt and answer.body == b"%d" % zone
         told.served[int(2 * at)] += zone in play.hurt and good
 
-    async def lose(self) -> None:
+    async def stop_members(self) -> None:
         """All members of the zones that suffer are gone: their ports refuse."""
         for (_, member), stand_in in self.stand_ins.items():
-            if member // MEMBERS in self.play.hurt:
+            if member // MEMBERS in self.scenario.hurt:
                 await stand_in.__aexit__()
 
-    async def regain(self) -> None:
+    async def restart_members(self) -> None:
         for (_, member), stand_in in self.stand_ins.items():
-            if member // MEMBERS in self.play.hurt:
+            if member // MEMBERS in self.scenario.hurt:
                 await stand_in.__aenter__()
 
     async def stall(self) -> None:
         """Nothing reaches some processes for a while: they go on with the plan of before."""
-        for number in self.play.stalled:
-            self.links.set(Rule(stall=True), receiver=number)
-        await self.until(self.play.begin + STALL)
-        numbers = [s["plan"] for s in await self.states() if s is not None]
-        self.told.apart = sum(n != max(numbers) for n in numbers)
-        self.links.clear()
-        self.relay.release()
+        for number in self.scenario.stalled:
+            self.links.set_rule(LinkRule(stall=True), receiver=number)
+        await self.wait_until(self.scenario.begin + STALL)
+        numbers = [s["plan"] for s in await self.poll_states() if s is not None]
+        self.result.apart = sum(n != max(numbers) for n in numbers)
+        self.links.clear_rules()
+        self.relay.deliver_stalled()
 
     async def trouble(self) -> None:
-        play = self.play
-        await self.until(play.begin)
+        play = self.scenario
+        await self.wait_until(play.begin)
         mine = [n for n in range(self.instances) if n % self.zones == 0]
         if play.name in {"zone lost", "region lost", "views apart"}:
-            await self.lose()
+            await self.stop_members()
             if play.stalled:
                 await self.stall()
-            await self.until(play.end)
-            await self.regain()
+            await self.wait_until(play.end)
+            await self.restart_members()
         elif play.name == "half slow":
             self.sites[0].slow = self.sites[1].slow = 10.0
-            await self.until(play.end)
+            await self.wait_until(play.end)
             self.sites[0].slow = self.sites[1].slow = 1.0
         elif play.name == "cut":
-            self.links.between(Rule(cut=True), mine)
+            self.links.set_rule_between(LinkRule(cut=True), mine)
             self.cut = {
                 (n, m)
                 for n in range(self.instances)
                 for m in range(self.zones * MEMBERS)
                 if (n in mine) != (m < MEMBERS)
             }
-            await self.until(play.end)
-            self.links.clear()
+            await self.wait_until(play.end)
+            self.links.clear_rules()
             self.cut = set()
         else:
             own = {(n, m) for n in mine for m in range(MEMBERS)}
@@ -299,17 +304,17 @@
             while at < play.end:
                 self.cut = own if not self.cut else set()
                 at += 2.0
-                await self.until(min(at, play.end))
+                await self.wait_until(min(at, play.end))
             self.cut = set()
 
-    async def until(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, self.begun + at - time.time()))
+    async def wait_until(self, at: float) -> None:
+        await asyncio.sleep(max(0.0, self.started_at + at - time.time()))
 
 
-def play(job: tuple[int, int]) -> Told:
+def run_scenario(job: tuple[int, int]) -> ZoneScenarioResult:
     """A play by its number in ``PLAYS``, in a process of its own."""
 
-    async def run() -> Told:
-        return await Rig(PLAYS[job[0]], job[1]).run()
+    async def run() -> ZoneScenarioResult:
+        return await ZoneRig(SCENARIOS[job[0]], job[1]).run()
 
     return asyncio.run(run())
--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -43,10 +43,10 @@
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], Truth]:
     """The table, the figures, and by second the share of true views in each play of the processes."""
     # The processes are in real time and need little; the model's plays take what is left.
-    with ProcessPoolExecutor(len(membership_scenarios.PLAYS)) as real, ProcessPoolExecutor(6) as other:
+    with ProcessPoolExecutor(len(membership_scenarios.SCENARIOS)) as real, ProcessPoolExecutor(6) as other:
         started = {
-            p.name: real.submit(membership_scenarios.play, (n, seed + 1000 * n))
-            for n, p in enumerate(membership_scenarios.PLAYS)
+            p.name: real.submit(membership_scenarios.run_scenario, (n, seed + 1000 * n))
+            for n, p in enumerate(membership_scenarios.SCENARIOS)
         }
         modelled: list[tuple[tuple[str, Day, int], Future[Seen]]] = [
             (job, other.submit(model.play, job)) for job in jobs(quick, seed)
@@ -54,7 +54,7 @@
         told = {name: future.result() for name, future in started.items()}
         seen = [(job, future.result()) for job, future in modelled]
     rows = [["play", "members", "p50 s", "p99 s", "missed", "deaths", "hours", "pkt/s", "agree", "settled s"]]
-    for p in membership_scenarios.PLAYS:
+    for p in membership_scenarios.SCENARIOS:
         t = told[p.name]
         rows.append(
             [
@@ -93,7 +93,7 @@
 
 
 def figures(
-    told: dict[str, membership_scenarios.Told],
+    told: dict[str, membership_scenarios.MembershipScenarioResult],
     seen: list[tuple[tuple[str, Day, int], Seen]],
     quick: bool,
     seed: int,
--- a/saltcart/lab/nearness.py
+++ b/saltcart/lab/nearness.py
@@ -28,10 +28,10 @@
     """The table, the figures, and by half second what was served of the troubled zones' work."""
     jobs = [(day, policy, seed) for day in days(quick) for policy in POLICIES]
     jobs.sort(key=lambda job: -job[0].seconds * job[0].instances)
-    with ProcessPoolExecutor(len(rig.PLAYS)) as real, ProcessPoolExecutor(6) as other:
-        started = [real.submit(rig.play, (n, seed)) for n in range(len(rig.PLAYS))]
+    with ProcessPoolExecutor(len(rig.SCENARIOS)) as real, ProcessPoolExecutor(6) as other:
+        started = [real.submit(rig.run_scenario, (n, seed)) for n in range(len(rig.SCENARIOS))]
         seen = dict(zip([(day.name, policy) for day, policy, _ in jobs], other.map(model.play, jobs)))
-        told = {p.name: future.result() for p, future in zip(rig.PLAYS, started)}
+        told = {p.name: future.result() for p, future in zip(rig.SCENARIOS, started)}
     rows = [
         [
             "day",
@@ -96,12 +96,12 @@
 
 
 def figures(
-    seen: dict[tuple[str, str], Seen], told: dict[str, rig.Told], quick: bool, seed: int
+    seen: dict[tuple[str, str], Seen], told: dict[str, rig.ZoneScenarioResult], quick: bool, seed: int
 ) -> dict[str, Any]:
     ours = {day: s for (day, policy), s in seen.items() if policy == "common"}
     flap, lost = ours["flap"], ours["zone lost"]
 
-    everyone: list[Seen | rig.Told] = [*ours.values(), *told.values()]
+    everyone: list[Seen | rig.ZoneScenarioResult] = [*ours.values(), *told.values()]
     out: dict[str, Any] = {
         "kept_local": round(min(s.kept_local for s in everyone), 3),
         "failover_s": lost.failover,
--- a/saltcart/lab/storm_sockets.py
+++ b/saltcart/lab/storm_sockets.py
@@ -143,7 +143,7 @@
             except ConnectionRefusedError:
                 wait = CONNECT
             except TimeoutError:
-                self.seen.unanswered += programs[node].well(time.time(), spec.deadline + 0.5)
+                self.seen.unanswered += programs[node].was_running(time.time(), spec.deadline + 0.5)
                 follow = at if self.kinds[n] else at + 1
             except OSError:  # cut: a keyed one may have run there
                 follow = at if self.kinds[n] else at + 1
@@ -180,7 +180,7 @@
             await self.revive(programs[n], self.places[n])
 
     async def revive(self, program: Program, place: Works) -> None:
-        await program.ended()
+        await program.wait_until_ended()
         place.renew(cold=True)
         await program.start()
 
@@ -196,7 +196,7 @@
                 group.create_task(self.faults(programs, begun))
                 for n in range(len(self.births)):
                     group.create_task(self.client(n, programs, begun))
-            lives = sum(len(p.lives) for p in programs)
+            lives = sum(len(p.run_spans) for p in programs)
         worth = [self.seen.earned[s] / max(1, self.seen.offered[s]) for s in range(int(SECONDS) - 4)]
         return {
             "worth": worth,
--- a/saltcart/lab/subsets.py
+++ b/saltcart/lab/subsets.py
@@ -241,7 +241,7 @@
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any]]:
     """The model beside the processes, which are in real time and need little."""
     with ProcessPoolExecutor(1) as real:
-        started = real.submit(rig.play, seed)
+        started = real.submit(rig.run_scenario, seed)
         rows, figures = modelled(quick, seed)
         told = started.result()
     for name, spread, anew, churn in told.steps:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,9 +11,9 @@
 import pytest
 
 from saltcart.lab.faults import subsets, zones
-from saltcart.lab.faults.links import Links, Passed, Relay, Rule, fate
-from saltcart.lab.faults.members import present, rig
-from saltcart.lab.faults.programs import RigError
+from saltcart.lab.faults.links import Delivery, LinkRule, LinkRules, Relay, decide_delivery
+from saltcart.lab.faults.members import membership_rig, present_members
+from saltcart.lab.faults.programs import ProcessError
 from saltcart.membership import messages as m
 from saltcart.membership.member_record import MemberRecord
 from saltcart.membership.settings import MemberSettings
@@ -25,28 +25,28 @@
 @pytest.mark.parametrize(
     ("rule", "expected"),
     [
-        (Rule(), (0.0,)),
-        (Rule(drop=1.0), ()),
-        (Rule(cut=True), ()),
-        (Rule(delay=0.2), (0.2,)),
-        (Rule(duplicate=1.0, delay=0.1), (0.1, pytest.approx(0.15))),
-        (Rule(reorder=1.0), (0.05,)),
+        (LinkRule(), (0.0,)),
+        (LinkRule(drop=1.0), ()),
+        (LinkRule(cut=True), ()),
+        (LinkRule(delay=0.2), (0.2,)),
+        (LinkRule(duplicate=1.0, delay=0.1), (0.1, pytest.approx(0.15))),
+        (LinkRule(reorder=1.0), (0.05,)),
     ],
 )
-def test_a_rule_does_what_it_says(rule: Rule, expected: tuple[float, ...]) -> None:
-    assert fate(rule, random.Random(1)) == Passed(expected)
-    assert fate(Rule(stall=True), random.Random(1)) == Passed((), keep=True)
+def test_a_rule_does_what_it_says(rule: LinkRule, expected: tuple[float, ...]) -> None:
+    assert decide_delivery(rule, random.Random(1)) == Delivery(expected)
+    assert decide_delivery(LinkRule(stall=True), random.Random(1)) == Delivery((), keep=True)
 
 
 def test_a_links_luck_is_its_own_and_the_same_for_a_seed() -> None:
     def played(seed: int, others: int) -> list[bool]:
-        links = Links(3, seed)
-        links.set(Rule(drop=0.5))
+        links = LinkRules(3, seed)
+        links.set_rule(LinkRule(drop=0.5))
         out = []
         for _ in range(50):
             for _ in range(others):
-                links.fate(1, 2)
-            out.append(bool(links.fate(0, 1).copies))
+                links.next_delivery(1, 2)
+            out.append(bool(links.next_delivery(0, 1).copy_delays))
         return out
 
     assert played(1, 0) == played(1, 5) != played(2, 0)
@@ -54,14 +54,14 @@
 
 
 def test_rules_are_for_one_way_both_or_between_groups() -> None:
-    links = Links(4, 1)
-    links.set(Rule(cut=True), 0, 1)
-    assert links.rule(0, 1).cut and not links.rule(1, 0).cut
-    links.set(Rule(drop=0.1), 2, 3, both=True)
-    assert links.rule(3, 2).drop == links.rule(2, 3).drop == 0.1
-    links.clear()
-    links.between(Rule(cut=True), [0, 1])
-    cut = {(a, b) for a in range(4) for b in range(4) if links.rule(a, b).cut}
+    links = LinkRules(4, 1)
+    links.set_rule(LinkRule(cut=True), 0, 1)
+    assert links.rule_for(0, 1).cut and not links.rule_for(1, 0).cut
+    links.set_rule(LinkRule(drop=0.1), 2, 3, both=True)
+    assert links.rule_for(3, 2).drop == links.rule_for(2, 3).drop == 0.1
+    links.clear_rules()
+    links.set_rule_between(LinkRule(cut=True), [0, 1])
+    cut = {(a, b) for a in range(4) for b in range(4) if links.rule_for(a, b).cut}
     assert cut == {(a, b) for a in range(4) for b in range(4) if (a < 2) != (b < 2)}
 
 
@@ -75,20 +75,20 @@
             self.more.set()
 
     async def play() -> None:
-        loop, relay = asyncio.get_running_loop(), Relay(Links(2, 1))
+        loop, relay = asyncio.get_running_loop(), Relay(LinkRules(2, 1))
         await relay.open()
         ends = [await loop.create_datagram_endpoint(Peer, local_addr=("127.0.0.1", 0)) for _ in range(2)]
         for n, (transport, _) in enumerate(ends):
-            relay.know(n, f"127.0.0.1:{transport.get_extra_info('sockname')[1]}")
+            relay.register_process(n, f"127.0.0.1:{transport.get_extra_info('sockname')[1]}")
         to = relay.addresses[1].split(":")
-        relay.links.set(Rule(stall=True), 0, 1)
+        relay.links.set_rule(LinkRule(stall=True), 0, 1)
         ends[0][0].sendto(b"late", (to[0], int(to[1])))
         async with asyncio.timeout(WAIT):
             while not relay.stalled:
                 await asyncio.sleep(0.001)
             assert not ends[1][1].heard
-            relay.links.clear()
-            relay.release()
+            relay.links.clear_rules()
+            relay.deliver_stalled()
             await ends[1][1].more.wait()
         assert ends[1][1].heard == [b"late"] and not relay.stalled
         for transport, _ in ends:
@@ -128,36 +128,36 @@
 
 def test_of_three_processes_one_is_killed_and_gone_from_the_others_views() -> None:
     async def play() -> None:
-        async with rig(3, 1) as r:
+        async with membership_rig(3, 1) as r:
             await r.start()
-            assert await r.settle(r.names(), WAIT) is not None
+            assert await r.wait_for_agreement(r.member_names(), WAIT) is not None
             r.programs[2].kill()
-            await r.programs[2].ended()
-            assert await r.settle(r.names(but=(2,)), WAIT) is not None
-            views = await r.look()
-            assert [present(v) for v in views if v] == [{"m0", "m1"}] * 2
+            await r.programs[2].wait_until_ended()
+            assert await r.wait_for_agreement(r.member_names(excluding=(2,)), WAIT) is not None
+            views = await r.poll_views()
+            assert [present_members(v) for v in views if v] == [{"m0", "m1"}] * 2
             states = Counter(m["state"] for v in views if v for m in v["members"])
             assert states == {"alive": 4, "dead": 2}
             # It comes back at its old addresses: the same name, newer than it was.
             before = next(m["incarnation"] for m in (views[0] or {})["members"] if m["name"] == "m2")
             await r.programs[2].start()
-            r.know()
-            assert await r.settle(r.names(), WAIT) is not None
-            views = await r.look()
+            r.register_processes()
+            assert await r.wait_for_agreement(r.member_names(), WAIT) is not None
+            views = await r.poll_views()
             after = next(m["incarnation"] for m in (views[0] or {})["members"] if m["name"] == "m2")
-            assert after > before and r.false_deaths() == 0
+            assert after > before and r.count_false_deaths() == 0
 
     asyncio.run(play())
 
 
 def test_a_process_that_is_told_to_end_has_left_and_is_not_dead() -> None:
     async def play() -> None:
-        async with rig(3, 2) as r:
+        async with membership_rig(3, 2) as r:
             await r.start()
-            assert await r.settle(r.names(), WAIT) is not None
-            r.programs[0].leave()
-            assert await r.settle(r.names(but=(0,)), WAIT) is not None
-            for view in (await r.look())[1:]:
+            assert await r.wait_for_agreement(r.member_names(), WAIT) is not None
+            r.programs[0].start_draining()
+            assert await r.wait_for_agreement(r.member_names(excluding=(0,)), WAIT) is not None
+            for view in (await r.poll_views())[1:]:
                 assert view is not None
                 assert {m["name"]: m["state"] for m in view["members"]}["m0"] == "left"
 
@@ -166,26 +166,26 @@
 
 def test_a_cut_off_process_comes_back_into_all_views() -> None:
     async def play() -> None:
-        async with rig(3, 3) as r:
+        async with membership_rig(3, 3) as r:
             await r.start()
-            assert await r.settle(r.names(), WAIT) is not None
-            r.links.between(Rule(cut=True), [1])
-            assert await r.settle({"m1"}, WAIT) is not None  # it alone takes the others for dead
-            assert await r.settle(r.names(but=(1,)), WAIT) is not None
-            r.links.clear()
-            assert await r.settle(r.names(), WAIT) is not None
+            assert await r.wait_for_agreement(r.member_names(), WAIT) is not None
+            r.links.set_rule_between(LinkRule(cut=True), [1])
+            assert await r.wait_for_agreement({"m1"}, WAIT) is not None  # it alone takes the others for dead
+            assert await r.wait_for_agreement(r.member_names(excluding=(1,)), WAIT) is not None
+            r.links.clear_rules()
+            assert await r.wait_for_agreement(r.member_names(), WAIT) is not None
 
     asyncio.run(play())
 
 
 def test_a_lost_zone_is_left_by_all_processes_and_the_others_keep_their_work() -> None:
     async def play() -> None:
-        r = zones.Rig(zones.PLAYS[0]._replace(instances=6), 1)
-        async with r.opened():
+        r = zones.ZoneRig(zones.SCENARIOS[0]._replace(instances=6), 1)
+        async with r.running():
             calls = asyncio.create_task(ask(r))
             try:
                 await holds(r, lambda rows: rows == {})
-                await r.lose()
+                await r.stop_members()
                 await holds(r, lambda rows: rows.keys() == {"z0"} and "z0" not in rows["z0"])
             finally:
                 calls.cancel()
@@ -195,17 +195,17 @@
 
 def test_a_process_that_nothing_reaches_keeps_the_plan_of_before_and_takes_up_the_new_one() -> None:
     async def play() -> None:
-        r = zones.Rig(zones.PLAYS[0]._replace(instances=6), 1)
-        async with r.opened():
+        r = zones.ZoneRig(zones.SCENARIOS[0]._replace(instances=6), 1)
+        async with r.running():
             calls = asyncio.create_task(ask(r))
             try:
-                r.links.set(Rule(stall=True), receiver=4)
-                await r.lose()
+                r.links.set_rule(LinkRule(stall=True), receiver=4)
+                await r.stop_members()
                 await holds(r, lambda rows: rows.keys() == {"z0"}, but=4)
-                behind = (await r.states())[4]
+                behind = (await r.poll_states())[4]
                 assert behind is not None and behind["rows"] == {}
-                r.links.clear()
-                r.relay.release()
+                r.links.clear_rules()
+                r.relay.deliver_stalled()
                 await holds(r, lambda rows: rows.keys() == {"z0"})
             finally:
                 calls.cancel()
@@ -213,20 +213,20 @@
     asyncio.run(play())
 
 
-async def ask(r: zones.Rig) -> None:
+async def ask(r: zones.ZoneRig) -> None:
     """A steady stream of requests, to each process in turn."""
     tasks = set[asyncio.Task[None]]()
     for n in range(100_000):
-        tasks.add(asyncio.create_task(r.request(0.0, n % r.instances)))
+        tasks.add(asyncio.create_task(r.send_request(0.0, n % r.instances)))
         tasks = {t for t in tasks if not t.done()}
         await asyncio.sleep(0.025)
 
 
-async def holds(r: zones.Rig, wanted: Callable[[dict[str, Any]], bool], but: int | None = None) -> None:
+async def holds(r: zones.ZoneRig, wanted: Callable[[dict[str, Any]], bool], but: int | None = None) -> None:
     """All processes hold such a plan, but for that one."""
     async with asyncio.timeout(2 * WAIT):
         while True:
-            states = await r.states()
+            states = await r.poll_states()
             if all(s is not None and wanted(s["rows"]) for n, s in enumerate(states) if n != but):
                 return
             await asyncio.sleep(0.1)
@@ -234,25 +234,25 @@
 
 def test_members_have_as_many_clients_as_each_other_after_a_process_is_killed() -> None:
     async def play() -> None:
-        r = subsets.Rig(1, instances=4)
-        async with r.opened():
+        r = subsets.SubsetRig(1, instances=4)
+        async with r.running():
             await r.start(range(4))
-            states = await r.step("start", {}, 1)
-            assert r.told.settled and set(r.clients(states)) == {2}
+            states = await r.wait_for_stable_subsets("start", {}, 1)
+            assert r.result.settled and set(r.client_counts(states)) == {2}
             r.programs[0].kill()  # the one that follows the tables
-            states = await r.step("one dies", states, 1)
-            assert len(states) == 3 and sorted(set(r.clients(states))) == [1, 2]
+            states = await r.wait_for_stable_subsets("one dies", states, 1)
+            assert len(states) == 3 and sorted(set(r.client_counts(states))) == [1, 2]
             await r.start(range(1))
-            states = await r.step("it comes back", states, 1)
-            assert r.told.settled and set(r.clients(states)) == {2}
+            states = await r.wait_for_stable_subsets("it comes back", states, 1)
+            assert r.result.settled and set(r.client_counts(states)) == {2}
 
     asyncio.run(play())
 
 
 def test_a_program_that_cannot_start_is_told_with_its_reason() -> None:
     async def play() -> None:
-        async with rig(1, 1, probe_wait=9.0) as r:
-            with pytest.raises(RigError, match="m0 ended"):
+        async with membership_rig(1, 1, probe_wait=9.0) as r:
+            with pytest.raises(ProcessError, match="m0 ended"):
                 await r.programs[0].start()
 
     asyncio.run(play())
