--- a/saltcart/lab/faults/__init__.py
+++ b/saltcart/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""The fault rig: real processes of the program, links that fail by script, checks of what was seen."""
+"""Fault injection rig: real service processes, scripted network and process faults, and recorded results."""
--- a/saltcart/lab/faults/links.py
+++ b/saltcart/lab/faults/links.py
@@ -1,9 +1,9 @@
-"""Links between processes that fail by script: a relay of datagrams in the middle, one port a process.
+"""Datagram relay between processes, with scripted faults on each link.
 
-Each process says that it is to be reached at its port of the relay, so that whatever another sends to it goes
-through here.  The sender is told by the address that its datagrams come from, the receiver by the port that
-they come to: each direction of each pair is a link of its own.  All luck is drawn from one seed, a generator
-for each link, so that what one link loses does not change what another does.
+Each process advertises its own port of the relay, so that every datagram sent to it passes through here. The
+relay identifies the sender by the source address and the receiver by the port that the datagram arrives at.
+Each direction of each pair of processes is a separate link. Each link has its own random generator, seeded
+from the one seed of the rig, so that the losses of one link do not change those of another.
 """
 
 from __future__ import annotations
@@ -19,141 +19,187 @@
 
 @dataclass(frozen=True)
 class LinkRule:
-    """What a link does to a datagram; times in seconds, the others shares of one."""
+    """Faults of one link.
+
+    Attributes:
+        drop: Probability that a datagram is lost.
+        delay: Delay of each datagram in seconds.
+        jitter: Upper bound of an additional, uniformly distributed delay in seconds.
+        duplicate: Probability that a datagram is delivered twice.
+        reorder: Probability that a datagram is delayed by ``REORDER_DELAY_S`` and later ones overtake it.
+        cut: Whether the link loses every datagram.
+        stall: Whether datagrams are kept until ``Relay.deliver_stalled`` finds the link no longer stalled.
+    """
 
     drop: float = 0.0
     delay: float = 0.0
-    jitter: float = 0.0  # more delay, drawn evenly up to this
+    jitter: float = 0.0
     duplicate: float = 0.0
-    reorder: float = 0.0  # held back so long that later ones overtake
-    cut: bool = False  # nothing passes
-    stall: bool = False  # nothing passes now; it is kept, and passes when the rule is gone
+    reorder: float = 0.0
+    cut: bool = False
+    stall: bool = False
 
 
-CLEAR = LinkRule()
-HELD_BACK = 0.05  # seconds that a datagram is held back to be overtaken
-MOST_STALLED = 2000  # datagrams that a stalled link keeps; what comes beyond them is lost
+NO_FAULTS = LinkRule()
+REORDER_DELAY_S = 0.05  # additional delay of reordered datagrams and of duplicates
+MAX_STALLED_DATAGRAMS = 2000  # kept by the relay; further ones are lost
 
 
 class Delivery(NamedTuple):
-    """What became of one datagram: after how long each copy goes on; nothing for one that is lost."""
+    """Delivery of one datagram.
+
+    Attributes:
+        copy_delays: Delay of each delivered copy in seconds; empty if the datagram is lost or kept.
+        keep: Whether the datagram is kept because its link is stalled.
+    """
 
     copy_delays: tuple[float, ...]
     keep: bool = False
 
 
 def decide_delivery(rule: LinkRule, rng: random.Random) -> Delivery:
-    """Decide on one datagram: the only place where a link's luck is drawn."""
-    lost, doubled, late = rng.random(), rng.random(), rng.random()
-    wait = rule.delay + rule.jitter * rng.random()
+    """Decide how one datagram is delivered.
+
+    Takes the same number of draws whatever the rule is.
+    """
+    drop_draw, duplicate_draw, reorder_draw = rng.random(), rng.random(), rng.random()
+    delay = rule.delay + rule.jitter * rng.random()
     if rule.stall:
         return Delivery((), keep=True)
-    if rule.cut or lost < rule.drop:
+    if rule.cut or drop_draw < rule.drop:
         return Delivery(())
-    if late < rule.reorder:
-        wait += HELD_BACK
-    return Delivery((wait, wait + HELD_BACK) if doubled < rule.duplicate else (wait,))
+    if reorder_draw < rule.reorder:
+        delay += REORDER_DELAY_S
+    return Delivery((delay, delay + REORDER_DELAY_S) if duplicate_draw < rule.duplicate else (delay,))
 
 
 class LinkRules:
-    """The rules between so many processes; ``None`` for a number stands for all of them."""
+    """Rules of all links between the processes, which are numbered from zero.
+
+    Args:
+        count: Number of processes.
+        seed: Seed of the links' random generators.
+    """
 
     def __init__(self, count: int, seed: int) -> None:
         self.count = count
-        self.rules: dict[tuple[int, int], LinkRule] = {}
-        self.luck = {(a, b): random.Random(f"{seed} {a} {b}") for a in range(count) for b in range(count)}
+        self.rules: dict[tuple[int, int], LinkRule] = {}  # by sender and receiver
+        self.rngs = {(a, b): random.Random(f"{seed} {a} {b}") for a in range(count) for b in range(count)}
 
     def set_rule(
         self, rule: LinkRule, sender: int | None = None, receiver: int | None = None, both: bool = False
     ) -> None:
+        """Set the rule of some links.
+
+        Args:
+            rule: Faults of the links.
+            sender: Number of the sending process; all processes if None.
+            receiver: Number of the receiving process; all processes if None.
+            both: Whether to set the rule of the opposite direction too.
+        """
         for a in range(self.count) if sender is None else (sender,):
             for b in range(self.count) if receiver is None else (receiver,):
                 self.rules[a, b] = rule
                 if both:
                     self.rules[b, a] = rule
 
-    def set_rule_between(self, rule: LinkRule, some: list[int]) -> None:
-        """Both ways between these and all others."""
-        for a in some:
+    def set_rule_between(self, rule: LinkRule, group: list[int]) -> None:
+        """Set the rule of the links between the group and all other processes, in both directions."""
+        for a in group:
             for b in range(self.count):
-                if b not in some:
+                if b not in group:
                     self.rules[a, b] = self.rules[b, a] = rule
 
     def clear_rules(self) -> None:
+        """Remove the faults of all links."""
         self.rules.clear()
 
     def rule_for(self, sender: int, receiver: int) -> LinkRule:
-        return self.rules.get((sender, receiver), CLEAR)
+        """Current rule of one link."""
+        return self.rules.get((sender, receiver), NO_FAULTS)
 
     def next_delivery(self, sender: int, receiver: int) -> Delivery:
-        return decide_delivery(self.rule_for(sender, receiver), self.luck[sender, receiver])
+        """Decide how the next datagram of one link is delivered."""
+        return decide_delivery(self.rule_for(sender, receiver), self.rngs[sender, receiver])
 
 
 class RelayPort(asyncio.DatagramProtocol):
-    """The relay's port of one process."""
+    """Port of the relay at which one process is reached."""
 
     def __init__(self, relay: Relay, number: int) -> None:
         self.relay, self.number = relay, number
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # the loop's own has another base
+        """Keep the transport for sending."""
+        # The event loop's transport class does not derive from DatagramTransport.
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Pass a datagram for the port's process to the relay."""
         self.relay.on_datagram(self.number, data, addr[1])
 
 
 class Relay:
-    """Carries datagrams between processes; opened before them, for they are told its ports."""
+    """Relays datagrams between processes under the rules of their links.
+
+    It is opened before the processes start, since its ports are part of their configuration.
+    """
 
     def __init__(self, links: LinkRules) -> None:
         self.links = links
         self.ports: list[RelayPort] = []
-        self.addresses: list[str] = []  # where each process is reached by the others
-        self.sender: dict[int, int] = {}  # process by its own port
-        self.receiver: dict[int, tuple[str, int]] = {}
+        self.addresses: list[str] = []  # advertised address of each process: its port of the relay
+        self.sender_by_port: dict[int, int] = {}  # process number by the port at which the process listens
+        self.receiver_addresses: dict[int, tuple[str, int]] = {}  # listening address by process number
         self.sent = Counter[int]()  # datagrams by sender
         self.lost = 0
-        self.stalled: list[tuple[int, int, bytes]] = []
+        self.stalled: list[tuple[int, int, bytes]] = []  # sender, receiver and data of kept datagrams
         self.loop = asyncio.get_running_loop()
 
     async def open(self) -> None:
+        """Open one port for each process."""
         for number in range(self.links.count):
-            door = RelayPort(self, number)
+            port = RelayPort(self, number)
             transport, _ = await self.loop.create_datagram_endpoint(
-                lambda door=door: door,  # type: ignore[misc]
+                lambda port=port: port,  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-            self.ports.append(door)
+            self.ports.append(port)
             self.addresses.append(f"127.0.0.1:{transport.get_extra_info('sockname')[1]}")
 
     def close(self) -> None:
-        for door in self.ports:
-            if door.transport is not None:
-                door.transport.close()
-
-    def register_process(self, number: int, at: str) -> None:
-        """A process listens at its own address, once it has one."""
-        place = parse_address(at)
-        self.sender[place[1]], self.receiver[number] = number, place
-
-    def on_datagram(self, receiver: int, data: bytes, port: int) -> None:
-        sender = self.sender.get(port)
+        """Close all ports."""
+        for port in self.ports:
+            if port.transport is not None:
+                port.transport.close()
+
+    def register_process(self, number: int, address: str) -> None:
+        """Set the address at which a process itself listens.
+
+        Until then, datagrams from and to the process are discarded.
+        """
+        host_and_port = parse_address(address)
+        self.sender_by_port[host_and_port[1]], self.receiver_addresses[number] = number, host_and_port
+
+    def on_datagram(self, receiver: int, data: bytes, sender_port: int) -> None:
+        """Deliver, delay, keep or lose a datagram, as the rule of its link says."""
+        sender = self.sender_by_port.get(sender_port)
         if sender is None:
-            return  # not yet known here, or a stranger
+            return  # not a registered process
         self.sent[sender] += 1
-        passed = self.links.next_delivery(sender, receiver)
-        if passed.keep and len(self.stalled) < MOST_STALLED:
+        delivery = self.links.next_delivery(sender, receiver)
+        if delivery.keep and len(self.stalled) < MAX_STALLED_DATAGRAMS:
             self.stalled.append((sender, receiver, data))
-        self.lost += not passed.copy_delays
-        for wait in passed.copy_delays:
-            if wait > 0:
-                self.loop.call_later(wait, self._deliver, receiver, data)
+        self.lost += not delivery.copy_delays
+        for delay in delivery.copy_delays:
+            if delay > 0:
+                self.loop.call_later(delay, self._deliver, receiver, data)
             else:
                 self._deliver(receiver, data)
 
     def deliver_stalled(self) -> None:
-        """What stood before links that are stalled no more goes on now."""
+        """Deliver the kept datagrams of links that are no longer stalled."""
         kept, self.stalled = self.stalled, []
         for sender, receiver, data in kept:
             if self.links.rule_for(sender, receiver).stall:
@@ -162,6 +208,6 @@
                 self._deliver(receiver, data)
 
     def _deliver(self, receiver: int, data: bytes) -> None:
-        place, transport = self.receiver.get(receiver), self.ports[receiver].transport
-        if place is not None and transport is not None and not transport.is_closing():
-            transport.sendto(data, place)
+        address, transport = self.receiver_addresses.get(receiver), self.ports[receiver].transport
+        if address is not None and transport is not None and not transport.is_closing():
+            transport.sendto(data, address)
