--- a/saltcart/lab/faults/membership_scenarios.py
+++ b/saltcart/lab/faults/membership_scenarios.py
@@ -27,7 +27,7 @@
     """Result of one scenario.
 
     Attributes:
-        settled: Whether all running processes agreed on the true view whenever they had to, also at the end.
+        settled: Whether all running processes agreed on the true view after each recovery and at the end.
         deaths: Number of healthy members that were declared dead.
         hours: Total running time of all members in hours.
         detected: Seconds until each running member detected a crash.
