--- a/saltcart/lab/faults/links.py
+++ b/saltcart/lab/faults/links.py
@@ -1,8 +1,8 @@
 """Datagram relay between processes, with scripted faults on each link.
 
-Each process advertises its own port of the relay, so that every datagram sent to it passes through here. The
+Each process advertises its own port of the relay, so that every datagram sent to it passes through here.  The
 relay identifies the sender by the source address and the receiver by the port that the datagram arrives at.
-Each direction of each pair of processes is a separate link. Each link has its own random generator, seeded
+Each direction of each pair of processes is a separate link.  Each link has its own random generator, seeded
 from the one seed of the rig, so that the losses of one link do not change those of another.
 """
 
--- a/saltcart/lab/faults/members.py
+++ b/saltcart/lab/faults/members.py
@@ -119,7 +119,7 @@
         A process is healthy if it ran without a pause for the last ``UNINTERRUPTED_RUN_S``.
 
         Args:
-            partitions: Start and end, in Unix time, of partitions. Deaths declared during them are not
+            partitions: Start and end, in Unix time, of partitions.  Deaths declared during them are not
                 counted, since a member can't tell an unreachable member from a dead one.
         """
         false_deaths = set[tuple[str, int]]()
--- a/saltcart/lab/faults/membership_scenarios.py
+++ b/saltcart/lab/faults/membership_scenarios.py
@@ -145,7 +145,7 @@
 
 async def partition(rig: MembershipRig, result: MembershipScenarioResult) -> None:
     """Cut two members off from the others for 20 s."""
-    # Members can't tell a partition from crashes. The end is a bound until it is known.
+    # Members can't tell a partition from crashes.  The end is a bound until it is known.
     rig.partition_spans.append((time.time(), time.time() + 60.0))
     rig.links.set_rule_between(LinkRule(cut=True), [0, 1])
     await asyncio.sleep(20.0)
--- a/saltcart/lab/faults/programs.py
+++ b/saltcart/lab/faults/programs.py
@@ -1,7 +1,7 @@
 """Service processes of the rig: start, kill, pause and restart them, and read what they log.
 
 A process keeps its addresses over a restart: the ports bound at its first start are written into its
-configuration. A start is bounded by ``START_TIMEOUT_S``, and ``fleet`` leaves no process running.
+configuration.  A start is bounded by ``START_TIMEOUT_S``, and ``fleet`` leaves no process running.
 """
 
 from __future__ import annotations
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -1,7 +1,7 @@
-"""Zones in the rig: nine or twelve real processes in three or six zones of three members, and callers.
+"""Zone rig: nine or twelve service processes in three or six zones of three members each, and their clients.
 
-Each process reaches each member at a port of its own, so that what lies between the two can be cut without
-touching the others.  What members say to each other goes through the relay.
+Each process reaches each member at a port of its own, so that the network path between the two can be cut
+without affecting the others.  Datagrams between the processes pass through the relay.
 """
 
 from __future__ import annotations
@@ -22,115 +22,164 @@
 from saltcart.lab.standins import Act, AjpStandIn, Asked
 from saltcart.lab.zones import agreement
 
-MEMBERS = 3  # of a zone
-RATE = 8.0  # requests a second of one instance
-CAPACITY = 16.0  # requests a second of one member: 48 a zone, of which 24 are its own
-TOOK = 0.03
-SETTLE, AFTER = 20.0, 6.0  # seconds to know of each other; after the day, for the last plan to get round
-DEADLINE = 3.0
+MEMBERS_PER_ZONE = 3
+INSTANCE_REQUEST_RATE = 8.0  # requests per second of one instance
+MEMBER_CAPACITY = 16.0  # requests per second of one member: 48 per zone, of which 24 are its own
+SERVICE_TIME_S = 0.03  # of a request that need not queue
+# Bound on the mutual discovery of the zones, and time for the last plan to reach all processes.
+DISCOVERY_TIMEOUT_S, FINAL_PLAN_WAIT_S = 20.0, 6.0
+DEADLINE_S = 3.0
 
 
 class ZoneScenario(NamedTuple):
-    """Times in seconds; the trouble lasts from ``begin`` to ``end``."""
+    """A scenario of the zone rig; times in seconds from its start.
+
+    Attributes:
+        name: Name in the table of the experiment.
+        duration_seconds: Time during which clients send requests.
+        fault_start: Start of the fault.
+        fault_end: End of the fault.
+        affected_zones: Numbers of the zones with the fault.
+        regions: Region of each zone.
+        instances: Number of processes.
+        stalled_processes: Processes that no datagram reaches for ``STALL_S`` from the start of the fault.
+    """
 
     name: str
-    seconds: float
-    begin: float
-    end: float
-    hurt: tuple[int, ...] = (0,)  # zones that suffer
-    regions: tuple[str, ...] = ("r0", "r0", "r1")  # of each zone
+    duration_seconds: float
+    fault_start: float
+    fault_end: float
+    affected_zones: tuple[int, ...] = (0,)
+    regions: tuple[str, ...] = ("r0", "r0", "r1")
     instances: int = 9
-    stalled: tuple[int, ...] = ()  # processes that nothing reaches for a while after the trouble began
+    stalled_processes: tuple[int, ...] = ()
 
 
-STALL = 2.5  # seconds
+STALL_S = 2.5
 SCENARIOS = (
     ZoneScenario("zone lost", 45.0, 8.0, 18.0),
     ZoneScenario("half slow", 30.0, 8.0, 28.0),
     ZoneScenario("cut", 40.0, 8.0, 20.0),
     ZoneScenario("flap", 40.0, 8.0, 38.0),
     ZoneScenario("region lost", 60.0, 8.0, 20.0, (0, 1, 2), ("r0", "r0", "r0", "r1", "r1", "r1"), 12),
-    ZoneScenario("views apart", 30.0, 8.0, 26.0, stalled=(3, 7)),
+    ZoneScenario("views apart", 30.0, 8.0, 26.0, stalled_processes=(3, 7)),
 )
 
 
 @dataclass
 class ZoneScenarioResult:
-    requests: int = 0
-    good: int = 0
-    healthy: int = 0  # requests of zones in health, and of these
-    home: int = 0  # those that their own zone's members did
-    served: Counter[int] = field(default_factory=Counter)  # of the zones that suffer, by half second
-    offered: Counter[int] = field(default_factory=Counter)
+    """Result of one scenario.
+
+    Attributes:
+        request_count: All requests.
+        success_count: Requests that were served.
+        healthy_zone_requests: Requests of zones without a fault at that time.
+        served_in_own_zone: Those of them that members of their own zone served.
+        affected_served: Served requests of the affected zones, by half second.
+        affected_offered: All requests of the affected zones, by half second.
+        failover: Seconds from the start of the fault until 99% of the affected zones' requests are served;
+            None if that was not reached during the fault.
+        moves: Changes of the plan.
+        swings: Times that the majority of the first zone's requests was sent elsewhere, or back.
+        agree: Share of all pairs of processes that hold the same plan at the end.
+        overload_seconds: Zone-seconds with requests of more than 1.2 times the zone's capacity.
+        outdated_plans: Processes without the newest plan at the end of the stall.
+        plan_numbers: Number of the plan that each process holds at the end.
+    """
+
+    request_count: int = 0
+    success_count: int = 0
+    healthy_zone_requests: int = 0
+    served_in_own_zone: int = 0
+    affected_served: Counter[int] = field(default_factory=Counter)
+    affected_offered: Counter[int] = field(default_factory=Counter)
     failover: float | None = None
     moves: int = 0
     swings: int = 0
     agree: float = 0.0
-    over: int = 0  # seconds in which more than a zone's capacity came to it
-    apart: int = 0  # processes whose plan was another than the newest, when the stall ended
-    plans: list[int] = field(default_factory=list)
+    overload_seconds: int = 0
+    outdated_plans: int = 0
+    plan_numbers: list[int] = field(default_factory=list)
 
     @property
     def success(self) -> float:
-        return self.good / self.requests
+        """Share of the requests that were served."""
+        return self.success_count / self.request_count
 
     @property
     def kept_local(self) -> float:
-        return self.home / max(1, self.healthy)
+        """Share of the healthy zones' requests that their own zone served."""
+        return self.served_in_own_zone / max(1, self.healthy_zone_requests)
 
 
-class Site:
-    """One member's work, whichever process asks for it."""
+class SimulatedMember:
+    """Queue of one member, shared by its stand-ins for all processes.
+
+    Attributes:
+        free_at: Unix time at which the queue is empty.
+        slowdown: Factor on the time that a request takes.
+        arrivals: Requests by second of the scenario.
+        requests_by_process: Requests by the process that sent them.
+    """
 
     def __init__(self, number: int) -> None:
-        self.number, self.zone = number, number // MEMBERS
-        self.free_at, self.slow, self.down = 0.0, 1.0, False
-        self.came = Counter[int]()  # by second
-        self.did = Counter[int]()  # requests by the process that sent them
+        self.number, self.zone = number, number // MEMBERS_PER_ZONE
+        self.free_at, self.slowdown, self.down = 0.0, 1.0, False
+        self.arrivals = Counter[int]()
+        self.requests_by_process = Counter[int]()
 
 
 class ZoneRig:
-    def __init__(self, play: ZoneScenario, seed: int) -> None:
+    """Processes and members of all zones, and the clients of one scenario.
+
+    Args:
+        scenario: The scenario.
+        seed: Seed of the links' and the clients' random generators.
+    """
+
+    def __init__(self, scenario: ZoneScenario, seed: int) -> None:
         self.scenario, self.rng, self.result, self.instances = (
-            play,
+            scenario,
             random.Random(seed),
             ZoneScenarioResult(),
-            play.instances,
+            scenario.instances,
         )
-        self.zones = len(play.regions)
-        self.sites = [Site(n) for n in range(self.zones * MEMBERS)]
+        self.zones = len(scenario.regions)
+        self.members = [SimulatedMember(n) for n in range(self.zones * MEMBERS_PER_ZONE)]
         instances = self.instances
         self.links = LinkRules(instances, seed)
         self.relay = Relay(self.links)
-        self.cut = set[tuple[int, int]]()  # processes and members between which nothing passes
+        self.cut_paths = set[tuple[int, int]]()  # process and member between which nothing passes
         self.started_at = 0.0
-        self.stand_ins: dict[tuple[int, int], AjpStandIn] = {}
+        self.stand_ins: dict[tuple[int, int], AjpStandIn] = {}  # by process and member
         self.programs: list[Program] = []
 
-    def script(self, process: int, member: int) -> Any:
-        site = self.sites[member]
+    def make_script(self, process: int, member_number: int) -> Any:
+        """Create the script of the stand-in at which one process reaches one member."""
+        member = self.members[member_number]
 
-        def act(asked: Asked) -> Act:
-            if (process, member) in self.cut:
+        def serve(asked: Asked) -> Act:
+            if (process, member_number) in self.cut_paths:
                 return Act("silent")
             now = time.time()
-            site.came[int(now - self.started_at)] += 1
-            begin = max(now, site.free_at)
-            site.free_at = begin + site.slow / CAPACITY
-            site.did[process] += 1
-            return Act("ok", begin - now + TOOK * site.slow, b"%d" % site.zone)
+            member.arrivals[int(now - self.started_at)] += 1
+            service_start = max(now, member.free_at)
+            member.free_at = service_start + member.slowdown / MEMBER_CAPACITY
+            member.requests_by_process[process] += 1
+            return Act("ok", service_start - now + SERVICE_TIME_S * member.slowdown, b"%d" % member.zone)
 
-        return act
+        return serve
 
-    def make(self, number: int, folder: Path) -> Program:
+    def make_program(self, number: int, folder: Path) -> Program:
+        """Create one process that is not yet started."""
         members = [
             {
                 "host": self.stand_ins[number, m].address,
-                "zone": f"z{m // MEMBERS}",
-                "region": self.scenario.regions[m // MEMBERS],
-                "capacity": CAPACITY,
+                "zone": f"z{m // MEMBERS_PER_ZONE}",
+                "region": self.scenario.regions[m // MEMBERS_PER_ZONE],
+                "capacity": MEMBER_CAPACITY,
             }
-            for m in range(self.zones * MEMBERS)
+            for m in range(self.zones * MEMBERS_PER_ZONE)
         ]
         zone = number % self.zones
         return Program(
@@ -160,159 +209,187 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """The relay, the members and the processes, which know of each other."""
+        """Run the relay, the members and the processes; entered once the processes know of all zones."""
         await self.relay.open()
         try:
             async with AsyncExitStack() as stack:
                 for process in range(self.instances):
-                    for member in range(self.zones * MEMBERS):
-                        made = AjpStandIn(self.script(process, member))
-                        self.stand_ins[process, member] = await stack.enter_async_context(made)
-                        made.port = int(made.address.split(":")[1])
-                self.programs = await stack.enter_async_context(fleet(self.instances, self.make))
+                    for member in range(self.zones * MEMBERS_PER_ZONE):
+                        stand_in = AjpStandIn(self.make_script(process, member))
+                        self.stand_ins[process, member] = await stack.enter_async_context(stand_in)
+                        stand_in.port = int(stand_in.address.split(":")[1])
+                self.programs = await stack.enter_async_context(fleet(self.instances, self.make_program))
                 await start_all(self.programs)
                 for number, program in enumerate(self.programs):
                     self.relay.register_process(number, program.addresses["member"])
-                await self.settled()
+                await self.wait_for_discovery()
                 self.started_at = time.time()
                 yield
         finally:
             self.relay.close()
 
     async def run(self) -> ZoneScenarioResult:
+        """Run the scenario."""
         async with self.running():
-            await self.day()
+            await self.run_clients_and_faults()
         return self.result
 
     async def poll_states(self) -> list[dict[str, Any] | None]:
+        """Poll the locality state of each process; None for one that does not answer."""
         return list(await asyncio.gather(*(p.get_admin("/v1/locality") for p in self.programs)))
 
-    async def settled(self) -> None:
-        """Everybody knows of all zones."""
-        async with asyncio.timeout(SETTLE):
+    async def wait_for_discovery(self) -> None:
+        """Wait until all processes know of all zones.
+
+        Raises:
+            TimeoutError: They did not within ``DISCOVERY_TIMEOUT_S``.
+        """
+        async with asyncio.timeout(DISCOVERY_TIMEOUT_S):
             while not all(s is not None and len(s["zones"]) == self.zones for s in await self.poll_states()):
                 await asyncio.sleep(POLL_INTERVAL_S)
 
-    # ---- the day ------------------------------------------------------------------------------
+    # ---- Requests and faults ----
 
-    async def day(self) -> None:
-        play, told = self.scenario, self.result
+    async def run_clients_and_faults(self) -> None:
+        """Send requests and inject the faults, then record what the processes logged and hold."""
+        scenario, result = self.scenario, self.result
         self.started_at = time.time() + 0.2
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.trouble())
+            group.create_task(self.inject_faults())
             at = 0.0
-            while (at := at + self.rng.expovariate(RATE * self.instances)) < play.seconds:
+            while (
+                at := at + self.rng.expovariate(INSTANCE_REQUEST_RATE * self.instances)
+            ) < scenario.duration_seconds:
                 group.create_task(self.send_request(at, self.rng.randrange(self.instances)))
-        plans = [e for p in self.programs for e in p.events if e["event"] == "locality-plan"]
-        # One plan is told by each process that took it up; the number and its author name it.
-        rows = [
-            tuple(sorted((z, *sorted(r.items())) for z, r in e["rows"].items()))
-            for e in sorted(plans, key=lambda e: e["at"])
+        plan_events = [e for p in self.programs for e in p.events if e["event"] == "locality-plan"]
+        # Each process that adopts a plan logs it with its number and author; equal rows are counted once.
+        rows_in_order = [
+            tuple(sorted((zone, *sorted(row.items())) for zone, row in e["rows"].items()))
+            for e in sorted(plan_events, key=lambda e: e["at"])
         ]
-        told.moves = sum(a != b for a, b in zip([(), *dict.fromkeys(rows)], dict.fromkeys(rows)))
-        away = [
+        result.moves = sum(
+            a != b for a, b in zip([(), *dict.fromkeys(rows_in_order)], dict.fromkeys(rows_in_order))
+        )
+        # Thousandths of the first zone's requests that the first process's plans send to other zones.
+        permille_away = [
             1000 - e["rows"].get("z0", {"z0": 1000}).get("z0", 0)
             for e in sorted(
                 (e for e in self.programs[0].events if e["event"] == "locality-plan"), key=lambda e: e["at"]
             )
         ]
-        told.swings = sum((a < 500) != (b < 500) for a, b in zip([0, *away], away))
-        await asyncio.sleep(AFTER)
+        result.swings = sum((a < 500) != (b < 500) for a, b in zip([0, *permille_away], permille_away))
+        await asyncio.sleep(FINAL_PLAN_WAIT_S)
         states = [s for s in await self.poll_states() if s is not None]
-        told.plans = [s["plan"] for s in states]
-        held = Counter(repr(sorted((z, sorted(row.items())) for z, row in s["rows"].items())) for s in states)
-        told.agree = agreement(held, self.instances)
-        for half in range(int(2 * play.begin), int(2 * play.end) - 2):
-            span = range(half, half + 3)
-            offered = sum(told.offered[h] for h in span)
-            if offered and sum(told.served[h] for h in span) >= 0.99 * offered:
-                told.failover = half / 2 - play.begin
+        result.plan_numbers = [s["plan"] for s in states]
+        holders = Counter(
+            repr(sorted((zone, sorted(row.items())) for zone, row in s["rows"].items())) for s in states
+        )
+        result.agree = agreement(holders, self.instances)
+        for half_second in range(int(2 * scenario.fault_start), int(2 * scenario.fault_end) - 2):
+            span = range(half_second, half_second + 3)
+            offered = sum(result.affected_offered[h] for h in span)
+            if offered and sum(result.affected_served[h] for h in span) >= 0.99 * offered:
+                result.failover = half_second / 2 - scenario.fault_start
                 break
         for zone in range(self.zones):
-            sites = [s for s in self.sites if s.zone == zone]
-            told.over += sum(
-                sum(s.came[n] for s in sites) > 1.2 * MEMBERS * CAPACITY for n in range(int(play.seconds))
+            members = [m for m in self.members if m.zone == zone]
+            result.overload_seconds += sum(
+                sum(m.arrivals[second] for m in members) > 1.2 * MEMBERS_PER_ZONE * MEMBER_CAPACITY
+                for second in range(int(scenario.duration_seconds))
             )
 
     async def send_request(self, at: float, instance: int) -> None:
+        """Send one request and record its result.
+
+        Args:
+            at: Time of the request in seconds from the start of the scenario.
+            instance: Number of the process that receives it.
+        """
         await asyncio.sleep(max(0.0, self.started_at + at - time.time()))
-        play, told, zone = self.scenario, self.result, instance % self.zones
-        told.requests += 1
-        hurt = zone in play.hurt and play.begin <= at and play.name != "cut"
-        told.healthy += not hurt
-        told.offered[int(2 * at)] += zone in play.hurt
-        number = told.requests
-        data = request("read", number, b"x", DEADLINE, self.rng.random(), account="rig", size_kb=5)
+        scenario, result, zone = self.scenario, self.result, instance % self.zones
+        result.request_count += 1
+        affected = zone in scenario.affected_zones and scenario.fault_start <= at and scenario.name != "cut"
+        result.healthy_zone_requests += not affected
+        result.affected_offered[int(2 * at)] += zone in scenario.affected_zones
+        number = result.request_count
+        data = request("read", number, b"x", DEADLINE_S, self.rng.random(), account="rig", size_kb=5)
         try:
-            answer = await call(self.programs[instance].addresses["http"], data, DEADLINE + 1)
+            response = await call(self.programs[instance].addresses["http"], data, DEADLINE_S + 1)
         except (OSError, TimeoutError):
             return
-        good = answer.status == 200
-        told.good += good
-        told.home += good and not hurt and answer.body == b"%d" % zone
-        told.served[int(2 * at)] += zone in play.hurt and good
+        served = response.status == 200
+        result.success_count += served
+        result.served_in_own_zone += served and not affected and response.body == b"%d" % zone
+        result.affected_served[int(2 * at)] += zone in scenario.affected_zones and served
 
     async def stop_members(self) -> None:
-        """All members of the zones that suffer are gone: their ports refuse."""
+        """Stop all members of the affected zones: their ports refuse connections."""
         for (_, member), stand_in in self.stand_ins.items():
-            if member // MEMBERS in self.scenario.hurt:
+            if member // MEMBERS_PER_ZONE in self.scenario.affected_zones:
                 await stand_in.__aexit__()
 
     async def restart_members(self) -> None:
+        """Start the members of the affected zones again, at their old ports."""
         for (_, member), stand_in in self.stand_ins.items():
-            if member // MEMBERS in self.scenario.hurt:
+            if member // MEMBERS_PER_ZONE in self.scenario.affected_zones:
                 await stand_in.__aenter__()
 
-    async def stall(self) -> None:
-        """Nothing reaches some processes for a while: they go on with the plan of before."""
-        for number in self.scenario.stalled:
+    async def stall_processes(self) -> None:
+        """Stall the links to some processes for ``STALL_S``: they keep their plan meanwhile."""
+        for number in self.scenario.stalled_processes:
             self.links.set_rule(LinkRule(stall=True), receiver=number)
-        await self.wait_until(self.scenario.begin + STALL)
-        numbers = [s["plan"] for s in await self.poll_states() if s is not None]
-        self.result.apart = sum(n != max(numbers) for n in numbers)
+        await self.wait_until(self.scenario.fault_start + STALL_S)
+        plan_numbers = [s["plan"] for s in await self.poll_states() if s is not None]
+        self.result.outdated_plans = sum(n != max(plan_numbers) for n in plan_numbers)
         self.links.clear_rules()
         self.relay.deliver_stalled()
 
-    async def trouble(self) -> None:
-        play = self.scenario
-        await self.wait_until(play.begin)
-        mine = [n for n in range(self.instances) if n % self.zones == 0]
-        if play.name in {"zone lost", "region lost", "views apart"}:
+    async def inject_faults(self) -> None:
+        """Inject the faults of the scenario and remove them at their end."""
+        scenario = self.scenario
+        await self.wait_until(scenario.fault_start)
+        first_zone_processes = [n for n in range(self.instances) if n % self.zones == 0]
+        if scenario.name in {"zone lost", "region lost", "views apart"}:
             await self.stop_members()
-            if play.stalled:
-                await self.stall()
-            await self.wait_until(play.end)
+            if scenario.stalled_processes:
+                await self.stall_processes()
+            await self.wait_until(scenario.fault_end)
             await self.restart_members()
-        elif play.name == "half slow":
-            self.sites[0].slow = self.sites[1].slow = 10.0
-            await self.wait_until(play.end)
-            self.sites[0].slow = self.sites[1].slow = 1.0
-        elif play.name == "cut":
-            self.links.set_rule_between(LinkRule(cut=True), mine)
-            self.cut = {
+        elif scenario.name == "half slow":
+            self.members[0].slowdown = self.members[1].slowdown = 10.0
+            await self.wait_until(scenario.fault_end)
+            self.members[0].slowdown = self.members[1].slowdown = 1.0
+        elif scenario.name == "cut":
+            self.links.set_rule_between(LinkRule(cut=True), first_zone_processes)
+            self.cut_paths = {
                 (n, m)
                 for n in range(self.instances)
-                for m in range(self.zones * MEMBERS)
-                if (n in mine) != (m < MEMBERS)
+                for m in range(self.zones * MEMBERS_PER_ZONE)
+                if (n in first_zone_processes) != (m < MEMBERS_PER_ZONE)
             }
-            await self.wait_until(play.end)
+            await self.wait_until(scenario.fault_end)
             self.links.clear_rules()
-            self.cut = set()
+            self.cut_paths = set()
         else:
-            own = {(n, m) for n in mine for m in range(MEMBERS)}
-            at = play.begin
-            while at < play.end:
-                self.cut = own if not self.cut else set()
+            own_zone_paths = {(n, m) for n in first_zone_processes for m in range(MEMBERS_PER_ZONE)}
+            at = scenario.fault_start
+            while at < scenario.fault_end:
+                self.cut_paths = own_zone_paths if not self.cut_paths else set()
                 at += 2.0
-                await self.wait_until(min(at, play.end))
-            self.cut = set()
+                await self.wait_until(min(at, scenario.fault_end))
+            self.cut_paths = set()
 
     async def wait_until(self, at: float) -> None:
+        """Wait until the given time in seconds from the start of the scenario."""
         await asyncio.sleep(max(0.0, self.started_at + at - time.time()))
 
 
 def run_scenario(job: tuple[int, int]) -> ZoneScenarioResult:
-    """A play by its number in ``PLAYS``, in a process of its own."""
+    """Run one scenario in the calling process of a worker pool.
+
+    Args:
+        job: Index of the scenario in ``SCENARIOS``, and the seed.
+    """
 
     async def run() -> ZoneScenarioResult:
         return await ZoneRig(SCENARIOS[job[0]], job[1]).run()
