--- a/saltcart/lab/faults/links.py
+++ b/saltcart/lab/faults/links.py
@@ -200,8 +200,8 @@
 
     def deliver_stalled(self) -> None:
         """Deliver the kept datagrams of links that are no longer stalled."""
-        kept, self.stalled = self.stalled, []
-        for sender, receiver, data in kept:
+        datagrams, self.stalled = self.stalled, []
+        for sender, receiver, data in datagrams:
             if self.links.rule_for(sender, receiver).stall:
                 self.stalled.append((sender, receiver, data))
             else:
--- a/saltcart/lab/faults/subsets.py
+++ b/saltcart/lab/faults/subsets.py
@@ -71,7 +71,7 @@
         self.stand_ins: list[AjpStandIn] = []
         self.programs: list[Program] = []
 
-    def serve(self, asked: Asked) -> Act:
+    def serve(self, received_request: Asked) -> Act:
         """Count a request at a member, and respond to it."""
         self.arrivals[int(time.time())] += 1
         return Act("ok", 0.01)
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -23,7 +23,7 @@
 from saltcart.lab.zones import agreement
 
 MEMBERS_PER_ZONE = 3
-INSTANCE_REQUEST_RATE = 8.0  # requests per second of one instance
+REQUEST_RATE = 8.0  # requests per second of one instance
 MEMBER_CAPACITY = 16.0  # requests per second of one member: 48 per zone, of which 24 are its own
 SERVICE_TIME_S = 0.03  # of a request that need not queue
 # Bound on the mutual discovery of the zones, and time for the last plan to reach all processes.
@@ -36,7 +36,7 @@
 
     Attributes:
         name: Name in the table of the experiment.
-        duration_seconds: Time during which clients send requests.
+        duration_s: Time during which clients send requests.
         fault_start: Start of the fault.
         fault_end: End of the fault.
         affected_zones: Numbers of the zones with the fault.
@@ -46,7 +46,7 @@
     """
 
     name: str
-    duration_seconds: float
+    duration_s: float
     fault_start: float
     fault_end: float
     affected_zones: tuple[int, ...] = (0,)
@@ -158,7 +158,7 @@
         """Create the script of the stand-in at which one process reaches one member."""
         member = self.members[member_number]
 
-        def serve(asked: Asked) -> Act:
+        def serve(received_request: Asked) -> Act:
             if (process, member_number) in self.cut_paths:
                 return Act("silent")
             now = time.time()
@@ -257,19 +257,15 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.inject_faults())
             at = 0.0
-            while (
-                at := at + self.rng.expovariate(INSTANCE_REQUEST_RATE * self.instances)
-            ) < scenario.duration_seconds:
+            while (at := at + self.rng.expovariate(REQUEST_RATE * self.instances)) < scenario.duration_s:
                 group.create_task(self.send_request(at, self.rng.randrange(self.instances)))
         plan_events = [e for p in self.programs for e in p.events if e["event"] == "locality-plan"]
-        # Each process that adopts a plan logs it with its number and author; equal rows are counted once.
-        rows_in_order = [
-            tuple(sorted((zone, *sorted(row.items())) for zone, row in e["rows"].items()))
+        # Each process logs a plan, with its number and author, when it adopts it; equal rows count once.
+        plans = [
+            tuple(sorted((origin, *sorted(shares.items())) for origin, shares in e["rows"].items()))
             for e in sorted(plan_events, key=lambda e: e["at"])
         ]
-        result.moves = sum(
-            a != b for a, b in zip([(), *dict.fromkeys(rows_in_order)], dict.fromkeys(rows_in_order))
-        )
+        result.moves = sum(a != b for a, b in zip([(), *dict.fromkeys(plans)], dict.fromkeys(plans)))
         # Thousandths of the first zone's requests that the first process's plans send to other zones.
         permille_away = [
             1000 - e["rows"].get("z0", {"z0": 1000}).get("z0", 0)
@@ -281,10 +277,8 @@
         await asyncio.sleep(FINAL_PLAN_WAIT_S)
         states = [s for s in await self.poll_states() if s is not None]
         result.plan_numbers = [s["plan"] for s in states]
-        holders = Counter(
-            repr(sorted((zone, sorted(row.items())) for zone, row in s["rows"].items())) for s in states
-        )
-        result.agree = agreement(holders, self.instances)
+        held = Counter(repr(sorted((z, sorted(row.items())) for z, row in s["rows"].items())) for s in states)
+        result.agree = agreement(held, self.instances)
         for half_second in range(int(2 * scenario.fault_start), int(2 * scenario.fault_end) - 2):
             span = range(half_second, half_second + 3)
             offered = sum(result.affected_offered[h] for h in span)
@@ -292,10 +286,10 @@
                 result.failover = half_second / 2 - scenario.fault_start
                 break
         for zone in range(self.zones):
-            members = [m for m in self.members if m.zone == zone]
+            members = [member for member in self.members if member.zone == zone]
             result.overload_seconds += sum(
-                sum(m.arrivals[second] for m in members) > 1.2 * MEMBERS_PER_ZONE * MEMBER_CAPACITY
-                for second in range(int(scenario.duration_seconds))
+                sum(member.arrivals[second] for member in members) > 1.2 * MEMBERS_PER_ZONE * MEMBER_CAPACITY
+                for second in range(int(scenario.duration_s))
             )
 
     async def send_request(self, at: float, instance: int) -> None:
