--- a/saltcart/net/announcer.py
+++ b/saltcart/net/announcer.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.parser = http1.ResponseParser(MAX_RESPONSE_BODY_BYTES)
+        self.parser = http1.HttpResponseParser(MAX_RESPONSE_BODY_BYTES)
         self.response: asyncio.Future[http1.HttpResponse] = asyncio.get_running_loop().create_future()
 
     def received(self) -> None:
@@ -122,7 +122,7 @@
         connection = self.connection
         connection.response = loop.create_future()
         body = orjson.dumps({"accepting": "true" if self.is_accepting else "false"})
-        connection.send(http1.request("PUT", f"/announce/{self.name}", self.peer, body))
+        connection.send(http1.encode_request("PUT", f"/announce/{self.name}", self.peer, body))
         response = await connection.response
         if response.status != 204:
             raise ConnectionError(f"status {response.status}")
--- a/saltcart/net/base.py
+++ b/saltcart/net/base.py
@@ -31,7 +31,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return free space of the buffer for asyncio to receive into."""
-        return self.buffer.space()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Process the bytes that asyncio has received into the buffer."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -397,7 +397,7 @@
                 served = asyncio.create_task(serve())
                 await app.start()
                 try:
-                    await until(app.ready)
+                    await until(app.is_ready)
                     await served
                     client = await HttpClient("{}:{}".format(*held.getsockname())).open()
                     assert (await client.ask(1)).status == 200
@@ -561,7 +561,7 @@
                 write, client.writer.write = client.writer.write, held.append  # type: ignore[assignment, method-assign]
                 client.send(1, body=b"xyz")
                 write(b"".join(held)[:-2])
-                await until(lambda: any(c.partial() for c in listener.connections))  # type: ignore[attr-defined]
+                await until(lambda: any(c.has_partial_request() for c in listener.connections))  # type: ignore[attr-defined]
             else:
                 client.send(1)
                 await until(lambda: pool.spawned == [ident(1)])
--- a/tests/test_faulty_peers.py
+++ b/tests/test_faulty_peers.py
@@ -23,7 +23,7 @@
 
 
 REQUEST_LINE = b"POST /call/read HTTP/1.1\r\n"
-FORWARD_REQUEST = ajp.forward_request(b"POST", b"/call/read", [(b"Content-Length", b"5")], b"h", 80)
+FORWARD_REQUEST = ajp.encode_forward_request(b"POST", b"/call/read", [(b"Content-Length", b"5")], b"h", 80)
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
         ("ajp", b"", b""),
         ("ajp", FORWARD_REQUEST[:9], b"AB"),
         ("ajp", FORWARD_REQUEST, b"AB"),
-        ("ajp", FORWARD_REQUEST + ajp.body_packet(b"ab"), b"AB"),
+        ("ajp", FORWARD_REQUEST + ajp.encode_body_packet(b"ab"), b"AB"),
         ("ajp", b"\x12\x34\xff\xff", b"AB"),
     ],
 )
@@ -381,7 +381,7 @@
             old_pool.quiet = True
             client.send(1, "oddaja", key="k")
             await until(lambda: old_pool.spawned == [ident(1)])
-            poll_number = app.pool.session.mark
+            poll_number = app.pool.session.last_poll
             app.pool.change_address(new_pool.address)
             later_client = await HttpClient(app.addresses["http"]).open()
             later_client.send(2)  # waits for the new link
@@ -406,7 +406,7 @@
             client.send(1)
             assert app.pool is not None
             session = app.pool.session
-            await until(lambda: pool.spawned == [ident(1)] and not session.pending)
+            await until(lambda: pool.spawned == [ident(1)] and not session.unconfirmed)
             pool.quiet = True
             pool_writer(pool).write(b"chatter 1 a remark under a number to come\r\nfinished 1 " + ident(1))
             await asyncio.sleep(0.02)
@@ -414,7 +414,7 @@
             await asyncio.sleep(0.02)
             pool.quiet = False
             pool.cut()
-            await until(lambda: pool.told.count(b"bind 0") == 2 and session.up)
+            await until(lambda: pool.told.count(b"bind 0") == 2 and session.is_ready)
             pool.quiet = True
             writer = pool_writer(pool)
             for byte in b"finished 1 " + ident(1) + b" PASS 20 4\r\nhalf\r\n":
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.listener import Listener
 from tests.standins import CLIENTS, HttpClient, Pool, Server, ident, raw_config, running, until
 
@@ -61,7 +61,7 @@
             client = await HttpClient(app.addresses["http"]).open()
             client.send(1, "oddaja", key="k")
             await until(lambda: pool.spawned == [ident(1)] and pool.told[-1].startswith(b"poll"))
-            await until(lambda: not app.service.ports.workers.session.pending)  # type: ignore[attr-defined]
+            await until(lambda: not app.service.ports.workers.session.unconfirmed)  # type: ignore[attr-defined]
             pool.writer = None
             pool.cut()
             pool.finish(ident(1))  # no link exists: the notice waits
@@ -175,7 +175,10 @@
     """What no request can say never reaches the core, on either front."""
 
     async def play() -> None:
-        async with Pool() as pool, running(Deployment(ajp=AjpFront("127.0.0.1:0")), pool=pool.address) as app:
+        async with (
+            Pool() as pool,
+            running(Deployment(ajp=AjpSettings("127.0.0.1:0")), pool=pool.address) as app,
+        ):
             for name, value in BAD:
                 client = await CLIENTS[front](app.addresses[front]).open()
                 client.changed = {name: value}
