--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -262,12 +262,11 @@
         plan_events = [e for p in self.programs for e in p.events if e["event"] == "locality-plan"]
         # Each process logs a plan, with its number and author, when it adopts it; equal rows count once.
         plans = [
-            tuple(sorted((origin, *sorted(shares.items())) for origin, shares in e["rows"].items()))
+            tuple(sorted((z, *sorted(shares.items())) for z, shares in e["rows"].items()))
             for e in sorted(plan_events, key=lambda e: e["at"])
         ]
         result.moves = sum(a != b for a, b in zip([(), *dict.fromkeys(plans)], dict.fromkeys(plans)))
-        # Thousandths of the first zone's requests that the first process's plans send to other zones.
-        permille_away = [
+        permille_away = [  # of the first zone's requests, sent to other zones by the first process's plans
             1000 - e["rows"].get("z0", {"z0": 1000}).get("z0", 0)
             for e in sorted(
                 (e for e in self.programs[0].events if e["event"] == "locality-plan"), key=lambda e: e["at"]
