--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from saltcart.lab import members as model
-from saltcart.lab.faults import membership_scenarios
+from saltcart.lab.faults import membership_scenarios as rig
 from saltcart.lab.members import Day, Seen, percentile
 
 EVERY = 7.0  # seconds between two crashes of the model's twin of the processes' play
@@ -43,10 +43,9 @@
 def run(quick: bool, seed: int) -> tuple[list[list[str]], dict[str, Any], Truth]:
     """The table, the figures, and by second the share of true views in each play of the processes."""
     # The processes are in real time and need little; the model's plays take what is left.
-    with ProcessPoolExecutor(len(membership_scenarios.SCENARIOS)) as real, ProcessPoolExecutor(6) as other:
+    with ProcessPoolExecutor(len(rig.SCENARIOS)) as real, ProcessPoolExecutor(6) as other:
         started = {
-            p.name: real.submit(membership_scenarios.run_scenario, (n, seed + 1000 * n))
-            for n, p in enumerate(membership_scenarios.SCENARIOS)
+            p.name: real.submit(rig.run_scenario, (n, seed + 1000 * n)) for n, p in enumerate(rig.SCENARIOS)
         }
         modelled: list[tuple[tuple[str, Day, int], Future[Seen]]] = [
             (job, other.submit(model.play, job)) for job in jobs(quick, seed)
@@ -54,7 +53,7 @@
         told = {name: future.result() for name, future in started.items()}
         seen = [(job, future.result()) for job, future in modelled]
     rows = [["play", "members", "p50 s", "p99 s", "missed", "deaths", "hours", "pkt/s", "agree", "settled s"]]
-    for p in membership_scenarios.SCENARIOS:
+    for p in rig.SCENARIOS:
         t = told[p.name]
         rows.append(
             [
@@ -93,7 +92,7 @@
 
 
 def figures(
-    told: dict[str, membership_scenarios.MembershipScenarioResult],
+    told: dict[str, rig.MembershipScenarioResult],
     seen: list[tuple[tuple[str, Day, int], Seen]],
     quick: bool,
     seed: int,
