--- a/saltcart/lab/faults/subsets.py
+++ b/saltcart/lab/faults/subsets.py
@@ -19,7 +19,7 @@
 from saltcart.lab.faults.links import LinkRule, LinkRules, Relay
 from saltcart.lab.faults.members import POLL_INTERVAL_S, SERVICE_CLASSES
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
-from saltcart.lab.standins import Act, AjpStandIn, Asked
+from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
 
 INSTANCE_COUNT, MEMBER_COUNT, INITIAL_INSTANCES, CLASS_COUNT = 12, 8, 10, 2
 MEMBER_CAPACITY = 12.0  # requests per second of one member, as stated in the deployment file
@@ -71,10 +71,10 @@
         self.stand_ins: list[AjpStandIn] = []
         self.programs: list[Program] = []
 
-    def serve(self, received_request: Asked) -> Act:
+    def serve(self, received_call: ReceivedCall) -> ScriptedReply:
         """Count a request at a member, and respond to it."""
         self.arrivals[int(time.time())] += 1
-        return Act("ok", 0.01)
+        return ScriptedReply("ok", 0.01)
 
     def make_program(self, number: int, folder: Path) -> Program:
         """Create one process that is not yet started."""
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -19,7 +19,7 @@
 from saltcart.lab.faults.links import LinkRule, LinkRules, Relay
 from saltcart.lab.faults.members import POLL_INTERVAL_S, SERVICE_CLASSES
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
-from saltcart.lab.standins import Act, AjpStandIn, Asked
+from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
 from saltcart.lab.zones import agreement
 
 MEMBERS_PER_ZONE = 3
@@ -158,15 +158,17 @@
         """Create the script of the stand-in at which one process reaches one member."""
         member = self.members[member_number]
 
-        def serve(received_request: Asked) -> Act:
+        def serve(received_call: ReceivedCall) -> ScriptedReply:
             if (process, member_number) in self.cut_paths:
-                return Act("silent")
+                return ScriptedReply("silent")
             now = time.time()
             member.arrivals[int(now - self.started_at)] += 1
             service_start = max(now, member.free_at)
             member.free_at = service_start + member.slowdown / MEMBER_CAPACITY
             member.requests_by_process[process] += 1
-            return Act("ok", service_start - now + SERVICE_TIME_S * member.slowdown, b"%d" % member.zone)
+            return ScriptedReply(
+                "ok", service_start - now + SERVICE_TIME_S * member.slowdown, b"%d" % member.zone
+            )
 
         return serve
 
