--- a/saltcart/locality/zone_router.py
+++ b/saltcart/locality/zone_router.py
@@ -151,7 +151,7 @@
     # ---- messages to other instances ----------------------------------------------------------
 
     def tick(self, now: float, unix_time: float) -> None:
-        """Send what is due: the report to the zone's leader, or the leader's summary and plan.
+        """Send the messages that are due: the report to the zone's leader, or the leader's summary and plan.
 
         Args:
             now: Monotonic time in seconds.
@@ -232,12 +232,12 @@
     ) -> str | None:
         """Return the member that an attempt goes to; None to reject the request.
 
-        A first attempt follows the plan.  A retry stays in the plan's zones while they have an untried
-        member, and then goes to the nearest other zones within the retry budget.
+        A first attempt follows the plan.  A retry stays in the plan's zones while they have an
+        unattempted member, and then goes to the nearest other zones within the retry budget.
 
         Args:
             now: Monotonic time in seconds.
-            attempted_hosts: Members that were tried and have certainly not run the request.
+            attempted_hosts: Members that were attempted and proved not to have run the request.
             is_idempotent: Whether the request may run twice, so that it may serve as a trial request.
             weight: Priority weight; when the plan rejects a share of the requests, the lowest go first.
         """
@@ -299,14 +299,14 @@
         return self.load(host) * self.outliers.slowness(host, typical_duration)
 
     def record_outcome(
-        self, now: float, host: str, good: bool, seconds: float, connection_refused: bool = False
+        self, now: float, host: str, is_success: bool, seconds: float, connection_refused: bool = False
     ) -> None:
         """Count the outcome of an attempt at a member; see ``OutlierDetector.record_outcome``."""
-        self.outliers.record_outcome(now, host, good, seconds, connection_refused)
+        self.outliers.record_outcome(now, host, is_success, seconds, connection_refused)
 
     # ---- metrics and administration API -------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics."""
         row = self.plan.row(self.own_zone)
         return [
@@ -319,7 +319,7 @@
         ]
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the state that the administration API shows."""
         zones = self.topology.zones
         rows = self.plan.rows.items()
         return {
--- a/saltcart/simulator_adapter.py
+++ b/saltcart/simulator_adapter.py
@@ -165,8 +165,8 @@
             return {"verb": "releaseKey", "msgId": request_id}
         case actions.JoinAttempt(request_id):
             return {"verb": "answerFrom", "msgId": request_id}
-        case actions.SetHealth(is_healthy, answer_from_cache):
-            return {"verb": "setHealth", "on": is_healthy, "cheap": answer_from_cache}
+        case actions.SetHealth(is_healthy, respond_from_cache):
+            return {"verb": "setHealth", "on": is_healthy, "cheap": respond_from_cache}
         case actions.AdvertiseLevel(level):
             return {"verb": "say", "level": level}
         case actions.SetIdleTimeout(seconds):
@@ -181,8 +181,8 @@
     message: dict[str, Any] = {"verb": "busy", "msgId": action.id}
     if action.is_final:
         message["terminal"] = True
-    if action.retry_after > 0:
-        message["wait"] = action.retry_after
+    if action.back_off_seconds > 0:
+        message["wait"] = action.back_off_seconds
     return message
 
 
--- a/saltcart/subsetting/subset_balancer.py
+++ b/saltcart/subsetting/subset_balancer.py
@@ -218,7 +218,7 @@
             self.reports[sender.name] = now, decode_message(_report_decoder, data, "load report")
 
     def tick(self, now: float) -> None:
-        """Send what is due at this instance's staggered time.
+        """Send the messages that are due at this instance's staggered time.
 
         An instance sends its load report to its class's leader; the leader publishes the sum.  The fleet's
         leader also updates the assignments, once no instance has joined or left for ``SETTLE_SECONDS``.
@@ -302,15 +302,15 @@
     def choose(self, now: float, attempted_hosts: set[str]) -> str | None:
         """Return the member that an attempt goes to: the less loaded of two that are drawn from the subset.
 
-        Members outside the subset are used only when all of the subset was tried, and members in backoff
+        Members outside the subset are used only when all of the subset was attempted, and members in backoff
         only when no others are left.
 
         Args:
             now: Monotonic time in seconds.
-            attempted_hosts: Members that were tried and have certainly not run the request.
+            attempted_hosts: Members that were attempted and proved not to have run the request.
 
         Returns:
-            The member's host; None if all members were tried.
+            The member's host; None if all members were attempted.
         """
         candidates = [host for host in self.subset if host not in attempted_hosts]
         candidates = candidates or [host for host in self.members if host not in attempted_hosts]
@@ -319,24 +319,24 @@
         candidates = [host for host in candidates if self.backoff_until.get(host, 0.0) <= now] or candidates
         return min(self.rng.choice(candidates), self.rng.choice(candidates), key=self._estimated_load)
 
-    def record_outcome(self, now: float, host: str, good: bool, connection_refused: bool) -> None:
+    def record_outcome(self, now: float, host: str, is_success: bool, connection_refused: bool) -> None:
         """Count the outcome of an attempt at a member.
 
-        After a refused connection, the member is in backoff until this instance's staggered time.  A good
-        outcome ends the backoff.
+        After a refused connection, the member is in backoff until this instance's staggered time.  A
+        success ends the backoff.
         """
         if connection_refused:
             backoff = self.backoffs.setdefault(
                 host, StaggeredBackoff(FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
             )
             self.backoff_until[host] = backoff.record_failure(now, position_of(self.name, self.present))
-        elif good and host in self.backoffs:
+        elif is_success and host in self.backoffs:
             del self.backoffs[host]
             self.backoff_until.pop(host, None)
 
     # ---- metrics and administration API -------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics."""
         return [
             ("fleet.class", self.own_class),
@@ -347,7 +347,7 @@
         ]
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the state that the administration API shows."""
         return {
             "class": self.own_class,
             "classes": self.class_count,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -121,8 +121,8 @@
         async with asyncio.timeout(TIMEOUT_S):
             while len({event for event, _ in logged} & {"member-unsent", "member-malformed"}) < 2:
                 await asyncio.sleep(0.005)
-        figures = dict(driver.figures())
-        assert figures["member.unsent"] >= 1 and figures["member.malformed"] == 1
+        metrics = dict(driver.metrics())
+        assert metrics["member.unsent"] >= 1 and metrics["member.malformed"] == 1
         assert ("member-unsent", {"peer": "somewhere.invalid:9", "error": "not a loopback address"}) in logged
         transport.close()
         driver.close()
