--- a/saltcart/lab/locality_experiment.py
+++ b/saltcart/lab/locality_experiment.py
@@ -37,12 +37,12 @@
     """
     jobs = [(day, policy, seed) for day in simulated_days(quick) for policy in POLICIES]
     jobs.sort(key=lambda job: -job[0].duration_seconds * job[0].instance_count)
-    with ProcessPoolExecutor(len(rig.PLAYS)) as rig_pool, ProcessPoolExecutor(6) as model_pool:
-        rig_futures = [rig_pool.submit(rig.play, (n, seed)) for n in range(len(rig.PLAYS))]
+    with ProcessPoolExecutor(len(rig.SCENARIOS)) as rig_pool, ProcessPoolExecutor(6) as model_pool:
+        rig_futures = [rig_pool.submit(rig.run_scenario, (n, seed)) for n in range(len(rig.SCENARIOS))]
         results = dict(
             zip([(day.name, policy) for day, policy, _ in jobs], model_pool.map(model.simulate, jobs))
         )
-        rig_results = {p.name: future.result() for p, future in zip(rig.PLAYS, rig_futures)}
+        rig_results = {p.name: future.result() for p, future in zip(rig.SCENARIOS, rig_futures)}
     rows = [
         [
             "day",
@@ -107,7 +107,10 @@
 
 
 def figures(
-    results: dict[tuple[str, str], ZoneResult], rig_results: dict[str, rig.Told], quick: bool, seed: int
+    results: dict[tuple[str, str], ZoneResult],
+    rig_results: dict[str, rig.ZoneScenarioResult],
+    quick: bool,
+    seed: int,
 ) -> dict[str, Any]:
     """Figures of the experiment's JSON object.
 
@@ -120,7 +123,7 @@
     common = {day: result for (day, policy), result in results.items() if policy == "common"}
     flap, zone_lost = common["flap"], common["zone lost"]
 
-    all_results: list[ZoneResult | rig.Told] = [*common.values(), *rig_results.values()]
+    all_results: list[ZoneResult | rig.ZoneScenarioResult] = [*common.values(), *rig_results.values()]
     values: dict[str, Any] = {
         "kept_local": round(min(r.kept_local for r in all_results), 3),
         "failover_s": zone_lost.failover_seconds,
--- a/saltcart/lab/members.py
+++ b/saltcart/lab/members.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from saltcart.lab.events import Events, Ticks
+from saltcart.lab.events import DueTimer, EventQueue
 from saltcart.membership.member import Member
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.messages import Datagram
@@ -82,7 +82,7 @@
 
     def __init__(self, day: MemberDay, seed: int) -> None:
         """Start with all members up and the network whole."""
-        self.day, self.events, self.rng = day, Events(1_000.0), random.Random(seed)
+        self.day, self.events, self.rng = day, EventQueue(1_000.0), random.Random(seed)
         self.start_time = self.events.now
         self.up = [True] * day.member_count
         self.packet_count, self.packets_before_crash = 0, 0
@@ -174,14 +174,14 @@
         self.number_by_address = {f"h:{n}": n for n in range(day.member_count)}
         snapshot = MembershipSnapshot(MemberRecord(f"m{n}", f"h:{n}", 1) for n in range(day.member_count))
         self.members: list[Member] = []
-        self.ticks: list[Ticks] = []
+        self.ticks: list[DueTimer] = []
         for n in range(day.member_count):
             member = Member(
                 settings, f"m{n}", f"h:{n}", random.Random(self.rng.random()), self.events.now, 1, snapshot
             )
             member.on_changed = lambda change, n=n: self._on_changed(n, change)  # type: ignore[misc]
             self.members.append(member)
-            ticks = Ticks(self.events, member.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
+            ticks = DueTimer(self.events, member.next_due, lambda n=n: self._tick(n))  # type: ignore[misc]
             member.context.timers.on_earlier_due = ticks.arm
             self.ticks.append(ticks)
             ticks.arm()
--- a/saltcart/lab/membership.py
+++ b/saltcart/lab/membership.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from saltcart.lab import members as model
-from saltcart.lab.faults import plays
+from saltcart.lab.faults import membership_scenarios as rig
 from saltcart.lab.members import MemberDay, MemberResult, percentile
 
 CRASH_INTERVAL_SECONDS = 7.0  # in the day that simulates the real processes' crashes
@@ -61,9 +61,10 @@
         The table, the figures, and by second the share of correct views in each scenario of real processes.
     """
     # The real processes run in real time and use little of the machine; simulations use the other cores.
-    with ProcessPoolExecutor(len(plays.PLAYS)) as rig_pool, ProcessPoolExecutor(6) as model_pool:
+    with ProcessPoolExecutor(len(rig.SCENARIOS)) as rig_pool, ProcessPoolExecutor(6) as model_pool:
         rig_futures = {
-            p.name: rig_pool.submit(plays.play, (n, seed + 1000 * n)) for n, p in enumerate(plays.PLAYS)
+            p.name: rig_pool.submit(rig.run_scenario, (n, seed + 1000 * n))
+            for n, p in enumerate(rig.SCENARIOS)
         }
         model_futures: list[tuple[tuple[str, MemberDay, int], Future[MemberResult]]] = [
             (job, model_pool.submit(model.simulate, job)) for job in simulation_jobs(quick, seed)
@@ -71,7 +72,7 @@
         rig_results = {name: future.result() for name, future in rig_futures.items()}
         model_results = [(job, future.result()) for job, future in model_futures]
     rows = [["play", "members", "p50 s", "p99 s", "missed", "deaths", "hours", "pkt/s", "agree", "settled s"]]
-    for p in plays.PLAYS:
+    for p in rig.SCENARIOS:
         rig_result = rig_results[p.name]
         rows.append(
             [
@@ -115,7 +116,7 @@
 
 
 def figures(
-    rig_results: dict[str, plays.Told],
+    rig_results: dict[str, rig.MembershipScenarioResult],
     model_results: list[tuple[tuple[str, MemberDay, int], MemberResult]],
     quick: bool,
     seed: int,
--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -31,7 +31,7 @@
 from saltcart.decision.connection_admission import ConnectionAdmission
 from saltcart.decision.outcome import Outcome
 from saltcart.decision.settings import ClassSpec, Effect, LoadSignal, Preemption, Settings, TenantSpec
-from saltcart.lab.events import Events, host
+from saltcart.lab.events import EventQueue, start_service_timer
 from saltcart.retry_storm.capacity import WarmUpCurve
 from saltcart.retry_storm.controller import RetryStormController
 from saltcart.retry_storm.settings import StormSettings
@@ -217,7 +217,7 @@
                 events.now - (0.0 if cold else 100.0),
             )
             service.ports.storm_control = self.storm_control
-        host(events, service)
+        start_service_timer(events, service)
 
     def _reject_and_check(self, service: Service, action: Reject, execute: Callable[..., None]) -> None:
         """Execute a rejection, and check 0.1 s later that the client had its response."""
@@ -430,7 +430,7 @@
 
     def __init__(self, day: StormDay, policy: str, seed: int) -> None:
         """Draw all requests of the day and start the nodes."""
-        self.day, self.policy, self.seed, self.events = day, policy, seed, Events(0.0)
+        self.day, self.policy, self.seed, self.events = day, policy, seed, EventQueue(0.0)
         rng = np.random.default_rng([seed, day.node_count])
         rate = REQUESTS_PER_SECOND_PER_NODE * day.node_count
         self.tenants: tuple[TenantSpec, ...] = ()
--- a/saltcart/lab/storm_sockets.py
+++ b/saltcart/lab/storm_sockets.py
@@ -22,7 +22,7 @@
 
 from saltcart.decision.settings import Effect
 from saltcart.lab.faults.programs import Program, call, fleet, request, settings, start_all
-from saltcart.lab.standins import Act, AjpStandIn, Asked
+from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
 from saltcart.lab.storm import CLASSES, IMPATIENT_RETRY_SECONDS, KEYED_SHARE, recovery_seconds
 
 NODES, CORES, WORK, LOAD = 4, 2, 0.08, 0.65
@@ -50,7 +50,7 @@
         self.life += 1
         self.born, self.cores = time.time() - (0.0 if cold else COLD_SPAN), [0.0] * CORES
 
-    def __call__(self, asked: Asked) -> Act:
+    def __call__(self, asked: ReceivedCall) -> ScriptedReply:
         number, now = int(orjson.loads(asked.body)["n"]), time.time()
         key = self.life, number
         window = CLASSES[1].key_window
@@ -61,7 +61,7 @@
         begin = max(now, self.cores[0])
         took = self.works[abs(number)] / speed
         heapq.heapreplace(self.cores, begin + took)
-        return Act("ok", begin + took - now)
+        return ScriptedReply("ok", begin + took - now)
 
 
 @dataclass
@@ -143,7 +143,7 @@
             except ConnectionRefusedError:
                 wait = CONNECT
             except TimeoutError:
-                self.seen.unanswered += programs[node].well(time.time(), spec.deadline + 0.5)
+                self.seen.unanswered += programs[node].was_running(time.time(), spec.deadline + 0.5)
                 follow = at if self.kinds[n] else at + 1
             except OSError:  # cut: a keyed one may have run there
                 follow = at if self.kinds[n] else at + 1
@@ -180,7 +180,7 @@
             await self.revive(programs[n], self.places[n])
 
     async def revive(self, program: Program, place: Works) -> None:
-        await program.ended()
+        await program.wait_until_ended()
         place.renew(cold=True)
         await program.start()
 
@@ -196,7 +196,7 @@
                 group.create_task(self.faults(programs, begun))
                 for n in range(len(self.births)):
                     group.create_task(self.client(n, programs, begun))
-            lives = sum(len(p.lives) for p in programs)
+            lives = sum(len(p.run_spans) for p in programs)
         worth = [self.seen.earned[s] / max(1, self.seen.offered[s]) for s in range(int(SECONDS) - 4)]
         return {
             "worth": worth,
--- a/saltcart/membership/member.py
+++ b/saltcart/membership/member.py
@@ -4,11 +4,11 @@
 passes in datagrams and the time, and takes the outgoing datagrams; the protocol has neither a socket nor a
 clock.
 
-- Each interval one member is probed.  Without an answer the ping is sent once more, then ``helpers`` other
+- Each interval one member is probed.  Without an ack the ping is sent once more, then ``helpers`` other
   members probe indirectly, then the member becomes a suspect (``probing``).
 - Each datagram to a suspect carries the suspicion, and the suspect refutes it with a higher incarnation;
   otherwise it is declared dead (``suspicion_tracker``).
-- Updates are piggybacked on probes and their answers, those sent least often first, and are also gossiped in
+- Updates are piggybacked on probes and their acks, those sent least often first, and are also gossiped in
   datagrams of their own while there are any (``dissemination``).
 - Periodically two members compare their digests and exchange the records that differ (``anti_entropy``).
 """
@@ -148,7 +148,7 @@
             self._handle_message(sender, datagram.message)
 
     def leave(self, now: float) -> None:
-        """Report that this member leaves; it answers probes until its process ends."""
+        """Report that this member leaves; it acknowledges probes until its process ends."""
         self.context.now = now
         if self.context.is_leaving or self.is_superseded:
             return
@@ -276,7 +276,7 @@
 
     # ---- metrics and state --------------------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics that operators are shown, by name."""
         states = [MemberState(record.state) for record in self.view]
         return [
--- a/saltcart/membership/messages.py
+++ b/saltcart/membership/messages.py
@@ -12,7 +12,7 @@
 
 from saltcart.membership.member_record import MemberRecord, MemberState
 from saltcart.membership.shared_registers import MAX_VALUE_BYTES, RegisterValue
-from saltcart.schema import unpack
+from saltcart.schema import decode_message
 from saltcart.wire.errors import MalformedMessageError
 
 PROTOCOL_VERSION = 1
@@ -30,7 +30,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    """The answer to a probe, direct or indirect."""
+    """The acknowledgement of a probe, direct or indirect."""
 
     sequence: int
 
@@ -44,7 +44,7 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
-    """A helper's report that its indirect probe got no answer either."""
+    """A helper's report that its indirect probe was not acknowledged either."""
 
     sequence: int
 
@@ -118,7 +118,7 @@
     Raises:
         MalformedMessageError: The bytes are not a valid datagram of this protocol version.
     """
-    datagram = unpack(_decoder, data, "membership datagram")
+    datagram = decode_message(_decoder, data, "membership datagram")
     if datagram.version != PROTOCOL_VERSION:
         raise MalformedMessageError(f"unsupported protocol version {datagram.version}")
     for record in (datagram.sender, *datagram.updates):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for what the service speaks to, and an application started in this process."""
+"""Stand-ins on loopback for the peers of the service, clients, and an application in this process."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from saltcart.app import App
 from saltcart.config import Config, read_config
 from saltcart.core.ports import Log
-from saltcart.deployment import AjpFront, Deployment
+from saltcart.deployment import AjpSettings, Deployment
 from saltcart.net.clock import Clock
 from saltcart.wire import ajp, http1
 from saltcart.wire.buffer import Buffer
 
+POLL_INTERVAL_SECONDS = 0.005
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 SETTINGS: dict[str, Any] = {
     "services": [
@@ -51,7 +52,8 @@
 }
 
 
-def raw_config(**more: Any) -> dict[str, Any]:
+def raw_config(**config_fields: Any) -> dict[str, Any]:
+    """Return a configuration as it is read from JSON, with the given fields added or replaced."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -59,16 +61,21 @@
         "stop_ms": 1500,
         "limits": {"sockets": 256},
         "settings": SETTINGS,
-        **more,
+        **config_fields,
     }
 
 
-def ident(number: int) -> bytes:
+def encode_id(number: int) -> bytes:
+    """Return the request id made of a number."""
     return b"%016x" % number
 
 
 class Server:
-    """A stand-in server on a free port; remembers its connections so that a test can cut them."""
+    """A stand-in server on a free port; records its connections so that a test can abort them.
+
+    Args:
+        handler: Serves one connection.
+    """
 
     def __init__(self, handler: Handler) -> None:
         self.handler, self.writers = handler, list[asyncio.StreamWriter]()
@@ -91,60 +98,77 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.server.close()
-        self.cut()
+        self.abort_connections()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
+        """Abort all connections that were accepted so far."""
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
 
 
 class Pool(Server):
-    """A stand-in worker pool: remembers what it was told; ``auto`` ends each run at once."""
+    """A stand-in worker pool that records the lines that it receives.
+
+    Args:
+        finishes_runs: Whether each run succeeds as soon as it is spawned.
+    """
 
-    def __init__(self, auto: bool = True) -> None:
-        super().__init__(self._link)
-        self.auto, self.number, self.notices = auto, 0, dict[int, bytes]()
+    def __init__(self, finishes_runs: bool = True) -> None:
+        super().__init__(self._serve_link)
+        self.finishes_runs, self.last_notice_number, self.notices = finishes_runs, 0, dict[int, bytes]()
         self.spawned: list[bytes] = []
         self.bodies: dict[bytes, bytes] = {}
-        self.told: list[bytes] = []
-        self.state = b"LOADED 60000"  # what it says when it is bound
-        self.quiet = False  # leaves polls unanswered: for a test that writes a notice in pieces
+        self.received_lines: list[bytes] = []
+        self.reported_state = b"LOADED 60000"  # sent in reply to bind
+        self.ignores_polls = False  # replies to polls would come between the parts of a notice
         self.writer: asyncio.StreamWriter | None = None
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := (await reader.readline()).rstrip():
             words = line.split()
-            self.told.append(line)
+            self.received_lines.append(line)
             if words[0] in (b"spawn", b"supply"):
                 self.bodies[words[1]] = (await reader.readexactly(int(words[-1]) + 2))[:-2]
             if words[0] == b"bind":
                 self.writer = writer
-                writer.write(b"bound %b\r\n" % self.state)
-                writer.writelines(data for n, data in self.notices.items() if n > int(words[1]))
-            elif words[0] == b"poll" and not self.quiet and self.writer is writer:
+                writer.write(b"bound %b\r\n" % self.reported_state)
+                writer.writelines(data for number, data in self.notices.items() if number > int(words[1]))
+            elif words[0] == b"poll" and not self.ignores_polls and self.writer is writer:
                 writer.write(b"polled %b 0.5 1\r\n" % words[1])
             elif words[0] == b"spawn":
                 self.spawned.append(words[1])
-                if self.auto:
+                if self.finishes_runs:
                     self.finish(words[1])
 
     def restart(self) -> None:
-        """Another pool at the same address: it numbers its notices anew and knows of no run."""
-        self.number, self.state = 0, b"EMPTY 40"
+        """Act as a restarted pool, which numbers its notices from 1 and has no runs."""
+        self.last_notice_number, self.reported_state = 0, b"EMPTY 40"
         self.notices.clear()
-        self.cut()
-
-    def notice(self, text: bytes, body: bytes) -> None:
-        self.number += 1
-        head = b"%b %d %b %d\r\n" % (text.split()[0], self.number, b" ".join(text.split()[1:]), len(body))
-        self.notices[self.number] = head + body + b"\r\n"
+        self.abort_connections()
+
+    def send_notice(self, text: bytes, body: bytes) -> None:
+        """Send a notice under the next number, and again whenever the service binds without having read it.
+
+        Args:
+            text: Kind and fields of the notice, without its number and size.
+            body: Body of the notice.
+        """
+        self.last_notice_number += 1
+        header = b"%b %d %b %d\r\n" % (
+            text.split()[0],
+            self.last_notice_number,
+            b" ".join(text.split()[1:]),
+            len(body),
+        )
+        self.notices[self.last_notice_number] = header + body + b"\r\n"
         if self.writer is not None:
-            self.writer.write(self.notices[self.number])
+            self.writer.write(self.notices[self.last_notice_number])
 
-    def finish(self, ident: bytes, end: bytes = b"PASS") -> None:
-        result = b"done " + self.bodies[ident] if end == b"PASS" else b""
-        self.notice(b"finished %b %b 20" % (ident, end), result)
+    def finish(self, request_id: bytes, outcome: bytes = b"PASS") -> None:
+        """Report the end of a run; the result of a successful one is derived from its body."""
+        result = b"done " + self.bodies[request_id] if outcome == b"PASS" else b""
+        self.send_notice(b"finished %b %b 20" % (request_id, outcome), result)
 
 
 @asynccontextmanager
@@ -153,65 +177,105 @@
     environment: dict[str, str] | None = None,
     log: Log = lambda event, **fields: None,
     clock: Clock | None = None,
-    **more: Any,
+    **config_fields: Any,
 ) -> AsyncIterator[App]:
-    conf: Config = read_config(raw_config(**more), environment or {})
+    """Run an application until the end of the block, which begins once it is healthy and ready.
+
+    Args:
+        deployment: Deployment settings, by default none.
+        environment: Environment variables that the configuration is read with.
+        log: Receives log events.
+        clock: Clock of the application.
+        config_fields: Fields added to or replaced in ``raw_config()``.
+    """
+    conf: Config = read_config(raw_config(**config_fields), environment or {})
     app = App(conf, deployment or Deployment(), log, clock)
     await app.start()
     try:
-        await until(lambda: app.service.is_healthy and app.ready())
+        await until(lambda: app.service.is_healthy and app.is_ready())
         yield app
     finally:
         await app.close()
 
 
-async def until(condition: Callable[[], bool], wait: float = 20.0) -> None:
-    async with asyncio.timeout(wait):
+async def until(condition: Callable[[], bool], timeout_seconds: float = 20.0) -> None:
+    """Wait for a condition.
+
+    Raises:
+        TimeoutError: It did not hold in time.
+    """
+    async with asyncio.timeout(timeout_seconds):
         while not condition():
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
-def fields(
+def make_request_fields(
     number: int,
     key: str | None = None,
-    budget: str = "2000",
-    received: int | None = None,
+    budget_ms: str = "2000",
+    received_at_ms: int | None = None,
     rank: str = "0.9",
     account: str = "acme",
 ) -> list[tuple[str, str]]:
-    named = {
+    """Return the header fields of a request.
+
+    Args:
+        number: Number of which the request id is made.
+        key: Idempotency key, if any.
+        budget_ms: Time within which the caller expects the response.
+        received_at_ms: Unix time at which the request was received, by default now.
+        rank: Priority rank, from 0 to 1.
+        account: Account that sends the request.
+    """
+    fields = {
         "Request-Id": f"{number:016x}",
-        "Received-At": str(received or int(time.time() * 1000)),
+        "Received-At": str(received_at_ms or int(time.time() * 1000)),
         "Account": account,
-        "Budget-Ms": budget,
+        "Budget-Ms": budget_ms,
         "Footprint-Kb": "24.5",
         "Priority-Rank": rank,
     }
-    return [*named.items()] + ([("Once-Key", key)] if key else [])
+    return [*fields.items()] + ([("Once-Key", key)] if key else [])
 
 
 class HttpClient:
+    """An HTTP client on one connection, as a balancer uses it.
+
+    Args:
+        address: Host and port of the service.
+    """
+
     def __init__(self, address: str) -> None:
         self.host, self.port = address.split(":")
-        self.buffer, self.parser = Buffer(), http1.ResponseParser(1 << 16)
-        self.changed: dict[str, str | None] = {}  # fields that are sent with another value, or left out
+        self.buffer, self.parser = Buffer(), http1.HttpResponseParser(1 << 16)
+        # Values that replace the default ones; None leaves the field out.
+        self.overridden_fields: dict[str, str | None] = {}
 
-    def fields(self, number: int, **more: Any) -> list[tuple[str, str]]:
-        named = {**dict(fields(number, **more)), **self.changed}
-        return [(name, value) for name, value in named.items() if value is not None]
+    def request_fields(self, number: int, **options: Any) -> list[tuple[str, str]]:
+        """Return the fields of ``make_request_fields``, with the overridden ones replaced or left out."""
+        fields = {**dict(make_request_fields(number, **options)), **self.overridden_fields}
+        return [(name, value) for name, value in fields.items() if value is not None]
 
     async def open(self) -> Self:
+        """Open the connection."""
         self.reader, self.writer = await asyncio.open_connection(self.host, int(self.port))
         return self
 
-    def send(self, number: int, klass: str = "read", body: bytes = b"x", **more: Any) -> None:
-        head = "".join(f"{name}: {value}\r\n" for name, value in self.fields(number, **more))
+    def send(self, number: int, class_name: str = "read", body: bytes = b"x", **options: Any) -> None:
+        """Send a request; the options are those of ``make_request_fields``."""
+        header = "".join(f"{name}: {value}\r\n" for name, value in self.request_fields(number, **options))
         self.writer.write(
-            f"POST /call/{klass} HTTP/1.1\r\nHost: h\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode()
+            f"POST /call/{class_name} HTTP/1.1\r\nHost: h\r\n{header}"
+            f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body
         )
 
-    async def answer(self) -> http1.HttpResponse:
+    async def read_response(self) -> http1.HttpResponse:
+        """Read the next response.
+
+        Raises:
+            ConnectionResetError: The connection ended before it was complete.
+        """
         while (response := self.parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
@@ -219,43 +283,61 @@
             self.buffer.write(data)
         return response
 
-    async def ask(
-        self, number: int, klass: str = "read", body: bytes = b"x", **more: Any
+    async def post(
+        self, number: int, class_name: str = "read", body: bytes = b"x", **options: Any
     ) -> http1.HttpResponse:
-        self.send(number, klass, body, **more)
-        return await self.answer()
+        """Send a request and read its response."""
+        self.send(number, class_name, body, **options)
+        return await self.read_response()
 
     def drop(self) -> None:
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
-def at_once(client: HttpClient) -> Callable[[bytes], None]:
-    """Writes to the client's socket in this very turn, past its transport."""
+def bypass_transport(client: HttpClient) -> Callable[[bytes], None]:
+    """Make the client write to its socket directly.
+
+    Data is sent within the current iteration of the event loop; a transport may send it only after that.
+
+    Returns:
+        The function that writes.
+    """
 
     def write(data: bytes) -> None:
-        with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
-            raw.sendall(data)
+        with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as duplicate:
+            duplicate.sendall(data)
 
     client.writer.write = write  # type: ignore[assignment, method-assign]
     return write
 
 
 class AjpClient(HttpClient):
-    """A gateway's half of AJP."""
+    """An AJP client on one connection, as a gateway uses it.
+
+    Args:
+        address: Host and port of the service.
+        secret: Shared secret that is sent with each request, if any.
+    """
 
     def __init__(self, address: str, secret: bytes = b"") -> None:
         super().__init__(address)
-        self.replies, self.secret, self.rest = ajp.ResponseParser(1 << 16), secret, b""
+        self.response_parser, self.secret, self.unsent_body = ajp.AjpResponseParser(1 << 16), secret, b""
 
     def send(
-        self, number: int, klass: str = "read", body: bytes = b"x", first: int = ajp.MAX_DATA, **more: Any
+        self,
+        number: int,
+        class_name: str = "read",
+        body: bytes = b"x",
+        first_part_size: int = ajp.MAX_BODY_DATA_BYTES,
+        **options: Any,
     ) -> None:
-        """``first``: how much of the body goes along unasked."""
-        headers = [(n.encode(), v.encode()) for n, v in self.fields(number, **more)]
+        """Send a request and the first part of its body; the service requests the rest."""
+        headers = [(name.encode(), value.encode()) for name, value in self.request_fields(number, **options)]
         self.writer.write(
-            ajp.forward_request(
+            ajp.encode_forward_request(
                 b"POST",
-                b"/call/" + klass.encode(),
+                b"/call/" + class_name.encode(),
                 [*headers, (b"Content-Length", b"%d" % len(body))],
                 b"localhost",
                 8009,
@@ -263,56 +345,68 @@
             )
         )
         if body:
-            self.writer.write(ajp.body_packet(body[:first]))
-        self.rest = body[first:]
+            self.writer.write(ajp.encode_body_packet(body[:first_part_size]))
+        self.unsent_body = body[first_part_size:]
+
+    async def read_message(self) -> ajp.AjpResponse | ajp.CPong | ajp.GetBodyChunk:
+        """Read the next message.
 
-    async def message(self) -> ajp.Response | ajp.Pong | ajp.WantBody:
-        while (message := self.replies.next(self.buffer)) is None:
+        Raises:
+            ConnectionResetError: The connection ended before it was complete.
+        """
+        while (message := self.response_parser.next(self.buffer)) is None:
             data = await self.reader.read(4096)
             if not data:
                 raise ConnectionResetError
             self.buffer.write(data)
         return message
 
-    async def answer(self) -> http1.HttpResponse:
-        while isinstance(message := await self.message(), ajp.WantBody):
-            part, self.rest = self.rest[: message.size], self.rest[message.size :]
-            self.writer.write(ajp.body_packet(part))
-        assert isinstance(message, ajp.Response)
+    async def read_response(self) -> http1.HttpResponse:
+        """Read the next response, sending the parts of the body that the service requests."""
+        while isinstance(message := await self.read_message(), ajp.GetBodyChunk):
+            part, self.unsent_body = self.unsent_body[: message.size], self.unsent_body[message.size :]
+            self.writer.write(ajp.encode_body_packet(part))
+        assert isinstance(message, ajp.AjpResponse)
         return http1.HttpResponse(message.status, message.headers, message.body, message.reuse)
 
 
 CLIENTS = {"http": HttpClient, "ajp": AjpClient}
-BOTH_FRONTS = Deployment(ajp=AjpFront("127.0.0.1:0"))
+BOTH_FRONTS = Deployment(ajp=AjpSettings("127.0.0.1:0"))
 
 
 class AjpServer(Server):
-    """A stand-in AJP container; ``act`` decides what becomes of each request."""
+    """A stand-in AJP container that records the requests that it receives.
+
+    Args:
+        respond: Returns the response to a request, or ``None`` to abort the connection.
+        secret: Shared secret that requests must have, if any.
+    """
 
     def __init__(
-        self, act: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]], secret: bytes = b""
+        self, respond: Callable[[ajp.ForwardRequest], Awaitable[bytes | None]], secret: bytes = b""
     ) -> None:
-        super().__init__(self._link)
-        self.act, self.secret = act, secret
-        self.seen: list[ajp.ForwardRequest] = []
+        super().__init__(self._serve_requests)
+        self.respond, self.secret = respond, secret
+        self.received_requests: list[ajp.ForwardRequest] = []
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        buffer, parser = Buffer(), ajp.RequestParser(1 << 16, self.secret)
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        buffer, parser = Buffer(), ajp.AjpRequestParser(1 << 16, self.secret)
         while data := await reader.read(4096):
             buffer.write(data)
             while (message := parser.next(buffer)) is not None:
                 if isinstance(message, ajp.CPing):
                     writer.write(ajp.CPONG_PACKET)
-                elif isinstance(message, ajp.MoreBody):
+                elif isinstance(message, ajp.GetBodyChunkPacket):
                     writer.write(message.data)
                 else:
-                    self.seen.append(message)
-                    answer = await self.act(message)
-                    if answer is None:  # drop the connection
+                    self.received_requests.append(message)
+                    response = await self.respond(message)
+                    if response is None:
                         writer.transport.abort()
                         return
-                    writer.write(answer)
+                    writer.write(response)
 
 
-def container_answer(status: int, body: bytes = b"", reuse: bool = True) -> bytes:
-    return ajp.response(status, b"R", [], body, reuse)
+def encode_container_response(status: int, body: bytes = b"", reuse: bool = True) -> bytes:
+    """Return an AJP response without headers, as a container sends it."""
+    return ajp.encode_response(status, b"R", [], body, reuse)
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from saltcart.config import ConfigError
-from saltcart.deployment import read
+from saltcart.deployment import read_deployment
 from saltcart.field_reader import InvalidFieldError
 from saltcart.lab import zones as model
 from saltcart.locality.demand import SHORT_TERM_HALF_LIFE, DemandEstimator, credible_demand
@@ -790,8 +790,8 @@
     assert sum(rejected.values()) == pytest.approx(0.4 * 6000, rel=0.05)
     assert rejected[8.0] == 0
     assert rejected[2.0] < 0.03 * arrived[2.0] and rejected[1.0] > 0.75 * arrived[1.0]
-    figures = dict(instance.figures())
-    assert figures["locality.worth_refused"] == pytest.approx(rejected[1.0] + 2 * rejected[2.0], abs=1)
+    metrics = dict(instance.metrics())
+    assert metrics["locality.worth_refused"] == pytest.approx(rejected[1.0] + 2 * rejected[2.0], abs=1)
 
 
 WEIGHTS = st.lists(st.sampled_from((0.5, 1.0, 3.0, 8.0)), min_size=10, max_size=200)
@@ -950,9 +950,9 @@
 
 
 def test_zone_aware_routing_is_off_without_its_table() -> None:
-    assert read({"member": MEMBER, "upstream": [UPSTREAM]}).locality is None
-    assert read(deployment(locality={"upstream": "work", "enabled": False})).locality is None
-    assert read(deployment()).locality == SETTINGS
+    assert read_deployment({"member": MEMBER, "upstream": [UPSTREAM]}).locality is None
+    assert read_deployment(deployment(locality={"upstream": "work", "enabled": False})).locality is None
+    assert read_deployment(deployment()).locality == SETTINGS
 
 
 @pytest.mark.parametrize(
@@ -991,7 +991,7 @@
     changes: dict[str, object], message: str
 ) -> None:
     with pytest.raises(ConfigError, match=message):
-        read(deployment(**changes))
+        read_deployment(deployment(**changes))
 
 
 def test_an_error_in_the_table_names_the_field() -> None:
