--- a/saltcart/lab/experiments.py
+++ b/saltcart/lab/experiments.py
@@ -95,9 +95,9 @@
 
 def zones(options: ExperimentOptions) -> dict[str, Any]:
     """Zones that fail, slow down, are partitioned or flap, in a large simulation and with real processes."""
-    from saltcart.lab import nearness
+    from saltcart.lab import locality_experiment
 
-    rows, figures, curves = nearness.run(options.quick, options.seed)
+    rows, figures, curves = locality_experiment.run(options.quick, options.seed)
     if options.plot is not None:
         report.plot_lines(options.plot, curves, "share of the troubled work served")
     return print_table(rows, figures)
--- a/saltcart/lab/faults/zones.py
+++ b/saltcart/lab/faults/zones.py
@@ -20,7 +20,7 @@
 from saltcart.lab.faults.members import POLL_INTERVAL_S, SERVICE_CLASSES
 from saltcart.lab.faults.programs import TOKEN, Program, call, fleet, request, settings, start_all
 from saltcart.lab.standins import AjpStandIn, ReceivedCall, ScriptedReply
-from saltcart.lab.zones import agreement
+from saltcart.lab.zones import agreement_share
 
 MEMBERS_PER_ZONE = 3
 REQUEST_RATE = 8.0  # requests per second of one instance
@@ -279,7 +279,7 @@
         states = [s for s in await self.poll_states() if s is not None]
         result.plan_numbers = [s["plan"] for s in states]
         held = Counter(repr(sorted((z, sorted(row.items())) for z, row in s["rows"].items())) for s in states)
-        result.agree = agreement(held, self.instances)
+        result.agree = agreement_share(held, self.instances)
         for half_second in range(int(2 * scenario.fault_start), int(2 * scenario.fault_end) - 2):
             span = range(half_second, half_second + 3)
             offered = sum(result.affected_offered[h] for h in span)
