--- a/saltcart/lab/storm.py
+++ b/saltcart/lab/storm.py
@@ -552,18 +552,10 @@
         request: SimulatedRequest,
         node: Node,
         response: FinalResponse,
-        request_id: bytes = b"",
-        record_advice: bool = True,
+        request_id: bytes = b"",  # of the attempt that it answers; empty for one that was not read
+        record_advice: bool = True,  # whether the node's storm control still has to record Retry-After
     ) -> None:
-        """Handle a response at the client: count its priority weight or schedule a retry.
-
-        Args:
-            request: The client's request.
-            node: The node that responds.
-            response: The response.
-            request_id: Id of the attempt that it answers; empty for one that was not read.
-            record_advice: Whether the node's storm control still has to record Retry-After.
-        """
+        """Handle a response at the client: count its priority weight or schedule a retry."""
         if (
             request.done
             or request.node_number != node.number
@@ -630,10 +622,8 @@
                 for c in (self.earned_weight, offered_weight)
             ]
             result.weight_share_by_tenant[tenant] = totals[0] / max(1e-9, totals[1])
-        result.attempt_count, result.request_count = (
-            sum(self.attempts_by_second.values()),
-            len(self.requests),
-        )
+        result.attempt_count = sum(self.attempts_by_second.values())
+        result.request_count = len(self.requests)
         spans = [range(s, s + 5) for s in range(seconds - 5)]
         result.peak_attempts_per_request = max(
             sum(self.attempts_by_second[s] for s in span)
--- a/saltcart/lab/zones.py
+++ b/saltcart/lab/zones.py
@@ -566,18 +566,20 @@
         result.failover_seconds = self._failover_seconds()
         result.return_seconds = self._return_seconds()
         if isinstance(self.instances[0], CommonPlanPolicy):
-            holders = Counter(
-                repr(sorted(i.router.plan.rows.items()))
-                for i in self.instances
-                if isinstance(i, CommonPlanPolicy)
-            )
-            result.agree = agreement_share(holders, day.instance_count)
-        result.simulated_hours, result.wall_seconds = (
-            day.duration_seconds / 3600,
-            time.perf_counter() - started_at,
-        )
+            result.agree = self._agreement_share()
+        result.simulated_hours = day.duration_seconds / 3600
+        result.wall_seconds = time.perf_counter() - started_at
         return result
 
+    def _agreement_share(self) -> float:
+        """Return the share of pairs of instances that hold the same plan."""
+        holders = Counter(
+            repr(sorted(i.router.plan.rows.items()))
+            for i in self.instances
+            if isinstance(i, CommonPlanPolicy)
+        )
+        return agreement_share(holders, self.day.instance_count)
+
     def _advance(self, at: float) -> None:
         """Run the scheduled calls up to a time, and set the clock to it."""
         while self.events and self.events[0][0] <= at:
--- a/saltcart/wire/pool.py
+++ b/saltcart/wire/pool.py
@@ -204,8 +204,7 @@
             raise MalformedMessageError(f"{words[0][:20]!r}: field {index} is not a number") from None
 
     def _message(self, words: list[bytes], body: bytes) -> Iterator[Message | bytes]:
-        """Apply one line with its body, and yield what follows from it."""
-        verb = words[0]
+        verb = words[0]  # of one line, which is applied; the messages and commands that follow are yielded
         if verb in (b"finished", b"blocked"):
             if len(words) != (6 if verb == b"finished" else 4):
                 raise MalformedMessageError(f"{verb[:20]!r}: wrong number of fields")
@@ -226,8 +225,7 @@
                     break
                 self.unconfirmed.popleft()
             if not self.is_ready and poll_number == self.replay_poll:
-                # By now all notices that the previous connection missed have been read.
-                self.is_ready = True
+                self.is_ready = True  # all notices that the previous connection missed have been read
                 yield from self._resend_unconfirmed()
             yield Polled(tuple(self._parse_float(words, index) for index in range(2, len(words))))
         elif verb == b"bound":
@@ -242,8 +240,7 @@
                 raise MalformedMessageError("unknown: a field is missing")
             yield UnknownCommand(words[1], words[2])
         elif verb == b"chatter":
-            # Its number is not recorded as read: a notice under the same number would then be dropped.
-            pass
+            pass  # its number is not recorded as read: a notice under the same number would be dropped
         else:
             raise MalformedMessageError(f"{verb[:20]!r}: unknown message")
 
